--- a/bench/rollout/index.ts
+++ b/bench/rollout/index.ts
@@ -3,7 +3,7 @@
  * edition to the end of the last load, and what it took away meanwhile.
  */
 import {toSeededRandom} from '../../src/domain/create-placement/_lib/fixtures.js';
-import {runRollout, type ModelZone} from '../../src/domain/pick-loads/_test/rollout-model.js';
+import {runRollout, type ModelZone} from '../../src/domain/plan-rollout/_test/rollout-model.js';
 import {msPerSecond} from '../../src/ports/units.js';
 
 const loadMs = 30 * msPerSecond;
--- a/bench/split-pool/_lib/create-workload.ts
+++ b/bench/split-pool/_lib/create-workload.ts
@@ -9,7 +9,7 @@
 	/** Tokens that the answer will have. */
 	answerTokens: number;
 	/** What its caller guesses: right at the median, often far off. */
-	guessedTokens: number;
+	estimatedTokens: number;
 };
 
 export type WorkloadOptions = {
@@ -53,7 +53,7 @@
 		host: Math.floor(random() * hosts),
 		promptTokens: prompt.shared + toLength(prompt, random),
 		answerTokens,
-		guessedTokens: Math.round(answerTokens * Math.exp(guessSpread * toNormal(random))),
+		estimatedTokens: Math.round(answerTokens * Math.exp(guessSpread * toNormal(random))),
 	};
 }
 
--- a/bench/split-pool/_lib/simulate.ts
+++ b/bench/split-pool/_lib/simulate.ts
@@ -6,7 +6,7 @@
 import {createPlacement, type Placement, type PlacementDecider} from '../../../src/domain/create-placement/index.js';
 import {createSharedLoads, type SharedLoads} from '../../../src/domain/create-shared-loads/index.js';
 import {toReservedTokens} from '../../../src/domain/to-reserved-tokens/index.js';
-import {toReturnDelay} from '../../../src/domain/to-return-delay/index.js';
+import {toFullPoolRetryAfter} from '../../../src/domain/to-full-pool-retry-after/index.js';
 import {type Milliseconds, type Random} from '../../../src/ports/clock.js';
 import {type ServerEntry} from '../../../src/ports/config.js';
 import {type FleetView} from '../../../src/ports/view.js';
@@ -118,7 +118,7 @@
 	const view = toView(servers, scenario);
 	const shared = Array.from({length: scenario.hosts}, () => createSharedLoads());
 	const nobody: SharedLoads['read'] = () => ({requests: 0, promptTokens: 0});
-	const hosts = shared.map((loads, i) => createPlacement({zone: zones[i % zones.length]!, readOthers: scenario.isShared ? loads.read : nobody}));
+	const hosts = shared.map((loads, i) => createPlacement({zone: zones[i % zones.length]!, readPeerLoad: scenario.isShared ? loads.read : nobody}));
 	const prompts = createHistogram();
 	const ends = {inTime: 0, late: 0, refused: 0};
 	let busyMs = 0;
@@ -145,7 +145,7 @@
 		}
 
 		const left = request.bornAt + patienceMs - now;
-		const delayMs = Math.min(left * returnShare, toReturnDelay(3 * msPerSecond, random));
+		const delayMs = Math.min(left * returnShare, toFullPoolRetryAfter(3 * msPerSecond, random));
 		agenda.add(now + delayMs, later => {
 			offer({...request, hasReturned: true}, later);
 		});
--- a/bench/zone-spread/_lib/create-spread-fleet.ts
+++ b/bench/zone-spread/_lib/create-spread-fleet.ts
@@ -1,7 +1,7 @@
 /** Agents' membership, loads and summaries on a logical clock, joined by links, with the bytes of their frames counted. */
 import {encodeFrame} from '../../../src/adapters/peer-tcp/_lib/frame.js';
 import {createFleetTable} from '../../../src/domain/create-fleet-table/index.js';
-import {createLeaveHold} from '../../../src/domain/create-leave-hold/index.js';
+import {createLeavingOverrides} from '../../../src/domain/create-leaving-overrides/index.js';
 import {createNetwork} from '../../../src/domain/create-membership/_test/create-network.js';
 import {toConfig, toReport, toServer} from '../../../src/domain/create-placement/_lib/fixtures.js';
 import {omitContacts} from '../../../src/domain/omit-contacts/index.js';
@@ -101,7 +101,7 @@
 		};
 
 		const loads = spreadLoads({
-			hold: createLeaveHold(),
+			hold: createLeavingOverrides(),
 			...common,
 			self: () => ({id, zone}),
 			send,
--- a/scripts/_mutation/modules.ts
+++ b/scripts/_mutation/modules.ts
@@ -19,14 +19,14 @@
 /** Each with its own tests, and with those that play it together with what stands around it. */
 export const mutatedModules: readonly MutatedModule[] = [
 	toDomainModule('create-retry-budget'),
-	toDomainModule('to-retry-part'),
+	toDomainModule('to-retry-share'),
 	{
 		name: 'create-pool-budgets',
 		sources: ['src/programs/entry/_lib/create-pool-budgets/index.ts'],
 		tests: ['src/programs/entry/_lib/create-pool-budgets/test.ts'],
 	},
 	toDomainModule('create-published-fleet', followTests),
-	toDomainModule('create-leave-hold'),
+	toDomainModule('create-leaving-overrides'),
 	toDomainModule('compare-eras'),
 	{
 		name: 'follow-published',
--- a/src/_lib/to-limit-signal/index.ts
+++ b/src/_lib/create-timeout-signal/index.ts
@@ -22,7 +22,7 @@
  * toLimitSignal(deadline - now, run.signal);
  * ```
  */
-export function toLimitSignal(limitMs: Milliseconds, signal: AbortSignal): AbortSignal {
+export function createTimeoutSignal(limitMs: Milliseconds, signal: AbortSignal): AbortSignal {
 	const limit = new AbortController();
 	const timer = setTimeout(() => {
 		limit.abort(new DOMException('the time limit has passed', 'TimeoutError'));
--- a/src/_lib/to-limit-signal/test.ts
+++ b/src/_lib/create-timeout-signal/test.ts
@@ -4,12 +4,12 @@
 import v8 from 'node:v8';
 import vm from 'node:vm';
 import fc from 'fast-check';
-import {toLimitSignal} from './index.js';
+import {createTimeoutSignal} from './index.js';
 
 describe('toLimitSignal', () => {
 	it('takes any time that may be left, also a fraction, none, or less than none', () => {
 		fc.assert(fc.property(fc.double({min: -1e6, max: 1e6, noNaN: true}), limitMs => {
-			assert.equal(toLimitSignal(limitMs, new AbortController().signal).aborted, false);
+			assert.equal(createTimeoutSignal(limitMs, new AbortController().signal).aborted, false);
 		}));
 	});
 
@@ -23,7 +23,7 @@
 		const other = new AbortController();
 		let fired = 0;
 		for (let i = 0; i < 100; i++) {
-			toLimitSignal(50, other.signal).addEventListener('abort', () => {
+			createTimeoutSignal(50, other.signal).addEventListener('abort', () => {
 				fired++;
 			}, {once: true});
 		}
@@ -37,7 +37,7 @@
 
 	it('aborts with the other signal', () => {
 		const other = new AbortController();
-		const signal = toLimitSignal(60_000, other.signal);
+		const signal = createTimeoutSignal(60_000, other.signal);
 		other.abort('gone');
 		assert.equal(signal.reason, 'gone');
 	});
--- a/src/adapters/caller-http/_lib/exchange.ts
+++ b/src/adapters/caller-http/_lib/exchange.ts
@@ -28,7 +28,7 @@
 	/** Lower-case names. A header that came more than once is joined with commas. */
 	headers: Readonly<Record<string, string>>;
 	/** Fires when the caller's connection ends before the answer was sent whole. */
-	gone: AbortSignal;
+	disconnectSignal: AbortSignal;
 	readBody: (options: ReadBodyOptions) => Promise<Result<Buffer, BodyFault>>;
 	/** The body as it comes, for bodies that are passed through. */
 	incoming: IncomingMessage;
@@ -252,7 +252,7 @@
 		target,
 		// Node joins all headers that may come twice but Set-Cookie, which is no request header.
 		headers: req.headers as Record<string, string>,
-		gone: gone.signal,
+		disconnectSignal: gone.signal,
 		readBody: async bodyOptions => readBody(req, bodyOptions),
 		incoming: req,
 		sendAnswer,
--- a/src/adapters/caller-http/index.ts
+++ b/src/adapters/caller-http/index.ts
@@ -44,10 +44,10 @@
 
 export type CallerServer = {
 	/** Takes another time for which idle connections stay open. */
-	setKeepAlive: (timeoutMs: number) => void;
+	setKeepAliveTimeout: (timeoutMs: number) => void;
 	port: number;
 	/** Exchanges that have not been answered whole. */
-	open: () => number;
+	openExchanges: () => number;
 	/** Connections, idle ones included. */
 	connections: () => number;
 	/** Takes other keys for connections that come from now on. */
@@ -224,9 +224,9 @@
 
 	return {
 		port: (server.address() as AddressInfo).port,
-		open: () => open.size,
+		openExchanges: () => open.size,
 		connections: count,
-		setKeepAlive(timeoutMs) {
+		setKeepAliveTimeout(timeoutMs) {
 			server.keepAliveTimeout = timeoutMs;
 		},
 		renewTls(tls) {
--- a/src/adapters/own-calls/index.ts
+++ b/src/adapters/native-calls/index.ts
@@ -1,11 +1,11 @@
 /** Headers of plain requests on the system's own interface. */
 import {toForwardHeaders} from '../../domain/to-forward-headers/index.js';
-import {type CallerWork, type ServerCalls} from '../../ports/server-calls.js';
+import {type RequestHints, type ServerCalls} from '../../ports/server-calls.js';
 import {type FleetView} from '../../ports/view.js';
 
 /** The own interface says nothing of a plain request beside its body. */
-const noWork: CallerWork = {
-	waitsMs: undefined, model: undefined, promptTokens: 0, maxTokens: 0, guessedTokens: undefined,
+const noWork: RequestHints = {
+	timeoutMs: undefined, model: undefined, promptTokens: 0, maxTokens: 0, estimatedTokens: undefined,
 };
 
 /**
@@ -16,9 +16,9 @@
  * @param options - The view, which tells whether callers have tokens.
  * @returns The calls.
  */
-export function createOwnCalls({toView}: {toView: () => FleetView | undefined}): ServerCalls {
+export function createNativeCalls({toView}: {toView: () => FleetView | undefined}): ServerCalls {
 	return {
-		readWork: () => noWork,
+		parseHints: () => noWork,
 		toHeaders({headers, requestId, workspace}) {
 			const hasTokens = Object.keys(toView()?.accepted?.config.callerTokens ?? {}).length > 0;
 			return {
--- a/src/adapters/view-feed/_lib/messages.ts
+++ b/src/adapters/view-feed/_lib/messages.ts
@@ -79,7 +79,7 @@
 } as const;
 
 /** Call from the agent to its entry for the configuration that the entry holds. */
-export const configCall = 'feed-config';
+export const feedConfigCall = 'feed-config';
 
 /** Event from the entry: a server said itself that it is leaving. */
 export type FeedLeaving = {
--- a/src/adapters/view-feed/index.ts
+++ b/src/adapters/view-feed/index.ts
@@ -15,12 +15,12 @@
 	applyUpdate, emptyView, type ApplyOptions, type FedView,
 } from './_lib/apply-update.js';
 import {
-	configCall, feedEvents, type FeedConfig, type FeedPing, type FeedUpdate,
+	feedConfigCall, feedEvents, type FeedConfig, type FeedPing, type FeedUpdate,
 } from './_lib/messages.js';
 
 export {createViewPublisher, type ViewPublisher} from './publish-view.js';
 export {
-	configCall, feedEvents, type FeedConfig, type FeedLeaving, type FeedPing, type FeedUpdate,
+	feedConfigCall, feedEvents, type FeedConfig, type FeedLeaving, type FeedPing, type FeedUpdate,
 } from './_lib/messages.js';
 
 const pingIntervalMs = 1000;
@@ -92,7 +92,7 @@
 	}
 
 	async function onCall(_peer: PeerHello, method: string): Promise<FeedConfig | undefined> {
-		if (method !== configCall) {
+		if (method !== feedConfigCall) {
 			throw new Error(`unknown method ${method}`);
 		}
 
--- a/src/domain/_test/to-part-document.ts
+++ b/src/domain/_test/to-part-document.ts
@@ -3,7 +3,7 @@
 import {addPlainEnd} from '../../_lib/split-config-end/index.js';
 import {toDigest} from '../../_lib/to-digest/index.js';
 import {type ConfigPart, type FindPart, type NamedPart} from '../../ports/config.js';
-import {toLinesText} from '../to-lines-text/index.js';
+import {toConfigBody} from '../to-config-body/index.js';
 
 const sections = ['hosts', 'servers', 'rules'] as const;
 
@@ -40,11 +40,11 @@
 	};
 
 	const lists = {hosts: toPieces('hosts'), servers: toPieces('servers'), rules: toPieces('rules')};
-	const parts = Array.from({length: count}, (_, i) => toPart(`part-${i}`, addPlainEnd(toLinesText({
+	const parts = Array.from({length: count}, (_, i) => toPart(`part-${i}`, addPlainEnd(toConfigBody({
 		hosts: lists.hosts.pieces[i] ?? [], servers: lists.servers.pieces[i] ?? [], rules: lists.rules.pieces[i] ?? [],
 	}), 'json')));
 	const left = {hosts: lists.hosts.left, servers: lists.servers.left, rules: lists.rules.left};
-	const root = addPlainEnd(toLinesText({...values, ...left, parts: toNamed(parts)}), 'json');
+	const root = addPlainEnd(toConfigBody({...values, ...left, parts: toNamed(parts)}), 'json');
 	return {root, parts};
 }
 
--- a/src/domain/accept-config/index.ts
+++ b/src/domain/accept-config/index.ts
@@ -28,7 +28,7 @@
  * Two documents sealed from the same edition: both operators meant theirs to
  * follow, and one edit is lost.
  */
-export type ConfigRivalry = {
+export type ConfigConflict = {
 	winner: ConfigVersion;
 	loser: ConfigVersion;
 	message: string;
@@ -44,10 +44,10 @@
 export type ConfigRefusalReason = 'incomplete' | 'altered' | 'not-text' | 'parts-missing' | 'invalid' | 'older' | 'rival-lost';
 
 export type ConfigVerdict =
-	| {status: 'accepted'; accepted: AcceptedConfig; rivalry: ConfigRivalry | undefined; warning: string | undefined}
+	| {status: 'accepted'; accepted: AcceptedConfig; conflict: ConfigConflict | undefined; warning: string | undefined}
 	/** The same document again. Its version may have a higher revision than before, which then bars those in between. */
 	| {status: 'unchanged'; accepted: AcceptedConfig}
-	| {status: 'refused'; reason: ConfigRefusalReason; message: string; faults: readonly ConfigFault[]; rivalry: ConfigRivalry | undefined; missing: readonly NamedPart[]};
+	| {status: 'refused'; reason: ConfigRefusalReason; message: string; faults: readonly ConfigFault[]; conflict: ConfigConflict | undefined; missing: readonly NamedPart[]};
 
 export type AcceptConfigOptions = {
 	/** `parseConfig` unless given; a reader of `createConfigReader` costs less where documents follow each other. */
@@ -87,7 +87,7 @@
 	const rivalry = current && toRivalry(current, version, seal.value);
 	if (current && compareConfigVersions(version, current.version) < 0) {
 		return rivalry
-			? {...toRefusal('rival-lost', rivalry.message), rivalry}
+			? {...toRefusal('rival-lost', rivalry.message), conflict: rivalry}
 			: toRefusal('older', toOlderMessage(current.version, version, seal.value));
 	}
 
@@ -110,7 +110,7 @@
 		accepted: {
 			version, config: parsed.value, text: candidate.text, ...(parts.length > 0 && {parts}),
 		},
-		rivalry,
+		conflict: rivalry,
 		warning: current && toWarning(current.version, version, seal.value),
 	};
 }
@@ -128,11 +128,11 @@
 
 function toRefusal(reason: ConfigRefusalReason, message: string): Extract<ConfigVerdict, {status: 'refused'}> {
 	return {
-		status: 'refused', reason, message, faults: [], rivalry: undefined, missing: [],
+		status: 'refused', reason, message, faults: [], conflict: undefined, missing: [],
 	};
 }
 
-function toRivalry(current: AcceptedConfig, version: ConfigVersion, seal: ConfigSeal): ConfigRivalry | undefined {
+function toRivalry(current: AcceptedConfig, version: ConfigVersion, seal: ConfigSeal): ConfigConflict | undefined {
 	if (seal.kind !== 'sealed' || version.edition !== current.version.edition || splitConfigEnd(current.text).kind !== 'sealed') {
 		return undefined;
 	}
--- a/src/domain/accept-config/test.ts
+++ b/src/domain/accept-config/test.ts
@@ -69,8 +69,8 @@
 			const documents = [{text: second, revision: revision!}, {text: rival, revision: rivalRevision!}] as const;
 			return [documents, documents.toReversed()].map(([one, other]) => {
 				const verdict = acceptConfig(toAccepted(one), other);
-				assert.ok(verdict.status !== 'unchanged' && verdict.rivalry);
-				return verdict.rivalry;
+				assert.ok(verdict.status !== 'unchanged' && verdict.conflict);
+				return verdict.conflict;
 			});
 		});
 		assert.deepEqual(byRevision![0], byRevision![1]);
--- a/src/domain/create-claim-witness/index.ts
+++ b/src/domain/create-claim-witness/index.ts
@@ -5,7 +5,7 @@
 import {msPerMinute, msPerSecond} from '../../ports/units.js';
 import {type Milliseconds} from '../../ports/clock.js';
 import {parseIdempotencyKey} from '../parse-idempotency-key/index.js';
-import {parseScopedText, toScopedText} from '../to-scoped-text/index.js';
+import {parseScopedKey, toScopedKey} from '../to-scoped-key/index.js';
 import {
 	type AbstainReason, type Claim, type Claimant, type ClaimAnswer, type ClaimRequest, type ClaimWitness, type ClaimWitnessOptions, type ScopedKey, type WitnessHandOver,
 } from './types.js';
@@ -130,7 +130,7 @@
 
 		raiseFloor(now);
 		const {mintedAt} = parsed.value;
-		const text = toScopedText(req);
+		const text = toScopedKey(req);
 		const held = table.get(text);
 		if (held !== undefined && held.claimId !== req.claimId && !canReplace(held, req)) {
 			return {kind: 'held', incarnation, claim: toClaim(held)};
@@ -148,7 +148,7 @@
 	}
 
 	function release(req: ScopedKey & {claimId: string}) {
-		const text = toScopedText(req);
+		const text = toScopedKey(req);
 		const isOwn = table.get(text)?.claimId === req.claimId || omit.includes('claim-id');
 		// A frozen table is already on its way to the successor: a release that came too late only costs a retry.
 		if (isOwn && (!isFrozen || omit.includes('freeze'))) {
@@ -177,7 +177,7 @@
 			incarnation,
 			vouchesFrom,
 			floor,
-			claims: [...table].map(([text, kept]) => ({...parseScopedText(text), ...toClaim(kept)})),
+			claims: [...table].map(([text, kept]) => ({...parseScopedKey(text), ...toClaim(kept)})),
 		};
 	}
 
@@ -188,8 +188,8 @@
 
 		for (const handed of handOver.claims) {
 			const parsed = parseIdempotencyKey(handed.key);
-			if (parsed.isOk() && !table.has(toScopedText(handed))) {
-				put(toScopedText(handed), parsed.value.mintedAt, handed);
+			if (parsed.isOk() && !table.has(toScopedKey(handed))) {
+				put(toScopedKey(handed), parsed.value.mintedAt, handed);
 			}
 		}
 
--- a/src/domain/create-crash-suspects/index.ts
+++ b/src/domain/create-crash-suspects/index.ts
@@ -28,7 +28,7 @@
 	/** The request came again and was refused. */
 	noteRefused: (fingerprint: Fingerprint, now: Milliseconds) => void;
 	/** Takes what another host tells. Gives the requests that are quarantined by it and were not before. */
-	noteHeard: (reports: readonly CrashReport[], now: Milliseconds) => readonly Fingerprint[];
+	mergeReports: (reports: readonly CrashReport[], now: Milliseconds) => readonly Fingerprint[];
 	isQuarantined: (fingerprint: Fingerprint, now: Milliseconds) => boolean;
 	/** Servers that ended under the request. */
 	crashedServers: (fingerprint: Fingerprint, now: Milliseconds) => readonly ServerId[];
@@ -208,7 +208,7 @@
 				touch(fingerprint, now, now);
 			}
 		},
-		noteHeard(reports, now) {
+		mergeReports(reports, now) {
 			return reports
 				.filter(({idleMs}) => idleMs <= forgetMs)
 				.filter(({fingerprint, idleMs, crashes}) => noteCrashes(fingerprint, {
--- a/src/domain/create-crash-suspects/test.ts
+++ b/src/domain/create-crash-suspects/test.ts
@@ -40,9 +40,9 @@
 		assert.equal(suspects.isQuarantined('f', 5000), true, 'that call was begun before');
 		suspects.noteAnswered('b', 1500);
 		assert.equal(suspects.isQuarantined('f', 5000), false);
-		assert.deepEqual(suspects.noteHeard([toReport('f', ['b'], 4000)], 5000), [], 'another host tells of it again');
+		assert.deepEqual(suspects.mergeReports([toReport('f', ['b'], 4000)], 5000), [], 'another host tells of it again');
 		assert.equal(suspects.isQuarantined('f', 5000), false);
-		assert.deepEqual(suspects.noteHeard([toReport('f', ['b'], 100)], 5000), ['f'], 'it ended since');
+		assert.deepEqual(suspects.mergeReports([toReport('f', ['b'], 100)], 5000), ['f'], 'it ended since');
 	});
 
 	/* Guards against quarantine of requests that run beside the one that crashes servers. */
@@ -52,7 +52,7 @@
 		suspects.noteCompleted('f', 3000);
 		crash(suspects, 'f', ['c', 'd'], 4000);
 		assert.equal(suspects.isQuarantined('f', 6000), false);
-		suspects.noteHeard([toReport('f', ['a', 'b'], 5000)], 6000);
+		suspects.mergeReports([toReport('f', ['a', 'b'], 5000)], 6000);
 		assert.equal(suspects.isQuarantined('f', 6000), false, 'what others tell of before is cleared too');
 		crash(suspects, 'f', ['e'], 7000);
 		assert.equal(suspects.isQuarantined('f', 7000), true);
@@ -65,9 +65,9 @@
 			return suspects;
 		});
 		const [first, second, third] = hosts as [CrashSuspects, CrashSuspects, CrashSuspects];
-		assert.deepEqual(second.noteHeard(first.toReports(1000, all), 1000), []);
-		assert.deepEqual(third.noteHeard(second.toReports(1010, all), 1010), ['f']);
-		assert.deepEqual(third.noteHeard(second.toReports(1020, all), 1020), [], 'told of once');
+		assert.deepEqual(second.mergeReports(first.toReports(1000, all), 1000), []);
+		assert.deepEqual(third.mergeReports(second.toReports(1010, all), 1010), ['f']);
+		assert.deepEqual(third.mergeReports(second.toReports(1020, all), 1020), [], 'told of once');
 		assert.deepEqual(third.crashedServers('f', 1020).toSorted(), ['a', 'b', 'c']);
 	});
 
@@ -79,7 +79,7 @@
 		assert.equal(suspects.isQuarantined('f', 59 * msPerMinute), true);
 		assert.equal(suspects.isQuarantined('f', 61 * msPerMinute), false);
 		assert.equal(suspects.isQuarantined('g', 61 * msPerMinute), true);
-		assert.deepEqual(suspects.noteHeard([toReport('f', ['a', 'b', 'c'], 61 * msPerMinute)], 61 * msPerMinute), []);
+		assert.deepEqual(suspects.mergeReports([toReport('f', ['a', 'b', 'c'], 61 * msPerMinute)], 61 * msPerMinute), []);
 		assert.deepEqual(suspects.count(61 * msPerMinute), {suspects: 1, quarantined: 1});
 	});
 
@@ -98,7 +98,7 @@
 	it('keeps nothing of a report that tells of no crash', () => {
 		const suspects = createCrashSuspects();
 		suspects.noteAnswered('a', 900);
-		suspects.noteHeard([toReport('f', ['a'], 500), toReport('g', [])], 1000);
+		suspects.mergeReports([toReport('f', ['a'], 500), toReport('g', [])], 1000);
 		assert.deepEqual(suspects.count(1000), {suspects: 0, quarantined: 0});
 	});
 
--- a/src/domain/create-token-pace/index.ts
+++ b/src/domain/create-inter-token-latency/index.ts
@@ -6,7 +6,7 @@
 import {type ServerId} from '../../ports/ids.js';
 import {msPerSecond} from '../../ports/units.js';
 
-export type TokenPaceOptions = {
+export type InterTokenLatencyOptions = {
 	/** Time in which half of what was seen is forgotten, milliseconds. */
 	halfLifeMs?: Milliseconds;
 };
@@ -35,7 +35,7 @@
  * server gets work back little by little, short answers first; if it is
  * still slow, the first of them tell within a second.
  *
- * @param options - See {@link TokenPaceOptions}.
+ * @param options - See {@link InterTokenLatencyOptions}.
  * @returns Functions that note tokens and tell the time expected between two.
  *
  * @example
@@ -44,7 +44,7 @@
  * pace.read('d1', 20, 0); // 68
  * pace.read('d1', 20, 60_000); // 23
  */
-export const createTokenPace = ({halfLifeMs = defaultHalfLifeMs}: TokenPaceOptions = {}) => {
+export const createInterTokenLatency = ({halfLifeMs = defaultHalfLifeMs}: InterTokenLatencyOptions = {}) => {
 	const tracks = new Map<ServerId, Track>();
 
 	const toWeight = (track: Track, now: Milliseconds): number => track.weight * (0.5 ** (Math.max(0, now - track.at) / halfLifeMs));
@@ -88,4 +88,4 @@
 	};
 };
 
-export type TokenPace = ReturnType<typeof createTokenPace>;
+export type InterTokenLatency = ReturnType<typeof createInterTokenLatency>;
--- a/src/domain/create-leave-hold/index.ts
+++ b/src/domain/create-leaving-overrides/index.ts
@@ -8,32 +8,32 @@
 import {type ServerId} from '../../ports/ids.js';
 import {msPerMinute, msPerSecond} from '../../ports/units.js';
 
-export type LeaveHoldOptions = {
+export type LeavingOverridesOptions = {
 	/** Time from the refusal to the first probe; doubled with each that fails. */
 	firstProbeMs?: Milliseconds;
 	maxProbeMs?: Milliseconds;
 };
 
-export type JudgeContext = {
+export type ReportContext = {
 	/** What was believed of the server before this report. */
 	wasLeaving: boolean;
 	/** State of the report before, as the one who polled it then gave it. */
-	stateBefore: LoadReport['state'] | undefined;
+	previousState: LoadReport['state'] | undefined;
 	/** Whether the platform's list has the server as leaving. */
 	isListedLeaving: () => boolean;
 };
 
-export type LeaveHold = {
+export type LeavingOverrides = {
 	/** Somebody was refused work because the server is leaving. */
 	noteRefusal: (server: ServerId, now: Milliseconds) => void;
 	/** Takes a report that this host polled; returns it with the state that counts. */
-	judge: (load: LoadReport, now: Milliseconds, context: JudgeContext) => LoadReport;
+	toEffectiveReport: (load: LoadReport, now: Milliseconds, context: ReportContext) => LoadReport;
 	/** A poll did not reach the server: it may be a new process that answers next. */
 	noteUnreachable: (server: ServerId, now: Milliseconds) => void;
 	/** Whether to ask the server now, by one small piece of work, whether it serves; `true` once for each probe. */
 	takeProbe: (server: ServerId, now: Milliseconds) => boolean;
 	/** How the probe ended. */
-	noteProbe: (server: ServerId, isAccepted: boolean, now: Milliseconds) => void;
+	noteProbeResult: (server: ServerId, isAccepted: boolean, now: Milliseconds) => void;
 	/** This host no longer polls the server. */
 	forget: (server: ServerId) => void;
 };
@@ -69,14 +69,14 @@
  * was not reached meanwhile may be a new process and is probed at once.
  *
  * @param options - Delays of probes.
- * @returns See {@link LeaveHold}.
+ * @returns See {@link LeavingOverrides}.
  *
  * @example
  * const hold = createLeaveHold();
  * hold.noteRefusal('d1', now);
  * hold.judge(report, now, context).state; // 'leaving'
  */
-export function createLeaveHold({firstProbeMs = defaultFirstProbeMs, maxProbeMs = defaultMaxProbeMs}: LeaveHoldOptions = {}): LeaveHold {
+export function createLeavingOverrides({firstProbeMs = defaultFirstProbeMs, maxProbeMs = defaultMaxProbeMs}: LeavingOverridesOptions = {}): LeavingOverrides {
 	const holds = new Map<ServerId, Hold>();
 	const ended = new Map<ServerId, {at: Milliseconds; failures: number}>();
 	const polled = new Set<ServerId>();
@@ -94,7 +94,7 @@
 	}
 
 	/** The hold that counts for a report; one that others ended, or began, while they polled the server, is taken as they left it. */
-	function findHold({server, state}: LoadReport, now: Milliseconds, {wasLeaving, stateBefore}: JudgeContext): Hold | undefined {
+	function findHold({server, state}: LoadReport, now: Milliseconds, {wasLeaving, previousState: stateBefore}: ReportContext): Hold | undefined {
 		const isFirst = !polled.has(server);
 		polled.add(server);
 		const hold = holds.get(server);
@@ -113,7 +113,7 @@
 				begin(server, now);
 			}
 		},
-		judge(load, now, context) {
+		toEffectiveReport(load, now, context) {
 			const hold = findHold(load, now, context);
 			if (hold === undefined) {
 				return load;
@@ -146,7 +146,7 @@
 			hold.probeAt = Infinity;
 			return true;
 		},
-		noteProbe(server, isAccepted, now) {
+		noteProbeResult(server, isAccepted, now) {
 			const hold = holds.get(server);
 			if (hold === undefined) {
 				return;
--- a/src/domain/create-leave-hold/test.ts
+++ b/src/domain/create-leaving-overrides/test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {toReport, toServer} from '../create-placement/_lib/fixtures.js';
-import {createLeaveHold, type JudgeContext} from './index.js';
+import {createLeavingOverrides, type ReportContext} from './index.js';
 
 const server = 'd1';
 const load = toReport(toServer(server, 'decode'));
 
 type Step =
 	| {kind: 'refused' | 'lost'}
-	| {kind: 'report'; state?: 'serving' | 'loading' | 'leaving'; listed?: boolean; before?: Partial<JudgeContext>; gives: 'serving' | 'loading' | 'leaving'}
+	| {kind: 'report'; state?: 'serving' | 'loading' | 'leaving'; listed?: boolean; before?: Partial<ReportContext>; gives: 'serving' | 'loading' | 'leaving'}
 	| {kind: 'probe'; accepted: boolean}
 	| {kind: 'no-probe'};
 
@@ -57,18 +57,18 @@
 	['probes at once a server that was not reached meanwhile', [[0, free], [1, refused], [2, held], [3, {kind: 'lost'}], [4, {kind: 'probe', accepted: true}], [5, free]]],
 	['lets a server load weights', [[0, free], [1, refused], [2, {kind: 'report', state: 'loading', gives: 'loading'}], [3, held]]],
 	['takes a hold over from the host that polled before', [
-		[0, {kind: 'report', before: {wasLeaving: true, stateBefore: 'leaving'}, gives: 'leaving'}], [5, {kind: 'probe', accepted: true}], [6, free],
+		[0, {kind: 'report', before: {wasLeaving: true, previousState: 'leaving'}, gives: 'leaving'}], [5, {kind: 'probe', accepted: true}], [6, free],
 	]],
 	['drops a hold that the host which polled before has ended', [
-		[0, refused], [300, {kind: 'report', before: {wasLeaving: false, stateBefore: 'serving'}, gives: 'serving'}], [301, {kind: 'no-probe'}],
+		[0, refused], [300, {kind: 'report', before: {wasLeaving: false, previousState: 'serving'}, gives: 'serving'}], [301, {kind: 'no-probe'}],
 	]],
-	['keeps a hold that it heard of before it polled', [[0, refused], [1, {kind: 'report', before: {wasLeaving: true, stateBefore: 'serving'}, gives: 'leaving'}]]],
+	['keeps a hold that it heard of before it polled', [[0, refused], [1, {kind: 'report', before: {wasLeaving: true, previousState: 'serving'}, gives: 'leaving'}]]],
 ];
 
 describe('createLeaveHold', () => {
 	for (const [name, steps] of rows) {
 		it(name, () => {
-			const hold = createLeaveHold();
+			const hold = createLeavingOverrides();
 			for (const [at, step] of steps) {
 				const now = at * 1000;
 				switch (step.kind) {
@@ -85,9 +85,9 @@
 					case 'report': {
 						const {state = 'serving', listed = false, before} = step;
 						const context = {
-							wasLeaving: false, stateBefore: 'serving' as const, isListedLeaving: () => listed, ...before,
+							wasLeaving: false, previousState: 'serving' as const, isListedLeaving: () => listed, ...before,
 						};
-						assert.equal(hold.judge({...load, state}, now, context).state, step.gives, `at ${at} s`);
+						assert.equal(hold.toEffectiveReport({...load, state}, now, context).state, step.gives, `at ${at} s`);
 						break;
 					}
 
@@ -99,7 +99,7 @@
 					case 'probe': {
 						assert.ok(hold.takeProbe(server, now), `at ${at} s`);
 						assert.ok(!hold.takeProbe(server, now), 'a second probe went out before the first was answered');
-						hold.noteProbe(server, step.accepted, now);
+						hold.noteProbeResult(server, step.accepted, now);
 					}
 				}
 			}
@@ -107,14 +107,14 @@
 	}
 
 	it('knows nothing of a server that it no longer polls, nor heeds a probe that ends then', () => {
-		const context: JudgeContext = {wasLeaving: true, stateBefore: 'serving', isListedLeaving: () => false};
-		const hold = createLeaveHold();
-		hold.judge(load, 0, context);
+		const context: ReportContext = {wasLeaving: true, previousState: 'serving', isListedLeaving: () => false};
+		const hold = createLeavingOverrides();
+		hold.toEffectiveReport(load, 0, context);
 		hold.noteRefusal(server, 1000);
 		assert.ok(hold.takeProbe(server, 6000));
 		hold.forget(server);
-		hold.noteProbe(server, false, 6100);
+		hold.noteProbeResult(server, false, 6100);
 		assert.ok(!hold.takeProbe(server, 60_000));
-		assert.equal(hold.judge(load, 61_000, context).state, 'serving');
+		assert.equal(hold.toEffectiveReport(load, 61_000, context).state, 'serving');
 	});
 });
--- a/src/domain/create-load-spread/index.ts
+++ b/src/domain/create-load-broadcast/index.ts
@@ -19,7 +19,7 @@
 /** An unchanged server is sent this often, so that the age of its numbers stays small. */
 const refreshMs = 2500;
 
-export type LoadSpread = {
+export type LoadBroadcast = {
 	/** A server that this host polls has reported. */
 	notePolled: (load: LoadReport, loadAt: Milliseconds) => void;
 	/** A server that this host polls was not reached by polls that began at this time. */
@@ -27,7 +27,7 @@
 	/** This host no longer polls the server. */
 	forget: (server: ServerId) => void;
 	/** The bytes to send to each receiver now; `undefined` when nothing is due. */
-	take: (receivers: number, now: Milliseconds) => Uint8Array | undefined;
+	takeDue: (receivers: number, now: Milliseconds) => Uint8Array | undefined;
 	/** Whole reports of polled servers, for a receiver that lacks them. */
 	reports: (servers: readonly number[], now: Milliseconds) => LoadReport[];
 };
@@ -45,7 +45,7 @@
  * Creates the sending side.
  *
  * @param options - `bytesPerSecond`: what it may send, headers included.
- * @returns See {@link LoadSpread}.
+ * @returns See {@link LoadBroadcast}.
  *
  * @example
  * ```ts
@@ -54,7 +54,7 @@
  * spread.take(8, now)?.length; // => 15
  * ```
  */
-export function createLoadSpread({bytesPerSecond = defaultBytesPerSecond}: {bytesPerSecond?: number} = {}): LoadSpread {
+export function createLoadBroadcast({bytesPerSecond = defaultBytesPerSecond}: {bytesPerSecond?: number} = {}): LoadBroadcast {
 	const polled = new Map<ServerId, Polled>();
 	let nextAt = -Infinity;
 
@@ -88,7 +88,7 @@
 		forget(server) {
 			polled.delete(server);
 		},
-		take(receivers, now) {
+		takeDue(receivers, now) {
 			if (now < nextAt || receivers === 0 || polled.size === 0) {
 				return undefined;
 			}
@@ -139,7 +139,7 @@
  * @param findLoad - The last whole report known of a server.
  * @returns Reports to take over, servers that were not reached, and those to ask for.
  */
-export function readLoads(bytes: Uint8Array, findServer: (hash: number) => ServerId | undefined, findLoad: (server: ServerId) => LoadReport | undefined): ReceivedLoads {
+export function decodeLoads(bytes: Uint8Array, findServer: (hash: number) => ServerId | undefined, findLoad: (server: ServerId) => LoadReport | undefined): ReceivedLoads {
 	const loads: LoadReport[] = [];
 	const unreachable: Array<{server: ServerId; ageMs: Milliseconds}> = [];
 	const wanted: number[] = [];
--- a/src/domain/create-load-spread/test.ts
+++ b/src/domain/create-load-broadcast/test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import {toHash32} from '../../_lib/to-hash32/index.js';
 import {type LoadReport} from '../../ports/engine.js';
-import {createLoadSpread, readLoads} from './index.js';
+import {createLoadBroadcast, decodeLoads} from './index.js';
 
 const load: LoadReport = {
 	server: 's1', role: 'decode', model: 'm', version: '1', adapters: [],
@@ -15,28 +15,28 @@
 
 describe('createLoadSpread', () => {
 	it('sends what changed, at once when it may, and the unchanged seldom', () => {
-		const spread = createLoadSpread({bytesPerSecond: 1000});
-		assert.equal(spread.take(4, 0), undefined, 'nothing is polled');
+		const spread = createLoadBroadcast({bytesPerSecond: 1000});
+		assert.equal(spread.takeDue(4, 0), undefined, 'nothing is polled');
 		spread.notePolled(load, 0);
-		assert.equal(spread.take(4, 10)?.length, 15);
+		assert.equal(spread.takeDue(4, 10)?.length, 15);
 		spread.notePolled({...load, slotsUsed: 8}, 100);
-		assert.equal(spread.take(4, 100), undefined, 'the budget is spent');
-		assert.equal(spread.take(4, 1000)?.length, 15);
-		assert.equal(spread.take(4, 2000), undefined, 'nothing changed');
-		assert.equal(spread.take(4, 5000)?.length, 15, 'its age is told again');
-		assert.equal(spread.take(0, 50_000), undefined, 'nobody is there');
+		assert.equal(spread.takeDue(4, 100), undefined, 'the budget is spent');
+		assert.equal(spread.takeDue(4, 1000)?.length, 15);
+		assert.equal(spread.takeDue(4, 2000), undefined, 'nothing changed');
+		assert.equal(spread.takeDue(4, 5000)?.length, 15, 'its age is told again');
+		assert.equal(spread.takeDue(0, 50_000), undefined, 'nobody is there');
 	});
 
 	it('keeps within its bytes a second whatever the number of receivers', () => {
 		fc.assert(fc.property(fc.integer({min: 1, max: 100}), fc.integer({min: 1, max: 30}), (receivers, servers) => {
-			const spread = createLoadSpread({bytesPerSecond: 3000});
+			const spread = createLoadBroadcast({bytesPerSecond: 3000});
 			let sent = 0;
 			for (let now = 0; now < 60_000; now += 100) {
 				for (let i = 0; i < servers; i++) {
 					spread.notePolled({...load, server: `s${i}`, slotsUsed: now / 100}, now);
 				}
 
-				sent += ((spread.take(receivers, now)?.length ?? -140) + 140) * receivers;
+				sent += ((spread.takeDue(receivers, now)?.length ?? -140) + 140) * receivers;
 			}
 
 			assert.ok(sent / 60 <= 3000 * 1.5, `${sent / 60} bytes a second`);
@@ -46,9 +46,9 @@
 
 describe('readLoads', () => {
 	function receive(known: LoadReport | undefined) {
-		const spread = createLoadSpread();
+		const spread = createLoadBroadcast();
 		spread.notePolled(load, 1000);
-		return readLoads(spread.take(1, 1200)!, findServer, () => known);
+		return decodeLoads(spread.takeDue(1, 1200)!, findServer, () => known);
 	}
 
 	it('brings numbers and their age over, roughly', () => {
@@ -63,15 +63,15 @@
 	});
 
 	it('tells how long ago the polls began that did not reach a server', () => {
-		const spread = createLoadSpread();
+		const spread = createLoadBroadcast();
 		spread.notePolled(load, 1000);
 		spread.noteUnreachable('s1', 4000);
-		assert.deepEqual(readLoads(spread.take(1, 5000)!, findServer, () => load).unreachable, [{server: 's1', ageMs: 1000}]);
+		assert.deepEqual(decodeLoads(spread.takeDue(1, 5000)!, findServer, () => load).unreachable, [{server: 's1', ageMs: 1000}]);
 	});
 
 	it('reads any bytes', () => {
 		fc.assert(fc.property(fc.uint8Array({maxLength: 100}), bytes => {
-			readLoads(bytes, () => 's1', () => load);
+			decodeLoads(bytes, () => 's1', () => load);
 		}));
 	});
 });
--- a/src/domain/create-pause-guard/index.ts
+++ b/src/domain/create-pause-guard/index.ts
@@ -19,7 +19,7 @@
 	 * @param now - When it is read, monotonic milliseconds.
 	 * @returns `now`, or the start of a pause that lies in between.
 	 */
-	toSoundTime: (askedAt: Milliseconds, now: Milliseconds) => Milliseconds;
+	toValidAsOf: (askedAt: Milliseconds, now: Milliseconds) => Milliseconds;
 };
 
 /**
@@ -55,7 +55,7 @@
 
 	return {
 		note,
-		toSoundTime(askedAt, now) {
+		toValidAsOf(askedAt, now) {
 			note(now);
 			return pauseEnd > askedAt ? Math.max(askedAt, pauseStart) : now;
 		},
--- a/src/domain/create-pause-guard/test.ts
+++ b/src/domain/create-pause-guard/test.ts
@@ -11,7 +11,7 @@
 	it('dates back what waited in a socket during a pause', () => {
 		const guard = createPauseGuard({limitMs: 1000, startedAt: 0});
 		guard.note(100);
-		assert.equal(guard.toSoundTime(50, 60_000), 100, 'asked before the pause, read after it');
-		assert.equal(guard.toSoundTime(60_001, 60_010), 60_010, 'asked after it');
+		assert.equal(guard.toValidAsOf(50, 60_000), 100, 'asked before the pause, read after it');
+		assert.equal(guard.toValidAsOf(60_001, 60_010), 60_010, 'asked after it');
 	});
 });
--- a/src/domain/create-peer-list/index.ts
+++ b/src/domain/create-peer-list/index.ts
@@ -20,19 +20,19 @@
 	/** A host spoke, and may ask to be answered. Tells whether it was unknown before; it is owed an answer then, as it may know nobody else. */
 	noteHeard: (peer: NamedPeer, now: Milliseconds, options?: {isAsking?: boolean}) => boolean;
 	/** A host named others that it has heard. */
-	noteNamed: (peers: readonly NamedPeer[], now: Milliseconds) => void;
+	noteAdvertised: (peers: readonly NamedPeer[], now: Milliseconds) => void;
 	/** All of a small fleet, to be told of each change; some of the own zone in a large one. */
-	near: (now: Milliseconds) => readonly string[];
+	directPeers: (now: Milliseconds) => readonly string[];
 	/** Hosts of other zones to ask now and then; none in a small fleet. */
-	far: (now: Milliseconds) => readonly string[];
+	remotePeers: (now: Milliseconds) => readonly string[];
 	/** Hosts of other zones that asked lately and are not asked by this one. */
-	askers: (now: Milliseconds) => readonly string[];
+	remoteRequesters: (now: Milliseconds) => readonly string[];
 	/** Hosts that collect what all others know of the key: the same few for each of them, as far as they know the same hosts, and one of the own zone. */
 	collectors: (key: string) => readonly string[];
 	/** Whether there are more hosts than each can tell of each change. */
 	isLarge: (now: Milliseconds) => boolean;
 	/** Seeds that have not spoken lately. */
-	toGreet: (now: Milliseconds) => readonly string[];
+	silentSeeds: (now: Milliseconds) => readonly string[];
 	/** Hosts that are owed an answer; each is given out once. */
 	takeUnanswered: () => readonly string[];
 	/** Most hosts that were known at once in the last minutes, with this one; `undefined` while none was. */
@@ -40,7 +40,7 @@
 	/** Whether others were heard, and no further one turned up for some rounds; once it is, it stays so. */
 	isSettled: (now: Milliseconds) => boolean;
 	/** Some hosts that spoke lately, to be named to others; others each time. */
-	toName: (now: Milliseconds) => readonly NamedPeer[];
+	takeAdvertised: (now: Milliseconds) => readonly NamedPeer[];
 };
 
 /** Silence after which a host is named to nobody: six of its messages. */
@@ -231,7 +231,7 @@
 
 			return isNew;
 		},
-		noteNamed(peers, now) {
+		noteAdvertised(peers, now) {
 			for (const {address, zone: peerZone} of peers) {
 				if (address !== self) {
 					const {heardAt, askedAt} = known.get(address) ?? {heardAt: -Infinity, askedAt: -Infinity};
@@ -241,9 +241,9 @@
 				}
 			}
 		},
-		near: now => choose(now).near,
-		far: now => choose(now).far,
-		askers(now) {
+		directPeers: now => choose(now).near,
+		remotePeers: now => choose(now).far,
+		remoteRequesters(now) {
 			const {far, isLarge} = choose(now);
 			return isLarge ? [...known].filter(([address, peer]) => peer.zone !== zone && now - peer.askedAt <= askedForMs && !far.includes(address)).map(([address]) => address) : [];
 		},
@@ -254,7 +254,7 @@
 			return [...new Set(picked)].filter(address => address !== self);
 		},
 		isLarge: now => choose(now).isLarge,
-		toGreet: now => others.filter(seed => {
+		silentSeeds: now => others.filter(seed => {
 			const entry = known.get(seed);
 			return entry === undefined || !isHeard(entry, now);
 		}),
@@ -268,7 +268,7 @@
 			return most === 0 ? undefined : most + 1;
 		},
 		isSettled: hasSettled,
-		toName(now) {
+		takeAdvertised(now) {
 			const heard = [...known].filter(([, entry]) => isHeard(entry, now)).map(([address, {zone: peerZone}]) => ({address, zone: peerZone}));
 			firstNamed = heard.length <= namedPeers ? 0 : (firstNamed + namedPeers) % heard.length;
 			return [...heard, ...heard].slice(firstNamed, firstNamed + Math.min(namedPeers, heard.length));
--- a/src/domain/create-peer-list/test.ts
+++ b/src/domain/create-peer-list/test.ts
@@ -20,18 +20,18 @@
 	it('greets seeds that have not spoken, and never itself', () => {
 		const peers = createPeerList({self, zone: 'a', seeds: [self, toAddress(1), toAddress(2)]});
 		peers.noteHeard({address: toAddress(1), zone: 'a'}, 0);
-		assert.deepEqual(peers.toGreet(10), [toAddress(2)]);
-		assert.deepEqual(peers.near(10), [toAddress(1)]);
+		assert.deepEqual(peers.silentSeeds(10), [toAddress(2)]);
+		assert.deepEqual(peers.directPeers(10), [toAddress(1)]);
 	});
 
 	it('speaks to hosts that others name, until nobody names them any more', () => {
 		const peers = createPeerList({self, zone: 'a', seeds: []});
-		peers.noteNamed([{address: self, zone: 'a'}, {address: toAddress(3), zone: 'a'}, {address: toAddress(4), zone: 'b'}], 0);
-		assert.deepEqual(peers.near(10), [toAddress(3), toAddress(4)]);
-		assert.deepEqual(peers.toName(10), [], 'named without being heard');
-		peers.noteNamed([{address: toAddress(4), zone: 'b'}], 5000);
-		assert.deepEqual(peers.near(11_000), [toAddress(4)]);
-		assert.deepEqual(peers.near(16_000), []);
+		peers.noteAdvertised([{address: self, zone: 'a'}, {address: toAddress(3), zone: 'a'}, {address: toAddress(4), zone: 'b'}], 0);
+		assert.deepEqual(peers.directPeers(10), [toAddress(3), toAddress(4)]);
+		assert.deepEqual(peers.takeAdvertised(10), [], 'named without being heard');
+		peers.noteAdvertised([{address: toAddress(4), zone: 'b'}], 5000);
+		assert.deepEqual(peers.directPeers(11_000), [toAddress(4)]);
+		assert.deepEqual(peers.directPeers(16_000), []);
 	});
 
 	it('owes an answer to a host that was unknown, once', () => {
@@ -40,8 +40,8 @@
 		assert.equal(peers.noteHeard({address: toAddress(1), zone: 'a'}, 1000), false);
 		assert.deepEqual(peers.takeUnanswered(), [toAddress(1)]);
 		assert.deepEqual(peers.takeUnanswered(), []);
-		assert.deepEqual(peers.toName(4500), []);
-		assert.deepEqual(peers.toGreet(4500), [toAddress(1)]);
+		assert.deepEqual(peers.takeAdvertised(4500), []);
+		assert.deepEqual(peers.silentSeeds(4500), [toAddress(1)]);
 		assert.equal(peers.noteHeard({address: toAddress(1), zone: 'a'}, 12_000), true, 'not new after a long silence');
 	});
 
@@ -58,8 +58,8 @@
 	it('tells all of a small fleet of each change, whatever their zones', () => {
 		const peers = createPeerList({self, zone: 'a', seeds: []});
 		hear(peers, 16, i => i % 2 === 0 ? 'a' : 'b');
-		assert.equal(peers.near(1).length, 16);
-		assert.deepEqual(peers.far(1), []);
+		assert.equal(peers.directPeers(1).length, 16);
+		assert.deepEqual(peers.remotePeers(1), []);
 		assert.equal(peers.isLarge(1), false);
 	});
 
@@ -67,17 +67,17 @@
 		const peers = createPeerList({self, zone: 'a', seeds: []});
 		hear(peers, 300, i => 'abcdef'[i % 6]!);
 		assert.equal(peers.isLarge(1), true);
-		assert.equal(peers.near(1).length, 8);
+		assert.equal(peers.directPeers(1).length, 8);
 		const toZone = (address: string): string => 'abcdef'[Array.from({length: 300}, (_, i) => toAddress(i)).indexOf(address) % 6]!;
-		assert.deepEqual(new Set(peers.near(1).map(address => toZone(address))), new Set(['a']));
-		assert.deepEqual(peers.far(1).map(address => toZone(address)).toSorted((left, right) => left.localeCompare(right)), ['b', 'c', 'd', 'e', 'f']);
+		assert.deepEqual(new Set(peers.directPeers(1).map(address => toZone(address))), new Set(['a']));
+		assert.deepEqual(peers.remotePeers(1).map(address => toZone(address)).toSorted((left, right) => left.localeCompare(right)), ['b', 'c', 'd', 'e', 'f']);
 	});
 
 	for (const [zones, perZone] of [['ab', 3], ['abc', 3], ['abcd', 2], ['abcdefgh', 1]] as const) {
 		it(`asks ${perZone} hosts of each other zone where there are ${zones.length}`, () => {
 			const peers = createPeerList({self, zone: 'a', seeds: []});
 			hear(peers, 120, i => zones[i % zones.length]!);
-			assert.equal(peers.far(1).length, perZone * (zones.length - 1));
+			assert.equal(peers.remotePeers(1).length, perZone * (zones.length - 1));
 		});
 	}
 
@@ -85,10 +85,10 @@
 	it('keeps its choice in a large fleet for a second, also when another host turns up', () => {
 		const peers = createPeerList({self, zone: 'a', seeds: []});
 		hear(peers, 100, () => 'a');
-		const near = peers.near(0);
+		const near = peers.directPeers(0);
 		peers.noteHeard({address: toAddress(100), zone: 'a'}, 500);
-		assert.equal(peers.near(999), near);
-		assert.notEqual(peers.near(1000), near);
+		assert.equal(peers.directPeers(999), near);
+		assert.notEqual(peers.directPeers(1000), near);
 	});
 
 	it('counts up to sixteen others as a small fleet', () => {
@@ -102,14 +102,14 @@
 	it('answers hosts of other zones that ask, for some seconds', () => {
 		const peers = createPeerList({self, zone: 'a', seeds: []});
 		hear(peers, 300, i => 'abcdef'[i % 6]!);
-		const asked = peers.far(1)[0]!;
-		const stranger = Array.from({length: 300}, (_, i) => i).find(i => i % 6 === 1 && !peers.far(1).includes(toAddress(i)))!;
+		const asked = peers.remotePeers(1)[0]!;
+		const stranger = Array.from({length: 300}, (_, i) => i).find(i => i % 6 === 1 && !peers.remotePeers(1).includes(toAddress(i)))!;
 		for (const {address, zone} of [{address: asked, zone: 'b'}, {address: toAddress(stranger), zone: 'b'}, {address: toAddress(0), zone: 'a'}]) {
 			peers.noteHeard({address, zone}, 10, {isAsking: true});
 		}
 
-		assert.deepEqual(peers.askers(20), [toAddress(stranger)]);
-		assert.deepEqual(peers.askers(3000), []);
+		assert.deepEqual(peers.remoteRequesters(20), [toAddress(stranger)]);
+		assert.deepEqual(peers.remoteRequesters(3000), []);
 	});
 
 	it('names the same collectors of a key on all hosts that know the same ones, with one of the own zone', () => {
@@ -140,7 +140,7 @@
 		for (let host = 0; host < 60; host++) {
 			const peers = createPeerList({self: toAddress(host), zone: 'a', seeds: []});
 			hear(peers, 60, () => 'a');
-			for (const address of peers.near(1)) {
+			for (const address of peers.directPeers(1)) {
 				counts.set(address, (counts.get(address) ?? 0) + 1);
 			}
 		}
@@ -157,7 +157,7 @@
 		const count = [30, 60, 300].map(seconds => {
 			for (let now = (seconds - 30) * 1000; now < seconds * 1000; now += 1000) {
 				peers.noteHeard({address: toAddress(0), zone: 'a'}, now);
-				peers.near(now);
+				peers.directPeers(now);
 			}
 
 			return peers.count()!;
@@ -171,7 +171,7 @@
 			const peers = createPeerList({self, zone: 'a', seeds: []});
 			for (let seconds = 0; seconds < startSeconds; seconds++) {
 				peers.noteHeard({address: toAddress(0), zone: 'a'}, seconds * 1000);
-				peers.near(seconds * 1000);
+				peers.directPeers(seconds * 1000);
 			}
 
 			for (let i = 0; i < 200; i++) {
@@ -180,7 +180,7 @@
 
 			for (let seconds = startSeconds; seconds < startSeconds + 180; seconds++) {
 				peers.noteHeard({address: toAddress(0), zone: 'a'}, seconds * 1000);
-				peers.near(seconds * 1000);
+				peers.directPeers(seconds * 1000);
 				assert.equal(peers.count(), 201, `after ${seconds - startSeconds} s`);
 			}
 		});
@@ -192,7 +192,7 @@
 		hear(peers, 200, () => 'a');
 		for (let now = 0; now < 400_000; now += 1000) {
 			peers.noteHeard({address: toAddress(0), zone: 'a'}, now);
-			peers.near(now);
+			peers.directPeers(now);
 		}
 
 		assert.ok(peers.count()! < 10, `${peers.count()} counted`);
@@ -201,20 +201,20 @@
 	it('tells a new host of a small fleet at once', () => {
 		const peers = createPeerList({self, zone: 'a', seeds: []});
 		peers.noteHeard({address: toAddress(0), zone: 'a'}, 0);
-		assert.deepEqual(peers.near(0), [toAddress(0)]);
+		assert.deepEqual(peers.directPeers(0), [toAddress(0)]);
 		peers.noteHeard({address: toAddress(1), zone: 'b'}, 100);
-		assert.deepEqual(peers.near(100), [toAddress(0), toAddress(1)]);
+		assert.deepEqual(peers.directPeers(100), [toAddress(0), toAddress(1)]);
 	});
 
 	/* Guards against hosts that are never named, so that those which just started don't hear of them. */
 	it('names all that it hears in a small fleet, and all in turn in a large one, eight at a time', () => {
 		const few = createPeerList({self, zone: 'a', seeds: []});
 		hear(few, 8, () => 'b');
-		assert.deepEqual(few.toName(1), Array.from({length: 8}, (_, i) => ({address: toAddress(i), zone: 'b'})));
-		assert.deepEqual(few.toName(1), few.toName(2));
+		assert.deepEqual(few.takeAdvertised(1), Array.from({length: 8}, (_, i) => ({address: toAddress(i), zone: 'b'})));
+		assert.deepEqual(few.takeAdvertised(1), few.takeAdvertised(2));
 		const many = createPeerList({self, zone: 'a', seeds: []});
 		hear(many, 20, () => 'b');
-		const rounds = [many.toName(1), many.toName(1), many.toName(1)];
+		const rounds = [many.takeAdvertised(1), many.takeAdvertised(1), many.takeAdvertised(1)];
 		assert.deepEqual(rounds.map(({length}) => length), [8, 8, 8]);
 		assert.equal(new Set(rounds.flat().map(({address}) => address)).size, 20);
 	});
@@ -223,15 +223,15 @@
 		const peers = createPeerList({self, zone: 'a', seeds: []});
 		peers.noteHeard({address: toAddress(0), zone: 'b'}, 0);
 		peers.noteHeard({address: toAddress(1), zone: 'b'}, 1000);
-		peers.noteNamed([{address: toAddress(2), zone: 'b'}], 3000);
-		assert.deepEqual(peers.toName(3001).map(({address}) => address), [toAddress(1)]);
+		peers.noteAdvertised([{address: toAddress(2), zone: 'b'}], 3000);
+		assert.deepEqual(peers.takeAdvertised(3001).map(({address}) => address), [toAddress(1)]);
 	});
 
 	it('keeps a bounded number of hosts, whatever it is told', () => {
 		const peers = createPeerList({self, zone: 'a', seeds: []});
-		peers.noteNamed(Array.from({length: 5000}, (_, i) => ({address: toAddress(i), zone: `z${i}`})), 0);
-		assert.ok(peers.far(1).length <= 1024);
-		assert.ok(peers.toName(1).length <= 8);
+		peers.noteAdvertised(Array.from({length: 5000}, (_, i) => ({address: toAddress(i), zone: `z${i}`})), 0);
+		assert.ok(peers.remotePeers(1).length <= 1024);
+		assert.ok(peers.takeAdvertised(1).length <= 8);
 	});
 
 	/* Guards against a part of what all hosts share that is reckoned by the first few that a host hears. */
@@ -239,11 +239,11 @@
 		const peers = createPeerList({self: 'a:1', zone: 'a', seeds: []});
 		assert.equal(peers.isSettled(60_000), false);
 		peers.noteHeard({address: 'b:1', zone: 'a'}, 60_000);
-		peers.noteNamed([{address: 'c:1', zone: 'b'}], 62_000);
+		peers.noteAdvertised([{address: 'c:1', zone: 'b'}], 62_000);
 		peers.noteHeard({address: 'b:1', zone: 'a'}, 64_000);
 		assert.equal(peers.isSettled(64_900), false);
 		assert.equal(peers.isSettled(65_000), true);
-		peers.noteNamed([{address: 'd:1', zone: 'b'}], 65_100);
+		peers.noteAdvertised([{address: 'd:1', zone: 'b'}], 65_100);
 		assert.equal(peers.isSettled(65_200), true);
 	});
 
--- a/src/domain/create-placement/_lib/create-notes.ts
+++ b/src/domain/create-placement/_lib/create-notes.ts
@@ -3,12 +3,12 @@
 import {type ServerEntry} from '../../../ports/config.js';
 import {type EngineRefusalReason, type PrefillResult} from '../../../ports/engine.js';
 import {type ServerId} from '../../../ports/ids.js';
-import {type Doubts} from '../../create-doubts/index.js';
+import {type ServerCooldowns} from '../../create-server-cooldowns/index.js';
 import {type LoadEstimate} from '../../create-load-estimate/index.js';
 import {type PrefixMap} from '../../create-prefix-map/index.js';
-import {type PromptPace} from '../../create-prompt-pace/index.js';
+import {type PrefillThroughput} from '../../create-prefill-throughput/index.js';
 import {type SharedLoads} from '../../create-shared-loads/index.js';
-import {type SeenTokens, type TokenPace} from '../../create-token-pace/index.js';
+import {type SeenTokens, type InterTokenLatency} from '../../create-inter-token-latency/index.js';
 import {type SplitEstimate} from '../../create-split-estimate/index.js';
 import {type HealthSubject, type ServerHealth} from '../../create-server-health/index.js';
 import {type AnswerLengths} from './create-answer-lengths.js';
@@ -39,14 +39,14 @@
 	health: ServerHealth;
 	standing: Standing;
 	prefixes: PrefixMap;
-	pace: TokenPace;
-	promptPace: PromptPace;
+	pace: InterTokenLatency;
+	promptPace: PrefillThroughput;
 	split: SplitEstimate;
 	readOthers: SharedLoads['read'];
 	lengths: AnswerLengths;
 	learnt: Learnt;
 	tokensPerBlock: number;
-	doubts: Doubts;
+	doubts: ServerCooldowns;
 	toSubject: (entry: ServerEntry) => HealthSubject;
 	/** Told of the decode server of each pair that is about to be used. */
 	noteSent: (server: ServerEntry, now: Milliseconds) => void;
@@ -140,7 +140,7 @@
 			loads.removePrefill(placement.prefill.id, toPrefillTokens(placement));
 			if (progress.isFirstInLine) {
 				promptPace.note(placement.prefill.id, toPrefillTokens(placement), now - progress.dispatchedAt);
-				split.notePrompt(placement.prefill.pool, now - progress.dispatchedAt);
+				split.notePrefill(placement.prefill.pool, now - progress.dispatchedAt);
 			}
 
 			loads.addTransfers(placement.prefill.id, 1);
@@ -209,7 +209,7 @@
 			} else {
 				learnt.holdMs += gain * (now - progress.dispatchedAt - learnt.holdMs);
 				if (progress.reserved !== undefined) {
-					split.notePlace(placement.decode.pool, {tokens: progress.reserved.tokens, heldMs: now - progress.reserved.at});
+					split.noteReservation(placement.decode.pool, {tokens: progress.reserved.tokens, heldMs: now - progress.reserved.at});
 				}
 
 				lengths.note(placement.decode.pool, placement.class, progress.tokens, placement.maxTokens);
--- a/src/domain/create-placement/_lib/create-plain-search.ts
+++ b/src/domain/create-placement/_lib/create-plain-search.ts
@@ -1,4 +1,4 @@
-import {type Doubts} from '../../create-doubts/index.js';
+import {type ServerCooldowns} from '../../create-server-cooldowns/index.js';
 import {regionDraws} from './create-spill-search.js';
 import {type RoleDraw} from './create-role-draw.js';
 import {type PairSearchOptions, type Scope, type Search} from './search-types.js';
@@ -14,7 +14,7 @@
  * @param roleDraw - Draws candidates.
  * @returns A function that finds the least used of a few plain servers, of the own zone as long as one there has room.
  */
-export const createPlainSearch = ({draws, doubts}: Pick<PairSearchOptions, 'draws'> & {doubts: Doubts}, {drawRole}: RoleDraw) => {
+export const createPlainSearch = ({draws, doubts}: Pick<PairSearchOptions, 'draws'> & {doubts: ServerCooldowns}, {drawRole}: RoleDraw) => {
 	const ownZone: Scope = {local: draws, nearby: 0};
 	const region: Scope = {local: 0, nearby: regionDraws};
 	const lax: Scope = {local: Infinity, nearby: regionDraws, isLax: true};
--- a/src/domain/create-placement/_lib/create-slowness.ts
+++ b/src/domain/create-placement/_lib/create-slowness.ts
@@ -3,11 +3,11 @@
 import {type ServerEntry} from '../../../ports/config.js';
 import {msPerSecond} from '../../../ports/units.js';
 import {type ServerLoad} from '../../create-load-estimate/index.js';
-import {type TokenPace} from '../../create-token-pace/index.js';
+import {type InterTokenLatency} from '../../create-inter-token-latency/index.js';
 import {type RoleServers} from './to-pool-index.js';
 
 export type SlownessOptions = {
-	pace: TokenPace;
+	pace: InterTokenLatency;
 	readLoad: (entry: ServerEntry) => ServerLoad;
 	now: Milliseconds;
 	/** Servers that the one asked about is held against. */
--- a/src/domain/create-placement/_lib/create-unreported-search.ts
+++ b/src/domain/create-placement/_lib/create-unreported-search.ts
@@ -6,9 +6,9 @@
  */
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type ServerEntry} from '../../../ports/config.js';
-import {type Doubts} from '../../create-doubts/index.js';
+import {type ServerCooldowns} from '../../create-server-cooldowns/index.js';
 import {type ServerLoad} from '../../create-load-estimate/index.js';
-import {type PromptPace} from '../../create-prompt-pace/index.js';
+import {type PrefillThroughput} from '../../create-prefill-throughput/index.js';
 import {type SharedLoads} from '../../create-shared-loads/index.js';
 import {isSoft} from './create-standing.js';
 import {type PairSearchOptions, type Search} from './search-types.js';
@@ -56,8 +56,8 @@
 const overflowMs: Milliseconds = 600;
 
 type UnreportedOptions = Pick<PairSearchOptions, 'zone' | 'loads' | 'standing'> & {
-	doubts: Doubts;
-	promptPace: PromptPace;
+	doubts: ServerCooldowns;
+	promptPace: PrefillThroughput;
 	readOthers: SharedLoads['read'];
 };
 
--- a/src/domain/create-placement/_lib/types.ts
+++ b/src/domain/create-placement/_lib/types.ts
@@ -121,7 +121,7 @@
 	/** Blocks that the prefix map remembers. */
 	maxPrefixBlocks?: number;
 	/** What other hosts have under way at a server, where hosts tell each other. */
-	readOthers?: SharedLoads['read'];
+	readPeerLoad?: SharedLoads['read'];
 	/** Whether the hosts of another zone fell silent, where hosts talk to each other. */
 	isZoneSilent?: SharedLoads['isZoneSilent'];
 };
--- a/src/domain/create-placement/index.ts
+++ b/src/domain/create-placement/index.ts
@@ -15,11 +15,11 @@
 import {type PoolEntry, type ServerEntry} from '../../ports/config.js';
 import {type ServerId} from '../../ports/ids.js';
 import {type FleetView} from '../../ports/view.js';
-import {createDoubts} from '../create-doubts/index.js';
+import {createServerCooldowns} from '../create-server-cooldowns/index.js';
 import {createLoadEstimate} from '../create-load-estimate/index.js';
 import {createPrefixMap} from '../create-prefix-map/index.js';
-import {createPromptPace} from '../create-prompt-pace/index.js';
-import {createTokenPace} from '../create-token-pace/index.js';
+import {createPrefillThroughput} from '../create-prefill-throughput/index.js';
+import {createInterTokenLatency} from '../create-inter-token-latency/index.js';
 import {type SharedLoads} from '../create-shared-loads/index.js';
 import {createSpillChooser} from '../create-spill-chooser/index.js';
 import {createSplitEstimate} from '../create-split-estimate/index.js';
@@ -93,11 +93,11 @@
 	const loads = createLoadEstimate({staleAfterMs});
 	const prefixes = createPrefixMap({maxBlocks: options.maxPrefixBlocks});
 	const health = createServerHealth(options.health);
-	const pace = createTokenPace();
+	const pace = createInterTokenLatency();
 	const lengths = createAnswerLengths();
 	const subsets = createSubsets({zone, host: options.host});
-	const doubts = createDoubts({zone, ...(options.isZoneSilent && {isZoneSilent: options.isZoneSilent})});
-	const promptPace = createPromptPace();
+	const doubts = createServerCooldowns({zone, ...(options.isZoneSilent && {isZoneSilent: options.isZoneSilent})});
+	const promptPace = createPrefillThroughput();
 	const split = createSplitEstimate();
 	let index: PoolIndex | undefined;
 	let indexKey = '';
@@ -147,7 +147,7 @@
 	});
 
 	const findUnreported = createUnreportedSearch({
-		zone, loads, standing, doubts, promptPace, readOthers: options.readOthers ?? readNobody,
+		zone, loads, standing, doubts, promptPace, readOthers: options.readPeerLoad ?? readNobody,
 	});
 
 	const toModelNeeds = (request: PlacementRequest): Needs => {
@@ -279,7 +279,7 @@
 		pick,
 		pickPlain,
 		/** Whether some pool has servers, and something speaks against each of them. */
-		isOutOfReach(view: FleetView, now: Milliseconds): boolean {
+		isAnyPoolSuspect(view: FleetView, now: Milliseconds): boolean {
 			const pools = [...toIndex(view)?.pools.values() ?? []].map(pool => toAnswering(pool));
 			return pools.some(servers => servers.length > 0 && servers.every(server => doubts.toLevel(server, now) > 0));
 		},
@@ -294,7 +294,7 @@
 		/** What this host has under way at each server. */
 		ownLoads: loads.ownLoads,
 		...createNotes({
-			loads, health, standing, prefixes, pace, promptPace, split, readOthers: options.readOthers ?? readNobody, lengths, learnt, tokensPerBlock, toSubject, doubts, noteSent: spills.noteSent,
+			loads, health, standing, prefixes, pace, promptPace, split, readOthers: options.readPeerLoad ?? readNobody, lengths, learnt, tokensPerBlock, toSubject, doubts, noteSent: spills.noteSent,
 		}),
 	};
 };
--- a/src/domain/create-placement/unreported.test.ts
+++ b/src/domain/create-placement/unreported.test.ts
@@ -77,13 +77,13 @@
 	it('knows that a pool is out of reach once something speaks against all of its servers', () => {
 		const placement = createPlacement({zone: 'c', isZoneSilent: () => true});
 		const view = toView(all);
-		assert.equal(placement.isOutOfReach(view, 1000), false);
+		assert.equal(placement.isAnyPoolSuspect(view, 1000), false);
 		placement.noteFailure(findServer('d1-a'), {kind: 'unreachable', reason: undefined}, 1000);
-		assert.equal(placement.isOutOfReach(view, 1100), false);
+		assert.equal(placement.isAnyPoolSuspect(view, 1100), false);
 		placement.noteFailure(findServer('d1-b'), {kind: 'unreachable', reason: undefined}, 1000);
-		assert.equal(placement.isOutOfReach(view, 1100), true);
-		assert.equal(placement.isOutOfReach(view, 9000), true, 'also when no request has tried for a while');
-		assert.equal(placement.isOutOfReach(toView([]), 1100), false, 'a pool without servers is nobody\'s fault here');
+		assert.equal(placement.isAnyPoolSuspect(view, 1100), true);
+		assert.equal(placement.isAnyPoolSuspect(view, 9000), true, 'also when no request has tried for a while');
+		assert.equal(placement.isAnyPoolSuspect(toView([]), 1100), false, 'a pool without servers is nobody\'s fault here');
 	});
 
 	it('waits for room at a sound server rather than try one that just failed', () => {
@@ -110,7 +110,7 @@
 	});
 
 	it('sends a prompt where neither this host nor another one has any', () => {
-		const placement = createPlacement({zone: 'a', readOthers: server => ({requests: 0, promptTokens: server === 'p-a' ? 9000 : 0})});
+		const placement = createPlacement({zone: 'a', readPeerLoad: server => ({requests: 0, promptTokens: server === 'p-a' ? 9000 : 0})});
 		const picked = placement.pick(request, toView(all), 1000, createRandom())._unsafeUnwrap();
 		assert.equal(picked.prefill.id, 'p-b');
 	});
@@ -141,14 +141,14 @@
 	});
 
 	it('goes on sending prompts to a server that refused one with a long queue', () => {
-		const placement = createPlacement({zone: 'a', readOthers: server => ({requests: 0, promptTokens: server === 'p-a' ? 10_000 : 14_000})});
+		const placement = createPlacement({zone: 'a', readPeerLoad: server => ({requests: 0, promptTokens: server === 'p-a' ? 10_000 : 14_000})});
 		placement.noteFailure(findServer('p-a'), {kind: 'refused', reason: 'full'}, 1000);
 		const picked = placement.pick(request, toView(all), 1100, createRandom())._unsafeUnwrap();
 		assert.equal(picked.prefill.id, 'p-a');
 	});
 
 	it('has a decode server compute its prompt where the queues of all prefill servers are long', () => {
-		const placement = createPlacement({zone: 'a', readOthers: server => ({requests: 0, promptTokens: server.startsWith('p-') ? 60_000 : 0})});
+		const placement = createPlacement({zone: 'a', readPeerLoad: server => ({requests: 0, promptTokens: server.startsWith('p-') ? 60_000 : 0})});
 		const picked = placement.pick(request, toView(all), 1000, createRandom())._unsafeUnwrap();
 		assert.equal(picked.prefill.id, picked.decode.id);
 	});
--- a/src/domain/create-prompt-pace/index.ts
+++ b/src/domain/create-prefill-throughput/index.ts
@@ -2,7 +2,7 @@
 import {type ServerId} from '../../ports/ids.js';
 import {type Milliseconds} from '../../ports/clock.js';
 
-export type PromptPace = {
+export type PrefillThroughput = {
 	/** A prompt was computed by a server that, as far as is known, had nothing else to do. */
 	note: (server: ServerId, promptTokens: number, tookMs: Milliseconds) => void;
 	/** Tokens a millisecond. */
@@ -35,7 +35,7 @@
  * pace.read('p1'); // => 30
  * ```
  */
-export function createPromptPace(): PromptPace {
+export function createPrefillThroughput(): PrefillThroughput {
 	const paces = new Map<ServerId, number>();
 	/** Of all servers, for those that have computed nothing yet. */
 	let common: number | undefined;
--- a/src/domain/create-prompt-pace/test.ts
+++ b/src/domain/create-prefill-throughput/test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {createPromptPace} from './index.js';
+import {createPrefillThroughput} from './index.js';
 
 describe('createPromptPace', () => {
 	it('knows each server by itself, and a new one by the others', () => {
-		const pace = createPromptPace();
+		const pace = createPrefillThroughput();
 		const guess = pace.read('p1');
 		pace.note('p1', 3000, 100);
 		assert.equal(pace.read('p1'), 30);
@@ -17,7 +17,7 @@
 	});
 
 	it('follows a server that turns slow within a few prompts, and not at one odd one', () => {
-		const pace = createPromptPace();
+		const pace = createPrefillThroughput();
 		pace.note('p1', 3000, 100);
 		pace.note('p1', 3000, 400);
 		assert.ok(pace.read('p1') > 25);
@@ -29,7 +29,7 @@
 	});
 
 	it('is never endless', () => {
-		const pace = createPromptPace();
+		const pace = createPrefillThroughput();
 		pace.note('p1', 3000, 0);
 		assert.ok(Number.isFinite(pace.read('p1')));
 	});
--- a/src/domain/create-published-fleet/_lib/types.ts
+++ b/src/domain/create-published-fleet/_lib/types.ts
@@ -27,7 +27,7 @@
 
 export type ResetLimits = {
 	/** When this host must act on all that the platform says, whatever it lost. */
-	latest: Milliseconds;
+	latestActAt: Milliseconds;
 };
 
 export type FleetChange = {
@@ -49,7 +49,7 @@
 	/** The platform came back from an older copy: until all that it lost is written again, what is known counts more than what it lists. */
 	noteReset: (limits: ResetLimits, now: Milliseconds) => void;
 	/** When everything is to be read once more, as what the platform lost has been written again; `undefined` where what it lists is not older than what is known. */
-	wholeReadAt: () => Milliseconds | undefined;
+	fullReadAt: () => Milliseconds | undefined;
 	/** Servers that a whole list names otherwise than they are known, or that are known and it does not name. */
 	countDifferences: (changes: readonly PublishedChange[]) => number;
 	/** Drops missing servers that stayed away. To be called right after a read: only that tells that they did. */
--- a/src/domain/create-published-fleet/index.ts
+++ b/src/domain/create-published-fleet/index.ts
@@ -316,12 +316,12 @@
 			const overdue = now < graceUntil ? [] : listMissing().flatMap(name => dropServer(name, now));
 			return {rules: undefined, servers: overdue, unreadable: []};
 		},
-		noteReset({latest}, now) {
+		noteReset({latestActAt: latest}, now) {
 			graceUntil = Math.max(graceUntil, Math.min(now + lapseGraceMs, latest));
 			// To leave a server alone for longer than need be is safe, to use it is not.
 			resetHold.begin(now + lapseGraceMs);
 		},
-		wholeReadAt: resetHold.until,
+		fullReadAt: resetHold.until,
 		countDifferences(changes) {
 			const listed = changes.filter(change => change.kind === 'server').map(({server}) => server);
 			const isKnown = (server: PublishedServer): boolean => {
--- a/src/domain/create-published-fleet/test.ts
+++ b/src/domain/create-published-fleet/test.ts
@@ -247,14 +247,14 @@
 	it('takes a server that leaves from the copy, and nothing else of a start that it knows', () => {
 		const fleet = createPublishedFleet({zones});
 		fleet.replace([server('s1'), server('s2', true), server('s3')], 0);
-		fleet.noteReset({latest: 2800}, 100);
-		assert.equal(fleet.wholeReadAt(), 2600);
+		fleet.noteReset({latestActAt: 2800}, 100);
+		assert.equal(fleet.fullReadAt(), 2600);
 		assert.equal(fleet.countDifferences([server('s1', true), server('s2')]), 3);
 		const {servers} = fleet.replace([server('s1', true), server('s2')], 200);
 		assert.deepEqual(servers, [{id: 's1', became: 'leaving'}, {id: 's3', became: 'missing'}]);
 		assert.equal(fleet.toView(200).servers.get('s2')?.leaving, true);
 		fleet.replace([server('s1', true), server('s2')], 2700);
-		assert.equal(fleet.wholeReadAt(), undefined);
+		assert.equal(fleet.fullReadAt(), undefined);
 		assert.equal(fleet.toView(2700).servers.get('s2')?.leaving, false);
 		assert.deepEqual(toIds(fleet, 2700), ['s1', 's2']);
 	});
@@ -264,7 +264,7 @@
 		const fleet = createPublishedFleet({zones});
 		fleet.replace([server('s1', true), server('s2'), server('s3')], 0);
 		fleet.apply([gone('s2')], 50);
-		fleet.noteReset({latest: 2800}, 100);
+		fleet.noteReset({latestActAt: 2800}, 100);
 		fleet.replace([server('s1'), server('s2'), server('s3')], 150);
 		fleet.apply([server('s1'), server('s2'), server('s3', true)], 200);
 		const leaving = [...fleet.toView(200).servers.values()].filter(status => status.leaving).map(({id}) => id);
--- a/src/domain/create-retry-budget/index.ts
+++ b/src/domain/create-retry-budget/index.ts
@@ -69,11 +69,11 @@
 	/** Notes a request that ended well; it pays for a part of a retry. */
 	noteSuccess: (now: Milliseconds) => void;
 	/** Why {@link RetryBudget.takeRetry} would not retry, `undefined` if it would; spends nothing. */
-	findNoRetry: (failed: FailedAttempt, now: Milliseconds) => NoRetryReason | undefined;
+	findNoRetryReason: (failed: FailedAttempt, now: Milliseconds) => NoRetryReason | undefined;
 	/** Decides, and spends from the budget when the answer is `retry`. */
 	takeRetry: (failed: FailedAttempt, now: Milliseconds, random: Random) => RetryAnswer;
 	/** Spends one more, for a further call of an attempt that was granted, where the bucket holds it; tells whether it did. */
-	takeAnother: (now: Milliseconds) => boolean;
+	takeExtraCall: (now: Milliseconds) => boolean;
 	/** Retries that the bucket holds. */
 	available: (now: Milliseconds) => number;
 	/** Retries that the bucket holds when it is full. */
@@ -153,7 +153,7 @@
 			fill(now);
 			earn(perSuccess);
 		},
-		findNoRetry: findReason,
+		findNoRetryReason: findReason,
 		takeRetry(failed, now, random) {
 			const reason = findReason(failed, now);
 			if (reason !== undefined) {
@@ -171,7 +171,7 @@
 				avoidZones: findFailedZones(failed.tried),
 			};
 		},
-		takeAnother(now) {
+		takeExtraCall(now) {
 			const isHeld = toAvailable(now) >= 1;
 			spend(isHeld ? 1 : 0);
 			return isHeld;
--- a/src/domain/create-retry-budget/test.ts
+++ b/src/domain/create-retry-budget/test.ts
@@ -36,7 +36,7 @@
 			const budget = createRetryBudget();
 			const answer = budget.takeRetry(failed, now, half);
 			assert.equal(answer.kind === 'retry' ? answer.kind : answer.reason, expected);
-			assert.equal(createRetryBudget().findNoRetry(failed, now) ?? 'retry', expected);
+			assert.equal(createRetryBudget().findNoRetryReason(failed, now) ?? 'retry', expected);
 		});
 	}
 
@@ -56,7 +56,7 @@
 	/* Guards against attempts of several calls that are charged as one. */
 	it('takes another only while the bucket holds it', () => {
 		const budget = createRetryBudget({capacity: 2, perSecond: 0});
-		assert.deepEqual([budget.takeAnother(0), budget.takeAnother(0), budget.takeAnother(0)], [true, true, false]);
+		assert.deepEqual([budget.takeExtraCall(0), budget.takeExtraCall(0), budget.takeExtraCall(0)], [true, true, false]);
 		assert.equal(budget.available(0), 0);
 	});
 
@@ -70,7 +70,7 @@
 		budget.noteSuccess(1000);
 		assert.equal(budget.available(1000), 0.75);
 		assert.equal(budget.available(1500), 1);
-		assert.equal(budget.findNoRetry(failure({deadline: 1e9}), 1500), undefined);
+		assert.equal(budget.findNoRetryReason(failure({deadline: 1e9}), 1500), undefined);
 		assert.equal(budget.available(60_000), 2);
 	});
 
@@ -147,7 +147,7 @@
 				capacity: 3, perSuccess: 0.5, perSecond: 0, isEarnedOnly,
 			});
 			assert.equal(budget.available(0), 0);
-			assert.equal(budget.findNoRetry(late, 0), 'budget');
+			assert.equal(budget.findNoRetryReason(late, 0), 'budget');
 			earn(budget, 3);
 			assert.equal(budget.available(0), 1.5);
 			assert.equal(budget.takeRetry(late, 0, half).kind, 'retry');
@@ -178,7 +178,7 @@
 				capacity: 3, perSuccess: 0.5, perSecond: 0, isEarnedOnly,
 			});
 			earn(budget, 2);
-			assert.equal(budget.takeAnother(0), true);
+			assert.equal(budget.takeExtraCall(0), true);
 			assert.equal(budget.available(heldUntil - 1), 0);
 			assert.equal(budget.available(heldUntil), 2);
 		});
--- a/src/domain/create-run-table/index.ts
+++ b/src/domain/create-run-table/index.ts
@@ -7,7 +7,7 @@
 	bytesPerKibibyte, bytesPerMebibyte, msPerMinute, msPerSecond,
 } from '../../ports/units.js';
 import {type Milliseconds} from '../../ports/clock.js';
-import {toScopedText} from '../to-scoped-text/index.js';
+import {toScopedKey} from '../to-scoped-key/index.js';
 import {createRun, type RunRecord} from './_lib/create-run.js';
 import {type RunTable, type RunTableOptions, type RunWriter} from './types.js';
 
@@ -47,8 +47,8 @@
 	maxRuns = 50_000,
 	maxRunBytes = 8 * bytesPerMebibyte,
 	maxKeptBytes = 128 * bytesPerMebibyte,
-	keptForMs = 15 * msPerMinute,
-	tracedForMs = 25 * msPerMinute,
+	answerRetentionMs: keptForMs = 15 * msPerMinute,
+	tombstoneRetentionMs: tracedForMs = 25 * msPerMinute,
 	abandonAfterMs = msPerSecond,
 	highWaterBytes = 256 * bytesPerKibibyte,
 }: RunTableOptions = {}): RunTable {
@@ -126,7 +126,7 @@
 
 	return {
 		start({onAbandoned, digest, isRepeatable, ...key}, now) {
-			const text = toScopedText(key);
+			const text = toScopedKey(key);
 			if (entries.has(text)) {
 				return err('exists');
 			}
@@ -143,7 +143,7 @@
 			return ok(toWriter(text, entry));
 		},
 		join({digest, ...key}, now) {
-			const entry = entries.get(toScopedText(key));
+			const entry = entries.get(toScopedKey(key));
 			if (entry === undefined) {
 				return err('unknown');
 			}
@@ -159,7 +159,7 @@
 			const reader = entry.run.read(now);
 			return reader === undefined ? err('not-kept') : ok(reader);
 		},
-		has: key => entries.has(toScopedText(key)),
+		has: key => entries.has(toScopedKey(key)),
 		sweep(now) {
 			for (const [text, entry] of entries) {
 				sweepEntry(text, entry, now);
--- a/src/domain/create-run-table/test.ts
+++ b/src/domain/create-run-table/test.ts
@@ -110,7 +110,7 @@
 	});
 
 	it('drops the oldest ended answers beyond its bytes, answers beyond their age, and keeps the trace that they ran', () => {
-		const runs = createRunTable({maxKeptBytes: 5, keptForMs: 10, tracedForMs: 20});
+		const runs = createRunTable({maxKeptBytes: 5, answerRetentionMs: 10, tombstoneRetentionMs: 20});
 		for (const name of ['a', 'b']) {
 			const writer = runs.start({...run, key: name}, 0)._unsafeUnwrap();
 			writer.write(encode('123'));
--- a/src/domain/create-run-table/types.ts
+++ b/src/domain/create-run-table/types.ts
@@ -64,13 +64,13 @@
 	/** Bytes of all ended answers; the oldest are dropped first. 128 MiB by default. */
 	maxKeptBytes?: number;
 	/** Time for which an ended answer is kept; 15 minutes by default. */
-	keptForMs?: Milliseconds;
+	answerRetentionMs?: Milliseconds;
 	/**
 	 * Time for which the trace of a run is kept: that the key ran here. Longer than
 	 * any witness takes the key, so that an unknown key is one that did not run;
 	 * 25 minutes by default.
 	 */
-	tracedForMs?: Milliseconds;
+	tombstoneRetentionMs?: Milliseconds;
 	/** Time without a reader after which a run counts as abandoned; 1 second by default. */
 	abandonAfterMs?: Milliseconds;
 	/** Unread bytes from which a writer is asked to wait; 256 KiB by default. */
--- a/src/domain/create-doubts/index.ts
+++ b/src/domain/create-server-cooldowns/index.ts
@@ -16,7 +16,7 @@
 /** Servers of a zone that must be in doubt for the way to the zone to be: one may have failed by itself. */
 const zoneServers = 2;
 
-export type DoubtsOptions = {
+export type ServerCooldownsOptions = {
 	/** Zone of the host, to which the way is never in doubt. */
 	zone: ZoneId;
 	/** Whether the hosts of a zone, which spoke before, have fallen silent. */
@@ -25,7 +25,7 @@
 
 type Doubt = {zone: ZoneId; failures: number; until: Milliseconds; hasAnswered: boolean};
 
-export type Doubts = {
+export type ServerCooldowns = {
 	noteFailure: (server: ServerEntry, now: Milliseconds) => void;
 	/** It answered, and takes no work: a doubt of the server, and none of the way to its zone. */
 	noteRefusal: (server: ServerEntry, now: Milliseconds) => void;
@@ -50,7 +50,7 @@
  * doubts.toLevel(server, 1500); // => 0
  * ```
  */
-export function createDoubts({zone, isZoneSilent = () => false}: DoubtsOptions): Doubts {
+export function createServerCooldowns({zone, isZoneSilent = () => false}: ServerCooldownsOptions): ServerCooldowns {
 	const doubts = new Map<ServerId, Doubt>();
 	const failedAt = new Map<ZoneId, Milliseconds>();
 	const succeededAt = new Map<ZoneId, Milliseconds>();
--- a/src/domain/create-doubts/test.ts
+++ b/src/domain/create-server-cooldowns/test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {type ServerEntry} from '../../ports/config.js';
-import {createDoubts} from './index.js';
+import {createServerCooldowns} from './index.js';
 
 const toServer = (id: string, zone: string): ServerEntry => ({
 	id, zone, url: 'http://10.0.0.1:1', role: 'decode', pool: 'p', slots: 8, checksFence: false,
@@ -9,7 +9,7 @@
 
 describe('createDoubts', () => {
 	it('doubts a server for a second, and longer each time it fails again', () => {
-		const doubts = createDoubts({zone: 'a'});
+		const doubts = createServerCooldowns({zone: 'a'});
 		const server = toServer('s1', 'b');
 		doubts.noteFailure(server, 0);
 		assert.deepEqual([500, 1500].map(now => doubts.toLevel(server, now)), [2, 0]);
@@ -18,7 +18,7 @@
 	});
 
 	it('ends with one success', () => {
-		const doubts = createDoubts({zone: 'a'});
+		const doubts = createServerCooldowns({zone: 'a'});
 		const server = toServer('s1', 'b');
 		doubts.noteFailure(server, 0);
 		doubts.noteSuccess(server, 50);
@@ -30,7 +30,7 @@
 	 * silent server of that zone after the other, though the own zone serves.
 	 */
 	it('doubts a whole zone once two of its servers failed, and never its own', () => {
-		const doubts = createDoubts({zone: 'a'});
+		const doubts = createServerCooldowns({zone: 'a'});
 		for (const id of ['b1', 'b2']) {
 			assert.equal(doubts.toLevel(toServer('b3', 'b'), 0), 0);
 			doubts.noteFailure(toServer(id, 'b'), 0);
@@ -50,7 +50,7 @@
 	 */
 	it('doubts a zone whose hosts fell silent after a server of it failed, until either is heard', () => {
 		let isSilent = false;
-		const doubts = createDoubts({zone: 'a', isZoneSilent: zone => zone === 'b' && isSilent});
+		const doubts = createServerCooldowns({zone: 'a', isZoneSilent: zone => zone === 'b' && isSilent});
 		const [b1, b2] = [toServer('b1', 'b'), toServer('b2', 'b')];
 		doubts.noteSuccess(b2, 0);
 		isSilent = true;
@@ -66,7 +66,7 @@
 	});
 
 	it('doubts a server that refuses, and not the way to its zone', () => {
-		const doubts = createDoubts({zone: 'a', isZoneSilent: () => true});
+		const doubts = createServerCooldowns({zone: 'a', isZoneSilent: () => true});
 		const [b1, b2, b3] = [toServer('b1', 'b'), toServer('b2', 'b'), toServer('b3', 'b')];
 		doubts.noteRefusal(b1, 0);
 		doubts.noteRefusal(b2, 0);
@@ -75,7 +75,7 @@
 	});
 
 	it('forgets servers that are no longer published', () => {
-		const doubts = createDoubts({zone: 'a'});
+		const doubts = createServerCooldowns({zone: 'a'});
 		const server = toServer('s1', 'b');
 		doubts.noteFailure(server, 0);
 		doubts.keepOnly(new Set());
--- a/src/domain/create-split-estimate/index.ts
+++ b/src/domain/create-split-estimate/index.ts
@@ -5,14 +5,14 @@
 import {type Milliseconds} from '../../ports/clock.js';
 
 /** What a place at a decode server is measured by. */
-export type PlaceBounds = {
+export type DecodeCapacity = {
 	/** Requests that a decode server generates at a time. */
 	slots: number;
 	/** Tokens that its memory holds; `undefined` where only slots are known. */
 	memoryTokens: number | undefined;
 };
 
-export type HeldPlace = {
+export type HeldReservation = {
 	/** Tokens that were reserved. */
 	tokens: number;
 	/** Time from the reservation to the end of the answer. */
@@ -21,11 +21,11 @@
 
 export type SplitEstimate = {
 	/** A prefill server that had nothing else to do computed a prompt. */
-	notePrompt: (pool: string, tookMs: Milliseconds) => void;
+	notePrefill: (pool: string, tookMs: Milliseconds) => void;
 	/** An answer ended well, and its place at the decode server is free again. */
-	notePlace: (pool: string, place: HeldPlace) => void;
+	noteReservation: (pool: string, place: HeldReservation) => void;
 	/** Part of the pool's servers that should compute prompts; `undefined` while too little is known. */
-	toPrefillShare: (pool: string, bounds: PlaceBounds) => number | undefined;
+	toPrefillShare: (pool: string, bounds: DecodeCapacity) => number | undefined;
 	/** Forgets pools that are no longer published. */
 	keepOnly: (pools: ReadonlySet<string>) => void;
 };
@@ -78,11 +78,11 @@
 	const costs = new Map<string, Costs>();
 	const read = (pool: string): Costs => costs.get(pool) ?? noCosts;
 	return {
-		notePrompt(pool, tookMs) {
+		notePrefill(pool, tookMs) {
 			const known = read(pool);
 			costs.set(pool, {...known, promptMs: toNext(known.promptMs, tookMs)});
 		},
-		notePlace(pool, {tokens, heldMs}) {
+		noteReservation(pool, {tokens, heldMs}) {
 			const known = read(pool);
 			costs.set(pool, {...known, slotMs: toNext(known.slotMs, heldMs), tokenMs: toNext(known.tokenMs, tokens * heldMs)});
 		},
--- a/src/domain/create-split-estimate/test.ts
+++ b/src/domain/create-split-estimate/test.ts
@@ -5,8 +5,8 @@
 
 function see(split: SplitEstimate, count: number, {promptMs, tokens, heldMs}: {promptMs: number; tokens: number; heldMs: number}): void {
 	for (let i = 0; i < count; i++) {
-		split.notePrompt('p', promptMs);
-		split.notePlace('p', {tokens, heldMs});
+		split.notePrefill('p', promptMs);
+		split.noteReservation('p', {tokens, heldMs});
 	}
 }
 
--- a/src/domain/create-transfer-limits/index.ts
+++ b/src/domain/create-transfer-timeouts/index.ts
@@ -11,13 +11,13 @@
 
 export type TransferLink = {from: ZoneId; to: ZoneId};
 
-export type TransferLimits = {
+export type TransferTimeouts = {
 	/** Time that a transfer may take; `Infinity` while nothing is known of the link. */
-	toLimitMs: (link: TransferLink, bytes: number) => Milliseconds;
+	toTimeoutMs: (link: TransferLink, bytes: number) => Milliseconds;
 	/** A transfer came to its end. */
 	noteDone: (link: TransferLink, bytes: number, tookMs: Milliseconds) => void;
 	/** A transfer was given up after this time. */
-	noteGivenUp: (link: TransferLink, bytes: number, afterMs: Milliseconds) => void;
+	noteTimedOut: (link: TransferLink, bytes: number, afterMs: Milliseconds) => void;
 };
 
 /** Allowed beyond the pace: a pause of a process or a lost packet or two is no stall. */
@@ -57,7 +57,7 @@
  *
  * limits.toLimitMs(link, 1e8); // 410
  */
-export function createTransferLimits(): TransferLimits {
+export function createTransferTimeouts(): TransferTimeouts {
 	const paces = new Map<string, Pace>();
 
 	function add(link: TransferLink, msPerByte: number, weight: number): void {
@@ -68,7 +68,7 @@
 	}
 
 	return {
-		toLimitMs(link, bytes) {
+		toTimeoutMs(link, bytes) {
 			const pace = paces.get(toKey(link));
 			return pace === undefined || pace.samples < minSamples ? Infinity : graceMs + (paceFactor * pace.msPerByte * bytes);
 		},
@@ -77,7 +77,7 @@
 				add(link, tookMs / bytes, gain);
 			}
 		},
-		noteGivenUp(link, bytes, afterMs) {
+		noteTimedOut(link, bytes, afterMs) {
 			if (bytes > 0) {
 				add(link, afterMs / bytes, givenUpGain);
 			}
--- a/src/domain/create-zone-summaries/index.ts
+++ b/src/domain/create-zone-summaries/index.ts
@@ -24,9 +24,9 @@
 
 export type ZoneSummaries = {
 	/** Takes this host's own summary of its zone; `wallNow` only keeps stamps rising over restarts. */
-	make: (summary: ZoneSummary, now: Milliseconds, wallNow: Milliseconds) => void;
+	setOwn: (summary: ZoneSummary, now: Milliseconds, wallNow: Milliseconds) => void;
 	/** Takes what a peer sent; returns whether any of it was news. */
-	take: (bytes: Uint8Array, arrivedAt: Milliseconds, now: Milliseconds) => boolean;
+	merge: (bytes: Uint8Array, arrivedAt: Milliseconds, now: Milliseconds) => boolean;
 	/** Bytes for a peer: of one zone, or of all; `undefined` when nothing is known. */
 	pack: (now: Milliseconds, zone?: ZoneId) => Uint8Array | undefined;
 	/** Summaries by name, of the zones and pools of the configuration; the same map until something changes. */
@@ -114,7 +114,7 @@
 	}
 
 	return {
-		make({zone, at, rows}, now, wallNow) {
+		setOwn({zone, at, rows}, now, wallNow) {
 			forgetStale(now);
 			const hash = toHash32(zone);
 			const last = known.get(hash)?.stamp ?? 0;
@@ -122,7 +122,7 @@
 				zone: hash, stamp: Math.min(maxStamp, Math.max(last + 1, Math.floor(wallNow / msPerStamp))), at, rows: toStampedRows(rows),
 			}, now);
 		},
-		take(bytes, arrivedAt, now) {
+		merge(bytes, arrivedAt, now) {
 			forgetStale(now);
 			return unpackSummaries(bytes, arrivedAt).map(summary => note(summary, now)).includes(true);
 		},
--- a/src/domain/create-zone-summaries/test.ts
+++ b/src/domain/create-zone-summaries/test.ts
@@ -19,11 +19,11 @@
 describe('createZoneSummaries', () => {
 	it('passes a summary on with its age', () => {
 		const [maker, bridge, host] = [createZoneSummaries(), createZoneSummaries(), createZoneSummaries()];
-		maker.make(toSummary('a', 16, 1000), 1000, 5_000_000);
-		assert.equal(bridge.take(maker.pack(1200)!, 50_000, 50_000), true);
-		assert.equal(host.take(bridge.pack(50_300)!, 900, 900), true);
+		maker.setOwn(toSummary('a', 16, 1000), 1000, 5_000_000);
+		assert.equal(bridge.merge(maker.pack(1200)!, 50_000, 50_000), true);
+		assert.equal(host.merge(bridge.pack(50_300)!, 900, 900), true);
 		assert.deepEqual([...host.view(config, 900).values()], [{zone: 'a', at: 400, rows: toRows(16)}]);
-		assert.equal(host.take(bridge.pack(50_300)!, 900, 900), false, 'it is known already');
+		assert.equal(host.merge(bridge.pack(50_300)!, 900, 900), false, 'it is known already');
 	});
 
 	it('takes 12 zones of 3 models and 2 roles in under 500 bytes', () => {
@@ -32,7 +32,7 @@
 			pool, role, servers: 70, free: 900, waitMs: 1234,
 		})));
 		for (let i = 0; i < 12; i++) {
-			summaries.make({zone: `zone-${i}`, at: 0, rows}, 0, 0);
+			summaries.setOwn({zone: `zone-${i}`, at: 0, rows}, 0, 0);
 		}
 
 		assert.ok(summaries.pack(0)!.length < 500, `${summaries.pack(0)!.length}`);
@@ -40,29 +40,29 @@
 
 	it('goes on from the stamps of the zone\'s other maker, however far its own clock is behind', () => {
 		const [ahead, behind, host] = [createZoneSummaries(), createZoneSummaries(), createZoneSummaries()];
-		ahead.make(toSummary('a', 1, 0), 0, 90_000_000);
-		behind.take(ahead.pack(0)!, 0, 0);
-		host.take(ahead.pack(0)!, 0, 0);
-		behind.make(toSummary('a', 8, 2000), 2000, 1000);
-		host.take(behind.pack(2000)!, 2000, 2000);
+		ahead.setOwn(toSummary('a', 1, 0), 0, 90_000_000);
+		behind.merge(ahead.pack(0)!, 0, 0);
+		host.merge(ahead.pack(0)!, 0, 0);
+		behind.setOwn(toSummary('a', 8, 2000), 2000, 1000);
+		host.merge(behind.pack(2000)!, 2000, 2000);
 		assert.equal(toFree(host, 'a', 2000), 8);
 	});
 
 	it('believes a zone again that restarted with slower clocks, once what it said before is stale', () => {
 		const [before, after, host] = [createZoneSummaries(), createZoneSummaries(), createZoneSummaries()];
-		before.make(toSummary('a', 1, 0), 0, 90_000_000);
-		host.take(before.pack(0)!, 0, 0);
-		after.make(toSummary('a', 8, 0), 0, 1000);
-		host.take(after.pack(0)!, 100, 100);
+		before.setOwn(toSummary('a', 1, 0), 0, 90_000_000);
+		host.merge(before.pack(0)!, 0, 0);
+		after.setOwn(toSummary('a', 8, 0), 0, 1000);
+		host.merge(after.pack(0)!, 100, 100);
 		assert.equal(toFree(host, 'a', 100), 1);
-		after.make(toSummary('a', 8, 20_000), 20_000, 21_000);
-		host.take(after.pack(20_000)!, 20_100, 20_100);
+		after.setOwn(toSummary('a', 8, 20_000), 20_000, 21_000);
+		host.merge(after.pack(20_000)!, 20_100, 20_100);
 		assert.equal(toFree(host, 'a', 20_100), 8);
 	});
 
 	it('forgets what is stale, and passes nothing stale on', () => {
 		const summaries = createZoneSummaries({staleAfterMs: 1000});
-		summaries.make(toSummary('a', 1, 0), 0, 0);
+		summaries.setOwn(toSummary('a', 1, 0), 0, 0);
 		assert.equal(summaries.view(config, 999).size, 1);
 		assert.equal(summaries.view(config, 1000).size, 0);
 		assert.equal(summaries.pack(1000), undefined);
@@ -73,17 +73,17 @@
 		fc.assert(fc.property(words, fc.infiniteStream(fc.nat()), (said, order) => {
 			const maker = createZoneSummaries();
 			const packets = said.map(({zone, free}, i) => {
-				maker.make(toSummary(zone, free, i), i, 0);
+				maker.setOwn(toSummary(zone, free, i), i, 0);
 				return maker.pack(i, zone)!;
 			});
 			const [one, other] = [createZoneSummaries(), createZoneSummaries()];
 			for (const packet of packets) {
-				one.take(packet, 0, 0);
+				one.merge(packet, 0, 0);
 			}
 
 			const shuffled = [...packets, ...packets].map(packet => ({packet, place: Number(order.next().value)})).sort((a, b) => a.place - b.place);
 			for (const {packet} of shuffled) {
-				other.take(packet, 0, 0);
+				other.merge(packet, 0, 0);
 			}
 
 			assert.deepEqual(other.view(config, 0), one.view(config, 0));
@@ -93,12 +93,12 @@
 	it('never says more free, or less wait, than it was told', () => {
 		fc.assert(fc.property(fc.nat({max: 100_000}), fc.nat({max: 100_000}), (free, waitMs) => {
 			const [maker, host] = [createZoneSummaries(), createZoneSummaries()];
-			maker.make({
+			maker.setOwn({
 				zone: 'a', at: 0, rows: [{
 					pool: 'main', role: 'prefill', servers: 1, free, waitMs,
 				}],
 			}, 0, 0);
-			host.take(maker.pack(0)!, 0, 0);
+			host.merge(maker.pack(0)!, 0, 0);
 			const [row] = host.view(config, 0).get('a')!.rows;
 			assert.ok(row!.free <= free && row!.free >= Math.floor(free * 0.88), `${free} became ${row!.free}`);
 			assert.ok(row!.waitMs >= waitMs && row!.waitMs <= Math.ceil(waitMs * 1.13), `${waitMs} became ${row!.waitMs}`);
@@ -108,14 +108,14 @@
 	it('reads any bytes, and none of a format that it does not know', () => {
 		fc.assert(fc.property(fc.uint8Array({maxLength: 100}), bytes => {
 			const summaries = createZoneSummaries();
-			summaries.take(bytes, 0, 0);
-			summaries.take(Uint8Array.from([1, ...bytes]), 0, 0);
+			summaries.merge(bytes, 0, 0);
+			summaries.merge(Uint8Array.from([1, ...bytes]), 0, 0);
 			assert.ok(summaries.view(config, 0).size <= zones.length);
 		}));
 		const maker = createZoneSummaries();
-		maker.make(toSummary('a', 1, 0), 0, 0);
+		maker.setOwn(toSummary('a', 1, 0), 0, 0);
 		const next = maker.pack(0)!;
 		next[0] = 2;
-		assert.equal(createZoneSummaries().take(next, 0, 0), false);
+		assert.equal(createZoneSummaries().merge(next, 0, 0), false);
 	});
 });
--- a/src/domain/parse-config/parts.test.ts
+++ b/src/domain/parse-config/parts.test.ts
@@ -9,7 +9,7 @@
 	findAmong, toNamed, toPart, toPartDocument, type Cuts,
 } from '../_test/to-part-document.js';
 import {toConfigText} from '../to-config-text/index.js';
-import {toLinesText} from '../to-lines-text/index.js';
+import {toConfigBody} from '../to-config-body/index.js';
 import {
 	createConfigReader, parseConfig, readPlainValues, type ConfigFault,
 } from './index.js';
@@ -48,7 +48,7 @@
 		const cases = anyRules.chain(rules => fc.record({rules: fc.constant(rules), cuts: anyCuts(rules.length)}));
 		fc.assert(fc.property(cases, ({rules, cuts}) => {
 			const edited = {...values, rules};
-			const inOne = parseConfig(addPlainEnd(toLinesText(edited), 'json'));
+			const inOne = parseConfig(addPlainEnd(toConfigBody(edited), 'json'));
 			const {root, parts} = toPartDocument(edited, cuts);
 			const split = parseConfig(root, {findPart: findAmong(parts), isSource: true});
 			assert.deepStrictEqual(split.mapErr(toProblems), inOne.mapErr(toProblems));
@@ -113,7 +113,7 @@
 		assert.ok(read(root, findAmong(parts)).isOk());
 		const next = parts.map(({name, text}) => toPart(name, text.replace('"hosts": [],\n', '')));
 		const {hosts, ...rest} = readPlainValues(root)!;
-		const nextRoot = addPlainEnd(toLinesText({...rest, parts: toNamed(next)}), 'json');
+		const nextRoot = addPlainEnd(toConfigBody({...rest, parts: toNamed(next)}), 'json');
 		const found = read(nextRoot, findAmong(next));
 		assert.deepStrictEqual(found, parseConfig(nextRoot, {findPart: findAmong(next)}));
 		assert.match(found._unsafeUnwrapErr()[0]!.problem, /"hosts" is missing/);
@@ -141,7 +141,7 @@
 	];
 	for (const [title, parts, problem] of badRoots) {
 		it(`refuses a root that names ${title}`, () => {
-			const root = addPlainEnd(toLinesText({...values, parts}), 'json');
+			const root = addPlainEnd(toConfigBody({...values, parts}), 'json');
 			const faults = parseConfig(root, {findPart: () => 'x'})._unsafeUnwrapErr();
 			assert.match(faults[0]!.problem, problem);
 		});
@@ -158,7 +158,7 @@
 	for (const [title, text, problem] of badParts) {
 		it(`refuses a part that ${title}, and names it`, () => {
 			const part = toPart('one', text);
-			const root = addPlainEnd(toLinesText({...values, parts: toNamed([part])}), 'json');
+			const root = addPlainEnd(toConfigBody({...values, parts: toNamed([part])}), 'json');
 			const faults = parseConfig(root, {findPart: findAmong([part])})._unsafeUnwrapErr();
 			assert.equal(faults[0]!.file, 'part one');
 			assert.match(faults[0]!.problem, problem);
@@ -167,7 +167,7 @@
 
 	it('gives faults in the file, line and column of the part that has them', () => {
 		const part = toPart('one', 'rules:\n  - {name: early, when: {path: /early/}, then: route-1}\n  - {name: lost, when: {path: /x/}, then: nowhere}\nend: banyanport\n');
-		const root = addPlainEnd(toLinesText({...values, parts: ['one']}), 'json');
+		const root = addPlainEnd(toConfigBody({...values, parts: ['one']}), 'json');
 		const [fault] = parseConfig(root, {findPart: () => part.text, isSource: true, toPartFile: name => `folder/${name}.yaml`})._unsafeUnwrapErr();
 		assert.deepEqual({file: fault!.file, line: fault!.line, column: fault!.column}, {file: 'folder/one.yaml', line: 3, column: 43});
 	});
--- a/src/domain/pick-loads/_test/rollout-model.ts
+++ b/src/domain/plan-rollout/_test/rollout-model.ts
@@ -11,7 +11,7 @@
 import {isOrderAllowed, toOrderCircumstances, type OrderLimits} from '../../is-order-allowed/index.js';
 import {pickPollers} from '../../pick-pollers/index.js';
 import {toWeightsKey, type WantedOrder} from '../../to-orders/index.js';
-import {pickLoads, type HeldReason} from '../index.js';
+import {planRollout, type HeldReason} from '../index.js';
 
 export type ModelZone = {prefills: number; decodes: number};
 
@@ -245,7 +245,7 @@
 
 		host.nextPlanAt = now + (planMs * (0.9 + (random() / 5)));
 		const view = toView(host, now);
-		const {orders, held} = pickLoads(view, host.accepted, now, {acceptedAt: host.acceptedAt, ...(options.settleMs !== undefined && {settleMs: options.settleMs})});
+		const {orders, held} = planRollout(view, host.accepted, now, {acceptedAt: host.acceptedAt, ...(options.settleMs !== undefined && {settleMs: options.settleMs})});
 		host.held = held.map(({reason}) => reason);
 		const mine = orders.filter(({server}) => pickPollers(entries.find(({id}) => id === server)!, view.hosts.values(), 1)[0] === host.zone);
 		host.pending = {orders: mine, at: now, version: host.accepted.version};
--- a/src/domain/pick-loads/index.ts
+++ b/src/domain/plan-rollout/index.ts
@@ -24,7 +24,7 @@
 import {createStandIns} from './_lib/create-stand-ins.js';
 import {toGroups, type GroupState} from './_lib/to-groups.js';
 
-export type LoadOptions = {
+export type RolloutPlanOptions = {
 	/** Monotonic time at which this host accepted the first configuration that wants of servers what the one in force does, see `toWeightsKey`. */
 	acceptedAt: Milliseconds;
 	/** Time that must have passed since `acceptedAt`, so that all hosts want the same. */
@@ -54,7 +54,7 @@
 
 export type HeldOrder = WantedOrder & {reason: HeldReason};
 
-export type LoadPlan = {
+export type RolloutPlan = {
 	/** Orders to send now, each by the host that looks after the server. */
 	orders: WantedOrder[];
 	/** Orders that wait, and for what. */
@@ -104,7 +104,7 @@
  * @example
  * const {orders, held} = pickLoads(view, accepted, now, {acceptedAt});
  */
-export const pickLoads = (view: FleetView, accepted: AcceptedConfig, now: Milliseconds, options: LoadOptions): LoadPlan => {
+export const planRollout = (view: FleetView, accepted: AcceptedConfig, now: Milliseconds, options: RolloutPlanOptions): RolloutPlan => {
 	const oldestAt = now - (options.maxReportAgeMs ?? defaultMaxReportAgeMs);
 	const maxOutShare = options.maxOutShare ?? defaultMaxOutShare;
 	const isSettling = now - options.acceptedAt < (options.settleMs ?? defaultSettleMs);
--- a/src/domain/pick-loads/test.ts
+++ b/src/domain/plan-rollout/test.ts
@@ -7,7 +7,7 @@
 	toConfig, toSeededRandom, toServer, toStatus, toView,
 } from '../create-placement/_lib/fixtures.js';
 import {type ModelZone} from './_test/rollout-model.js';
-import {pickLoads, type HeldReason} from './index.js';
+import {planRollout, type HeldReason} from './index.js';
 
 const toServers = (count: number) => Array.from({length: count}, (_, i) => toServer(`d${i}`, 'decode', {checksFence: i % 2 === 0}));
 
@@ -24,10 +24,10 @@
 describe('pickLoads', () => {
 	it('asks for nothing when all is as wanted', () => {
 		const accepted = toAccepted(4, 'v1');
-		assert.deepEqual(pickLoads(toFleet(accepted), accepted, 100_000, settled), {orders: [], held: []});
+		assert.deepEqual(planRollout(toFleet(accepted), accepted, 100_000, settled), {orders: [], held: []});
 	});
 
-	const cases: Array<[string, number, Readonly<Record<string, Partial<LoadReport>>>, Partial<Parameters<typeof pickLoads>[3]>, number, string[]]> = [
+	const cases: Array<[string, number, Readonly<Record<string, Partial<LoadReport>>>, Partial<Parameters<typeof planRollout>[3]>, number, string[]]> = [
 		['sends one order of four servers, the rest wait for their turn', 4, {}, {}, 1, ['turn']],
 		['takes a quarter of a larger group', 12, {}, {serverBytesPerSecond: 1e8}, 3, ['turn']],
 		['stays inside the weight store\'s rate', 12, {}, {}, 1, ['turn', 'store-rate']],
@@ -40,7 +40,7 @@
 	for (const [name, count, changes, options, sent, reasons] of cases) {
 		it(name, () => {
 			const accepted = toAccepted(count, 'v2');
-			const plan = pickLoads(toFleet(accepted, changes), accepted, 100_000, {...settled, ...options});
+			const plan = planRollout(toFleet(accepted, changes), accepted, 100_000, {...settled, ...options});
 			assert.equal(plan.orders.length, sent);
 			assert.ok(plan.held.every(({reason}) => reasons.includes(reason)), JSON.stringify(plan.held));
 			assert.ok(plan.orders.every(({order}) => order.fence === 2));
@@ -59,7 +59,7 @@
 			const base = toAccepted(0, 'v2');
 			const accepted = {...base, config: {...base.config, servers}};
 			const changes = Object.fromEntries(Object.entries(loaded).map(([id, version]) => [id, {version}]));
-			const {orders} = pickLoads(toFleet(accepted, changes), accepted, 100_000, settled);
+			const {orders} = planRollout(toFleet(accepted, changes), accepted, 100_000, settled);
 			assert.equal(orders.length, 1);
 			assert.ok(allowed.includes(orders[0]!.server), orders[0]!.server);
 		});
@@ -67,7 +67,7 @@
 
 	it('holds everything once a server of the pool has taken an order of a later edition', () => {
 		const accepted = toAccepted(4, 'v2');
-		const plan = pickLoads(toFleet(accepted, {d3: {fence: 3}}), accepted, 100_000, settled);
+		const plan = planRollout(toFleet(accepted, {d3: {fence: 3}}), accepted, 100_000, settled);
 		assert.deepEqual([...new Set(plan.held.map(({reason}) => reason))], ['overtaken']);
 		assert.deepEqual(plan.orders, []);
 	});
@@ -154,7 +154,7 @@
 				id: `${id}-1`, zone: id, life: cut.includes(id) ? 'suspect' as const : 'alive' as const, incarnation: 1, entryAddress: '', agentAddress: '', leaving: false,
 			}));
 			const view = toView(config, servers.map(entry => toStatus(entry, 100_000, reports[entry.id])), hosts);
-			const {orders, held} = pickLoads(view, {...base, config}, 100_000, settled);
+			const {orders, held} = planRollout(view, {...base, config}, 100_000, settled);
 			assert.equal(orders.length, allowed.length > 0 ? 1 : 0);
 			assert.ok(orders.every(({server}) => allowed.includes(server)), orders[0]?.server);
 			if (reason !== undefined) {
@@ -165,7 +165,7 @@
 
 	it('gives no order on a stale report, nor counts it as a copy', () => {
 		const accepted = toAccepted(2, 'v2');
-		const plan = pickLoads(toFleet(accepted, {}, 90_000), accepted, 100_000, settled);
+		const plan = planRollout(toFleet(accepted, {}, 90_000), accepted, 100_000, settled);
 		assert.deepEqual(plan.orders, []);
 	});
 
@@ -203,7 +203,7 @@
 						return toStatus(entry, seenAt * stepMs, history[seenAt]?.[i]);
 					});
 					const view = toView(known.accepted.config, statuses);
-					const {orders} = pickLoads(view, known.accepted, now, {acceptedAt: (known.step + (host * 3)) * stepMs});
+					const {orders} = planRollout(view, known.accepted, now, {acceptedAt: (known.step + (host * 3)) * stepMs});
 					for (const {server, order} of orders.filter(() => random() < 0.8)) {
 						const target = servers.find(({entry}) => entry.id === server)!;
 						const isServing = target.loadingUntil <= now;
--- a/src/domain/seal-parts/index.ts
+++ b/src/domain/seal-parts/index.ts
@@ -7,7 +7,7 @@
 import {checkSeal} from '../check-seal/index.js';
 import {parseConfig, type ParseConfigOptions, readPlainValues} from '../parse-config/index.js';
 import {addSeal, type SealedConfig, type SealFailure} from '../seal-config/index.js';
-import {toLinesText} from '../to-lines-text/index.js';
+import {toConfigBody} from '../to-config-body/index.js';
 
 export type SealedParts = SealedConfig & {
 	/** In the root's order, JSON with one entry a line. */
@@ -56,7 +56,7 @@
 	const named = parts.map(({name, sha256, bytes}): NamedPart => ({name, sha256, bytes}));
 	const edition = previousEdition.value + 1;
 	const follows = previous === undefined ? undefined : toDigest(previous);
-	const text = addSeal(toLinesText({...values, parts: named}), 'json', edition, follows ?? 'none');
+	const text = addSeal(toConfigBody({...values, parts: named}), 'json', edition, follows ?? 'none');
 	// What hosts will read: sizes are known only now.
 	const texts = new Map(parts.map(part => [part.sha256, part.text]));
 	return parseConfig(text, {...options, findPart: ({sha256}) => texts.get(sha256)})
@@ -72,7 +72,7 @@
 
 /** The same entries give the same text and so the same digest, in whatever form they were written. */
 function toPart(name: string, source: string): ConfigPart {
-	const text = addPlainEnd(toLinesText(readPlainValues(source)!), 'json');
+	const text = addPlainEnd(toConfigBody(readPlainValues(source)!), 'json');
 	return {
 		name, sha256: toDigest(text), bytes: Buffer.byteLength(text), text,
 	};
--- a/src/domain/split-config/index.ts
+++ b/src/domain/split-config/index.ts
@@ -4,7 +4,7 @@
 import {
 	type ConfigFault, parseConfig, type ParseConfigOptions, readPlainValues,
 } from '../parse-config/index.js';
-import {toLinesText} from '../to-lines-text/index.js';
+import {toConfigBody} from '../to-config-body/index.js';
 
 /** A section whose entries may stand in parts. */
 export type PartSection = 'hosts' | 'servers' | 'rules';
@@ -45,13 +45,13 @@
 	const lists = {hosts, servers, rules: rules.slice(0, -1)};
 	const parts = sections.flatMap(section => cut(lists[section], position => isCut(section, position)).map((entries, i) => ({
 		name: `${section}-${String(i + 1).padStart(3, '0')}`,
-		text: addPlainEnd(toLinesText({[section]: entries}), 'json'),
+		text: addPlainEnd(toConfigBody({[section]: entries}), 'json'),
 	})));
 	const named = parts.length > 0 ? {parts: parts.map(({name}) => name)} : {};
 	const root = {
 		...named, ...rest, hosts: [], servers: [], rules: rules.slice(-1),
 	};
-	return ok({root: addPlainEnd(toLinesText(root), 'json'), parts});
+	return ok({root: addPlainEnd(toConfigBody(root), 'json'), parts});
 }
 
 function cut(entries: readonly unknown[], isCut: (position: number) => boolean): ReadonlyArray<readonly unknown[]> {
--- a/src/domain/to-lines-text/index.ts
+++ b/src/domain/to-config-body/index.ts
@@ -10,7 +10,7 @@
  * toLinesText({hosts: [{id: 'a-1', zone: 'a'}]}); // => '{\n"hosts": [\n{"id":"a-1","zone":"a"}\n]'
  * ```
  */
-export function toLinesText(values: Readonly<Record<string, unknown>>): string {
+export function toConfigBody(values: Readonly<Record<string, unknown>>): string {
 	const {edition, follows, end, ...rest} = values;
 	const sections = Object.entries(rest).map(([name, value]) => `${JSON.stringify(name)}: ${toLines(value)}`);
 	return `{\n${sections.join(',\n')}`;
--- a/src/domain/to-lines-text/test.ts
+++ b/src/domain/to-config-body/test.ts
@@ -2,18 +2,18 @@
 import {describe, it} from 'node:test';
 import fc from 'fast-check';
 import {addPlainEnd} from '../../_lib/split-config-end/index.js';
-import {toLinesText} from './index.js';
+import {toConfigBody} from './index.js';
 
 describe('toLinesText', () => {
 	it('writes what JSON reads back, whatever the values are', () => {
 		const values = fc.dictionary(fc.string().filter(key => !['edition', 'follows', 'end', '__proto__'].includes(key)), fc.jsonValue(), {minKeys: 1});
 		fc.assert(fc.property(values, value => {
-			const {end, ...rest} = JSON.parse(addPlainEnd(toLinesText(value), 'json')) as Record<string, unknown>;
+			const {end, ...rest} = JSON.parse(addPlainEnd(toConfigBody(value), 'json')) as Record<string, unknown>;
 			assert.equal(JSON.stringify(rest), JSON.stringify(value));
 		}));
 	});
 
 	it('writes one entry a line and leaves the old end out', () => {
-		assert.equal(toLinesText({rules: [{name: 'a'}, {name: 'b'}], edition: 3, end: 'banyanport'}), '{\n"rules": [\n{"name":"a"},\n{"name":"b"}\n]');
+		assert.equal(toConfigBody({rules: [{name: 'a'}, {name: 'b'}], edition: 3, end: 'banyanport'}), '{\n"rules": [\n{"name":"a"},\n{"name":"b"}\n]');
 	});
 });
--- a/src/domain/to-belief-timeline/index.ts
+++ b/src/domain/to-event-timeline/index.ts
@@ -3,7 +3,7 @@
 import {msPerSecond} from '../../ports/units.js';
 import {type LogLine} from '../parse-log-lines/index.js';
 
-export type BeliefRow = {
+export type TimelineRow = {
 	message: string;
 	/** What tells this change from others: server, state, edition and the like. */
 	subject: string;
@@ -35,9 +35,9 @@
  * toBeliefTimeline(parseLogLines(texts).lines)[0]?.hosts; // => ['front-a-1', 'front-b-1']
  * ```
  */
-export function toBeliefTimeline(lines: readonly LogLine[]): BeliefRow[] {
-	const rows: BeliefRow[] = [];
-	const open = new Map<string, BeliefRow>();
+export function toEventTimeline(lines: readonly LogLine[]): TimelineRow[] {
+	const rows: TimelineRow[] = [];
+	const open = new Map<string, TimelineRow>();
 	for (const line of lines.filter(({fields}) => fields.requestId === undefined)) {
 		const {message, host, at} = line;
 		const subject = toSubject(line);
--- a/src/domain/to-belief-timeline/test.ts
+++ b/src/domain/to-event-timeline/test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {type LogLine} from '../parse-log-lines/index.js';
-import {toBeliefTimeline} from './index.js';
+import {toEventTimeline} from './index.js';
 
 const toLine = (at: number, host: string, message: string, fields: LogLine['fields'] = {}): LogLine => ({
 	at, message, host, fields, level: 'info',
@@ -9,7 +9,7 @@
 
 describe('toBeliefTimeline', () => {
 	it('makes one row of one change, and tells who knew first and who last', () => {
-		const rows = toBeliefTimeline([
+		const rows = toEventTimeline([
 			toLine(0, 'a', 'server changed', {server: 's', state: 'gone', revision: 4}),
 			toLine(300, 'b', 'server changed', {server: 's', state: 'gone', revision: 5}),
 			toLine(400, 'b', 'request ended', {requestId: 'r'}),
@@ -21,7 +21,7 @@
 
 	it('keeps apart what one host says twice, and what comes much later', () => {
 		const lines = [0, 100, 40_000].map(at => toLine(at, 'a', 'platform does not answer'));
-		assert.equal(toBeliefTimeline(lines).length, 3);
-		assert.equal(toBeliefTimeline([toLine(0, 'a', 'stopping'), toLine(20_000, 'b', 'stopping')]).length, 2);
+		assert.equal(toEventTimeline(lines).length, 3);
+		assert.equal(toEventTimeline([toLine(0, 'a', 'stopping'), toLine(20_000, 'b', 'stopping')]).length, 2);
 	});
 });
--- a/src/domain/to-return-delay/index.ts
+++ b/src/domain/to-full-pool-retry-after/index.ts
@@ -14,7 +14,7 @@
  * @param holdMs - Mean time for which the pool's requests keep their memory; `undefined` while none has ended.
  * @returns Milliseconds; a caller who has waited less was not told to.
  */
-export function toLeastReturnDelay(holdMs: Milliseconds | undefined): Milliseconds {
+export function toMinFullPoolRetryAfter(holdMs: Milliseconds | undefined): Milliseconds {
 	return (holdMs ?? unknownHoldMs) * leastHolds;
 }
 
@@ -36,6 +36,6 @@
  * toReturnDelay(3000, () => 0); // => 3600
  * ```
  */
-export function toReturnDelay(holdMs: Milliseconds | undefined, random: Random): Milliseconds {
-	return toLeastReturnDelay(holdMs) + ((holdMs ?? unknownHoldMs) * spreadHolds * random());
+export function toFullPoolRetryAfter(holdMs: Milliseconds | undefined, random: Random): Milliseconds {
+	return toMinFullPoolRetryAfter(holdMs) + ((holdMs ?? unknownHoldMs) * spreadHolds * random());
 }
--- a/src/domain/to-return-delay/test.ts
+++ b/src/domain/to-full-pool-retry-after/test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import fc from 'fast-check';
-import {toLeastReturnDelay, toReturnDelay} from './index.js';
+import {toMinFullPoolRetryAfter, toFullPoolRetryAfter} from './index.js';
 
 /*
  * A burst of four seconds fills the decode memory. Callers who come back while it
@@ -13,13 +13,13 @@
 		fc.assert(fc.property(fc.integer({min: 1, max: 60_000}), fc.double({
 			min: 0, max: 1, maxExcluded: true, noNaN: true,
 		}), (holdMs, chance) => {
-			const delayMs = toReturnDelay(holdMs, () => chance);
+			const delayMs = toFullPoolRetryAfter(holdMs, () => chance);
 			assert.ok(delayMs >= holdMs * 1.2 && delayMs <= holdMs * 1.7);
-			assert.ok(delayMs >= toLeastReturnDelay(holdMs));
+			assert.ok(delayMs >= toMinFullPoolRetryAfter(holdMs));
 		}));
 	});
 
 	it('takes three seconds for the holding time while none is known', () => {
-		assert.equal(Math.round(toReturnDelay(undefined, () => 0)), 3600);
+		assert.equal(Math.round(toFullPoolRetryAfter(undefined, () => 0)), 3600);
 	});
 });
--- a/src/domain/to-held-notices/index.ts
+++ b/src/domain/to-held-notices/index.ts
@@ -1,7 +1,7 @@
 /** Says for staff which orders wait, for what, and what they can do. */
 import {type Config} from '../../ports/config.js';
 import {type ServerId, type ZoneId} from '../../ports/ids.js';
-import {type HeldOrder, type HeldReason} from '../pick-loads/index.js';
+import {type HeldOrder, type HeldReason} from '../plan-rollout/index.js';
 
 export type HeldNotice = {
 	pool: string;
--- a/src/domain/to-held-notices/test.ts
+++ b/src/domain/to-held-notices/test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {toServer} from '../create-placement/_lib/fixtures.js';
-import {type HeldOrder, type HeldReason} from '../pick-loads/index.js';
+import {type HeldOrder, type HeldReason} from '../plan-rollout/index.js';
 import {toHeldNotices} from './index.js';
 
 const servers = Array.from({length: 8}, (_, i) => toServer(`d${i}`, 'decode', {zone: i < 7 ? 'a' : 'b'}));
--- a/src/domain/to-problem/index.ts
+++ b/src/domain/to-problem/index.ts
@@ -63,7 +63,7 @@
 	/** Callers read the status alone, and conclude from it whether the request ran. */
 	isOutcomeInStatus?: boolean;
 	/** Callers read `Retry-After` with fractions of a second. */
-	hasFractions?: boolean;
+	hasFractionalSeconds?: boolean;
 };
 
 /** Statuses by which callers conclude that nothing ran and nothing will. */
@@ -85,7 +85,7 @@
 	return openStatuses.has(status) ? 503 : status;
 }
 
-function toRetryAfterText(retryAfterMs: Milliseconds, {hasFractions = false}: ProblemStyle): string {
+function toRetryAfterText(retryAfterMs: Milliseconds, {hasFractionalSeconds: hasFractions = false}: ProblemStyle): string {
 	const seconds = retryAfterMs / msPerSecond;
 	return hasFractions ? seconds.toFixed(2) : String(Math.max(1, Math.ceil(seconds)));
 }
--- a/src/domain/to-problem/test.ts
+++ b/src/domain/to-problem/test.ts
@@ -52,7 +52,7 @@
 	it('writes fractions of a second, and other statuses, for callers that expect them', () => {
 		const document = toProblem({
 			kind: 'no-rule', detail: '', outcome: 'not-run', retryAfterMs: 3456,
-		}, 'r1', {hasFractions: true, statuses: {'no-rule': 404}});
+		}, 'r1', {hasFractionalSeconds: true, statuses: {'no-rule': 404}});
 		assert.deepEqual([document.status, document.headers['retry-after']], [404, '3.46']);
 	});
 });
--- a/src/domain/to-read-pace/index.ts
+++ b/src/domain/to-read-pace/index.ts
@@ -13,7 +13,7 @@
  * is renewed at once would answer each of them by itself: with some twenty servers
  * ten reads a second in place of one and a half.
  */
-export const leastPauseMs: Milliseconds = 600;
+export const minPauseMs: Milliseconds = 600;
 
 const longestPauseMs: Milliseconds = 1500;
 
@@ -45,6 +45,6 @@
  * ```
  */
 export function toReadPace(actWithinMs: Milliseconds): ReadPace {
-	const pauseMs = Math.min(longestPauseMs, Math.max(leastPauseMs, actWithinMs - reserveMs));
+	const pauseMs = Math.min(longestPauseMs, Math.max(minPauseMs, actWithinMs - reserveMs));
 	return {pauseMs, waitMs: spanMs - pauseMs};
 }
--- a/src/domain/to-request-story/index.ts
+++ b/src/domain/to-request-history/index.ts
@@ -3,7 +3,7 @@
 import {msPerSecond} from '../../ports/units.js';
 import {type LogLine} from '../parse-log-lines/index.js';
 
-export type RequestStory = {
+export type RequestHistory = {
 	/** The request's own lines, in order. */
 	own: LogLine[];
 	/** What its host came to believe of the servers that it was sent to, and of the platform, around that time. */
@@ -74,7 +74,7 @@
  * toRequestStory(parseLogLines(texts).lines, '9c41d07be2a35f68').verdict; // => 'complete: it was answered'
  * ```
  */
-export function toRequestStory(lines: readonly LogLine[], requestId: string): RequestStory {
+export function toRequestHistory(lines: readonly LogLine[], requestId: string): RequestHistory {
 	const own = lines.filter(({fields}) => fields.requestId === requestId);
 	const [first] = own;
 	if (first === undefined) {
--- a/src/domain/to-request-story/test.ts
+++ b/src/domain/to-request-history/test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {type LogLine} from '../parse-log-lines/index.js';
-import {toRequestStory} from './index.js';
+import {toRequestHistory} from './index.js';
 
 const toLine = (at: number, message: string, fields: LogLine['fields'] = {}, host = 'a'): LogLine => ({
 	at, message, host, fields, level: 'info',
@@ -28,22 +28,22 @@
 	];
 
 	it('shows the request and what its host came to believe of its servers', () => {
-		const story = toRequestStory(cut, 'r');
+		const story = toRequestHistory(cut, 'r');
 		assert.equal(story.own.length, 4);
 		assert.deepEqual(story.beliefs.map(({at}) => at), [63_000]);
 	});
 
 	it('names the last failure', () => {
-		assert.match(toRequestStory(cut, 'r').verdict!, /the connection was reset/v);
+		assert.match(toRequestHistory(cut, 'r').verdict!, /the connection was reset/v);
 	});
 
 	it('says that memory was short where that was the cause', () => {
 		const lines = [ofRequest(0, 'request received'), ofRequest(5, 'every server is full'), ofRequest(900, 'request ended', {reason: 'no-capacity'})];
-		assert.match(toRequestStory(lines, 'r').verdict!, /^no-capacity: .*every decode server was full/v);
+		assert.match(toRequestHistory(lines, 'r').verdict!, /^no-capacity: .*every decode server was full/v);
 	});
 
 	it('has nothing to say of a request that no host wrote of, or whose end is missing', () => {
-		assert.deepEqual(toRequestStory(cut, 'other'), {own: [], beliefs: [], verdict: undefined});
-		assert.equal(toRequestStory([ofRequest(0, 'request received')], 'r').verdict, undefined);
+		assert.deepEqual(toRequestHistory(cut, 'other'), {own: [], beliefs: [], verdict: undefined});
+		assert.equal(toRequestHistory([ofRequest(0, 'request received')], 'r').verdict, undefined);
 	});
 });
--- a/src/domain/to-reserved-tokens/index.ts
+++ b/src/domain/to-reserved-tokens/index.ts
@@ -1,4 +1,4 @@
-import {type CallerWork} from '../../ports/server-calls.js';
+import {type RequestHints} from '../../ports/server-calls.js';
 
 /**
  * Part of the guessed answer that is reserved on top of the guess. Guesses are
@@ -16,10 +16,10 @@
  *
  * @example
  * ```ts
- * toReservedTokens({promptTokens: 3000, maxTokens: 2000, guessedTokens: 800}); // => 4000
+ * toReservedTokens({promptTokens: 3000, maxTokens: 2000, estimatedTokens: 800}); // => 4000
  * ```
  */
-export function toReservedTokens({promptTokens, maxTokens, guessedTokens}: Pick<CallerWork, 'promptTokens' | 'maxTokens' | 'guessedTokens'>): number {
-	const answer = guessedTokens === undefined ? maxTokens : Math.ceil(guessedTokens * (1 + guessMargin));
+export function toReservedTokens({promptTokens, maxTokens, estimatedTokens}: Pick<RequestHints, 'promptTokens' | 'maxTokens' | 'estimatedTokens'>): number {
+	const answer = estimatedTokens === undefined ? maxTokens : Math.ceil(estimatedTokens * (1 + guessMargin));
 	return promptTokens + Math.min(maxTokens, answer);
 }
--- a/src/domain/to-retry-part/index.ts
+++ b/src/domain/to-retry-share/index.ts
@@ -12,9 +12,9 @@
 	retryWindow: Milliseconds;
 };
 
-export type RetryPart = RetryBudgetOptions & Required<Pick<RetryBudgetOptions, 'toCapacity' | 'isEarnedOnly'>>;
+export type RetryShare = RetryBudgetOptions & Required<Pick<RetryBudgetOptions, 'toCapacity' | 'isEarnedOnly'>>;
 
-export type RetryPartOptions = {
+export type RetryShareOptions = {
 	/** Monotonic time at which this process started. */
 	startedAt?: Milliseconds;
 };
@@ -49,7 +49,7 @@
  * toCapacity(); // => 2
  * ```
  */
-export function toRetryPart(limits: RetryLimits, toHosts: () => number | undefined, {startedAt = -Infinity}: RetryPartOptions = {}): RetryPart {
+export function toRetryShare(limits: RetryLimits, toHosts: () => number | undefined, {startedAt = -Infinity}: RetryShareOptions = {}): RetryShare {
 	const {retryRatio, retrySlack, retryWindow} = limits;
 
 	function toCapacity(): number {
--- a/src/domain/to-retry-part/test.ts
+++ b/src/domain/to-retry-share/test.ts
@@ -2,7 +2,7 @@
 import {describe, it} from 'node:test';
 import fc from 'fast-check';
 import {createRetryBudget, type FailedAttempt, type RetryBudget} from '../create-retry-budget/index.js';
-import {toRetryPart} from './index.js';
+import {toRetryShare} from './index.js';
 
 const failed: FailedAttempt = {
 	repeatable: true, bytesOffered: 1, outcome: 'may-have-run', attempt: 1, maxAttempts: 2, deadline: 1_000_000, expectedMs: 0, tried: [],
@@ -20,7 +20,7 @@
 			const limits = {retryRatio: 0.2, retrySlack: 54, retryWindow: 10_000};
 			let retries = 0;
 			for (const count of requests) {
-				const budget = createRetryBudget(toRetryPart(limits, () => requests.length));
+				const budget = createRetryBudget(toRetryShare(limits, () => requests.length));
 				for (let i = 0; i < count; i++) {
 					budget.noteSuccess(i);
 					retries += budget.takeRetry(failed, i, () => 0).kind === 'retry' ? 1 : 0;
@@ -41,7 +41,7 @@
 		it(`adds up to no more at ${hosts} hosts that just started, nor when they know each other`, () => {
 			const limits = {retryRatio: 0.2, retrySlack: 430, retryWindow: 10_000};
 			for (const known of [undefined, hosts]) {
-				const budgets = Array.from({length: hosts}, () => createRetryBudget(toRetryPart(limits, () => known)));
+				const budgets = Array.from({length: hosts}, () => createRetryBudget(toRetryShare(limits, () => known)));
 				let requests = 0;
 				// Served for some seconds, hosts save up; then all calls fail.
 				for (const budget of known === undefined ? [] : budgets) {
@@ -67,7 +67,7 @@
 
 	/* Guards against hosts that spend all of the ratio, though the service counts a request in another window than they do. */
 	it('leaves a fifth of the ratio unused', () => {
-		const budget = createRetryBudget(toRetryPart({retryRatio: 0.2, retrySlack: 40, retryWindow: 10_000}, () => 20));
+		const budget = createRetryBudget(toRetryShare({retryRatio: 0.2, retrySlack: 40, retryWindow: 10_000}, () => 20));
 		const requests = 1000;
 		let retries = 0;
 		for (let i = 0; i < requests; i++) {
@@ -82,7 +82,7 @@
 
 	/* Guards against refused calls that cost less than they are: the service counts each call that reaches it. */
 	it('takes as much for a call that a server refused as for one that broke', () => {
-		const budget = createRetryBudget(toRetryPart({retryRatio: 0, retrySlack: 100, retryWindow: 10_000}, () => 20));
+		const budget = createRetryBudget(toRetryShare({retryRatio: 0, retrySlack: 100, retryWindow: 10_000}, () => 20));
 		const refused: FailedAttempt = {...failed, outcome: 'not-run'};
 		const kinds = Array.from({length: 7}, (_, i) => budget.takeRetry(i % 2 === 0 ? refused : failed, 0, () => 0).kind);
 		assert.deepEqual(kinds, ['retry', 'retry', 'retry', 'retry', 'retry', 'give-up', 'give-up']);
@@ -104,15 +104,15 @@
 		/* Guards against processes that are killed together and each make the part again that the ones before them have just made. */
 		it('has none of the slack until the window of the one before it has passed, and then all of it', () => {
 			for (const [now, granted] of [[5000, 0], [14_999, 0], [15_000, part], [60_000, part]] as const) {
-				assert.equal(spendAll(createRetryBudget(toRetryPart(limits, () => 20, {startedAt})), now), granted, `at ${now}`);
+				assert.equal(spendAll(createRetryBudget(toRetryShare(limits, () => 20, {startedAt})), now), granted, `at ${now}`);
 			}
 
-			const budget = createRetryBudget(toRetryPart(limits, () => 20, {startedAt}));
+			const budget = createRetryBudget(toRetryShare(limits, () => 20, {startedAt}));
 			assert.deepEqual([5000, 14_999, 15_000, 15_001].map(now => spendAll(budget, now)), [0, 0, part, 0]);
 		});
 
 		it('may make what its own successes pay for meanwhile, and no more than its part of them at once', () => {
-			const budget = createRetryBudget(toRetryPart(limits, () => 20, {startedAt}));
+			const budget = createRetryBudget(toRetryShare(limits, () => 20, {startedAt}));
 			const spent = Array.from({length: 25}, () => {
 				budget.noteSuccess(6000);
 				return spendAll(budget, 6000);
@@ -127,18 +127,18 @@
 		});
 
 		it('is charged for the further call of an attempt as well', () => {
-			const budget = createRetryBudget(toRetryPart(limits, () => 20, {startedAt}));
-			assert.equal(budget.takeAnother(6000), false);
+			const budget = createRetryBudget(toRetryShare(limits, () => 20, {startedAt}));
+			assert.equal(budget.takeExtraCall(6000), false);
 			for (let i = 0; i < 7; i++) {
 				budget.noteSuccess(6000);
 			}
 
-			assert.deepEqual([budget.takeAnother(6000), budget.takeAnother(6000)], [true, false]);
+			assert.deepEqual([budget.takeExtraCall(6000), budget.takeExtraCall(6000)], [true, false]);
 		});
 
 		it('spends one after the other as any process may once the window has passed', () => {
 			fc.assert(fc.property(fc.array(fc.record({isSuccess: fc.boolean(), afterMs: fc.nat({max: 3000})}), {maxLength: 200}), steps => {
-				const budget = createRetryBudget(toRetryPart(limits, () => 20, {startedAt: 0}));
+				const budget = createRetryBudget(toRetryShare(limits, () => 20, {startedAt: 0}));
 				let now = 0;
 				let successes = 0;
 				let heldRetries = 0;
@@ -161,7 +161,7 @@
 	});
 
 	it('takes nothing for a call that reached no server', () => {
-		const budget = createRetryBudget(toRetryPart({retryRatio: 0, retrySlack: 0, retryWindow: 10_000}, () => 0));
+		const budget = createRetryBudget(toRetryShare({retryRatio: 0, retrySlack: 0, retryWindow: 10_000}, () => 0));
 		const unreached: FailedAttempt = {...failed, bytesOffered: 0, outcome: 'not-run'};
 		assert.deepEqual(Array.from({length: 5}, () => budget.takeRetry(unreached, 0, () => 0).kind), Array.from({length: 5}, () => 'retry'));
 	});
--- a/src/domain/to-scoped-text/index.ts
+++ b/src/domain/to-scoped-key/index.ts
@@ -13,13 +13,13 @@
  * toScopedText({workspace: 'glossworks', key: '0189'}); // => '0189\nglossworks'
  * ```
  */
-export function toScopedText({workspace, key}: {workspace: WorkspaceId; key: string}): string {
+export function toScopedKey({workspace, key}: {workspace: WorkspaceId; key: string}): string {
 	// Joined and not concatenated: a concatenation keeps its parts alive in every table that it names an entry of.
 	return [key.toLowerCase(), workspace].join('\n');
 }
 
 /**
- * Reads a text of {@link toScopedText} back.
+ * Reads a text of {@link toScopedKey} back.
  *
  * @param text - The text.
  * @returns Workspace and key, the key in lower case.
@@ -29,7 +29,7 @@
  * parseScopedText('0189\nglossworks'); // => {workspace: 'glossworks', key: '0189'}
  * ```
  */
-export function parseScopedText(text: string): {workspace: WorkspaceId; key: string} {
+export function parseScopedKey(text: string): {workspace: WorkspaceId; key: string} {
 	const end = text.indexOf('\n');
 	return {workspace: text.slice(end + 1), key: text.slice(0, end)};
 }
--- a/src/domain/to-wait/index.ts
+++ b/src/domain/to-wait-policy/index.ts
@@ -3,15 +3,15 @@
 import {type ServiceClass} from '../../ports/outcome.js';
 
 /** How a request waits for room. */
-export type Wait = {
+export type WaitPolicy = {
 	class: ServiceClass;
 	/** Monotonic time by which its answer must start for the wait to make sense. */
 	latestStart: Milliseconds;
 	/** Asks for room once, and gives up when there is none. */
-	isOnce: boolean;
+	isSingleTry: boolean;
 };
 
-export type WaitInput = {
+export type WaitPolicyInput = {
 	then: Rule['then'];
 	poolKind: PoolEntry['kind'];
 	/** Monotonic time at which the request came. */
@@ -19,11 +19,11 @@
 	/** Monotonic time by which its caller has gone. */
 	deadline: Milliseconds;
 	/** Time for which the caller still waited when it came; `undefined` when it does not say. */
-	waitsMs: Milliseconds | undefined;
+	callerTimeoutMs: Milliseconds | undefined;
 	/** Least delay after which this host tells callers to come back, milliseconds. */
-	leastReturnMs: Milliseconds;
+	minRetryAfterMs: Milliseconds;
 	/** The caller has a part of the answer, and waits for the rest. */
-	hasBegun: boolean;
+	hasPartialAnswer: boolean;
 };
 
 /**
@@ -38,7 +38,7 @@
  * @param input - The rule, and the time that the caller says is left.
  * @returns Milliseconds by which it is less than its rule's time; a caller in a hurry has less from the start.
  */
-export function toAge({then, waitsMs}: Pick<WaitInput, 'then' | 'waitsMs'>): Milliseconds {
+export function toEarlierWaitMs({then, callerTimeoutMs: waitsMs}: Pick<WaitPolicyInput, 'then' | 'callerTimeoutMs'>): Milliseconds {
 	return waitsMs === undefined ? 0 : Math.max(0, then.target.completeMs - waitsMs);
 }
 
@@ -49,8 +49,8 @@
  * took more than half of the new requests for old ones, which were then refused
  * at the first full server in place of waiting for room that came in time.
  */
-function isBack(input: WaitInput): boolean {
-	return toAge(input) >= input.leastReturnMs;
+function isBack(input: WaitPolicyInput): boolean {
+	return toEarlierWaitMs(input) >= input.minRetryAfterMs;
 }
 
 /**
@@ -74,26 +74,26 @@
  * toWait({then, poolKind: 'model', receivedAt: 0, deadline: 14_000, waitsMs: 14_000, leastReturnMs: 3600, hasBegun: false}, 0).latestStart; // => then.target.firstTokenMs
  * ```
  */
-export function toWait(input: WaitInput, now: Milliseconds): Wait {
+export function toWaitPolicy(input: WaitPolicyInput, now: Milliseconds): WaitPolicy {
 	const {
-		then, poolKind, receivedAt, deadline, hasBegun,
+		then, poolKind, receivedAt, deadline, hasPartialAnswer: hasBegun,
 	} = input;
 	const {relay, target, class: serviceClass} = then;
 	if (relay === undefined) {
 		// From here and not from its arrival: the time for which a caller sent its body says nothing of the pool.
-		return {class: serviceClass, latestStart: Math.min(deadline, now + target.firstTokenMs), isOnce: false};
+		return {class: serviceClass, latestStart: Math.min(deadline, now + target.firstTokenMs), isSingleTry: false};
 	}
 
 	if (hasBegun) {
-		return {class: serviceClass, latestStart: Math.min(deadline, now + (relay.patienceMs * patienceShare)), isOnce: false};
+		return {class: serviceClass, latestStart: Math.min(deadline, now + (relay.patienceMs * patienceShare)), isSingleTry: false};
 	}
 
 	if (poolKind === 'plain') {
-		return {class: serviceClass, latestStart: Math.min(deadline, receivedAt + (relay.patienceMs * patienceShare)), isOnce: false};
+		return {class: serviceClass, latestStart: Math.min(deadline, receivedAt + (relay.patienceMs * patienceShare)), isSingleTry: false};
 	}
 
 	const inTime = receivedAt + target.firstTokenMs;
 	return now < inTime && !isBack(input)
-		? {class: serviceClass, latestStart: Math.min(deadline, inTime), isOnce: false}
-		: {class: 'batch', latestStart: deadline, isOnce: true};
+		? {class: serviceClass, latestStart: Math.min(deadline, inTime), isSingleTry: false}
+		: {class: 'batch', latestStart: deadline, isSingleTry: true};
 }
--- a/src/domain/to-wait/test.ts
+++ b/src/domain/to-wait-policy/test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {type RuleThen} from '../../ports/config.js';
-import {toAge, toWait, type WaitInput} from './index.js';
+import {toEarlierWaitMs, toWaitPolicy, type WaitPolicyInput} from './index.js';
 
 const then: RuleThen = {
 	pool: 'model',
@@ -16,8 +16,8 @@
 	},
 };
 
-const input: WaitInput = {
-	then, poolKind: 'model', receivedAt: 1000, deadline: 15_000, waitsMs: 14_000, leastReturnMs: 2500, hasBegun: false,
+const input: WaitPolicyInput = {
+	then, poolKind: 'model', receivedAt: 1000, deadline: 15_000, callerTimeoutMs: 14_000, minRetryAfterMs: 2500, hasPartialAnswer: false,
 };
 
 /*
@@ -27,44 +27,44 @@
  */
 describe('toWait', () => {
 	const {relay: _, ...ownThen} = then;
-	const cases: ReadonlyArray<{name: string; over: Partial<WaitInput>; now: number; expected: ReturnType<typeof toWait>}> = [
+	const cases: ReadonlyArray<{name: string; over: Partial<WaitPolicyInput>; now: number; expected: ReturnType<typeof toWaitPolicy>}> = [
 		{
-			name: 'a new request for a model waits while it can be in time', over: {}, now: 1000, expected: {class: 'quick', latestStart: 1900, isOnce: false},
+			name: 'a new request for a model waits while it can be in time', over: {}, now: 1000, expected: {class: 'quick', latestStart: 1900, isSingleTry: false},
 		},
 		{
-			name: 'one that can\'t be in time any more asks once, behind the others', over: {}, now: 1900, expected: {class: 'batch', latestStart: 15_000, isOnce: true},
+			name: 'one that can\'t be in time any more asks once, behind the others', over: {}, now: 1900, expected: {class: 'batch', latestStart: 15_000, isSingleTry: true},
 		},
 		{
-			name: 'one that comes back asks once', over: {waitsMs: 11_000, deadline: 12_000}, now: 1000, expected: {class: 'batch', latestStart: 12_000, isOnce: true},
+			name: 'one that comes back asks once', over: {callerTimeoutMs: 11_000, deadline: 12_000}, now: 1000, expected: {class: 'batch', latestStart: 12_000, isSingleTry: true},
 		},
 		{
-			name: 'one whose caller is in a hurry from the start is new', over: {waitsMs: 11_900, deadline: 12_900}, now: 1000, expected: {class: 'quick', latestStart: 1900, isOnce: false},
+			name: 'one whose caller is in a hurry from the start is new', over: {callerTimeoutMs: 11_900, deadline: 12_900}, now: 1000, expected: {class: 'quick', latestStart: 1900, isSingleTry: false},
 		},
 		{
-			name: 'one whose caller does not say how long it waits counts as new', over: {waitsMs: undefined}, now: 1000, expected: {class: 'quick', latestStart: 1900, isOnce: false},
+			name: 'one whose caller does not say how long it waits counts as new', over: {callerTimeoutMs: undefined}, now: 1000, expected: {class: 'quick', latestStart: 1900, isSingleTry: false},
 		},
 		{
-			name: 'no wait goes past the deadline', over: {deadline: 1400}, now: 1000, expected: {class: 'quick', latestStart: 1400, isOnce: false},
+			name: 'no wait goes past the deadline', over: {deadline: 1400}, now: 1000, expected: {class: 'quick', latestStart: 1400, isSingleTry: false},
 		},
 		{
-			name: 'a stream that goes on elsewhere waits for most of its caller\'s patience', over: {hasBegun: true}, now: 6000, expected: {class: 'quick', latestStart: 8880, isOnce: false},
+			name: 'a stream that goes on elsewhere waits for most of its caller\'s patience', over: {hasPartialAnswer: true}, now: 6000, expected: {class: 'quick', latestStart: 8880, isSingleTry: false},
 		},
 		{
-			name: 'a plain service\'s request waits for most of its caller\'s patience', over: {poolKind: 'plain'}, now: 1000, expected: {class: 'quick', latestStart: 3880, isOnce: false},
+			name: 'a plain service\'s request waits for most of its caller\'s patience', over: {poolKind: 'plain'}, now: 1000, expected: {class: 'quick', latestStart: 3880, isSingleTry: false},
 		},
 		{
-			name: 'on the own interface it waits for its first token\'s target, from now on', over: {then: ownThen, poolKind: 'plain'}, now: 2000, expected: {class: 'quick', latestStart: 2900, isOnce: false},
+			name: 'on the own interface it waits for its first token\'s target, from now on', over: {then: ownThen, poolKind: 'plain'}, now: 2000, expected: {class: 'quick', latestStart: 2900, isSingleTry: false},
 		},
 	];
 	for (const {name, over, now, expected} of cases) {
 		it(name, () => {
-			assert.deepEqual(toWait({...input, ...over}, now), expected);
+			assert.deepEqual(toWaitPolicy({...input, ...over}, now), expected);
 		});
 	}
 });
 
 describe('toAge', () => {
 	it('is what a caller has used up of its rule\'s time, and never below nothing', () => {
-		assert.deepEqual([14_000, 11_500, 20_000, undefined].map(waitsMs => toAge({then, waitsMs})), [0, 2500, 0, 0]);
+		assert.deepEqual([14_000, 11_500, 20_000, undefined].map(waitsMs => toEarlierWaitMs({then, callerTimeoutMs: waitsMs})), [0, 2500, 0, 0]);
 	});
 });
--- a/src/ports/config.ts
+++ b/src/ports/config.ts
@@ -95,7 +95,7 @@
 };
 
 /** How requests are passed on whose bodies the system does not read. */
-export type RelayTerms = {
+export type RelayPolicy = {
 	/** Servers to which one request may be sent, 1 at least. */
 	attempts: number;
 	/** Whether an answer that broke off may be continued by another server behind its last event. */
@@ -108,7 +108,7 @@
 
 export type RuleThen = {
 	/** Present where requests are passed on as they are, also to servers of models. */
-	relay?: RelayTerms;
+	relay?: RelayPolicy;
 	pool: string;
 	class: ServiceClass;
 	/** Whether the request may be run again after a backend server may have started it. */
--- a/src/ports/published.ts
+++ b/src/ports/published.ts
@@ -11,7 +11,7 @@
 import {type PlatformFailure} from './platform.js';
 
 /** Limit of a read, and of what a watch may take beyond its wait: a hundred times the platform's usual answer, and twice that of one sixty times as slow. */
-export const answerLimitMs: Milliseconds = 500;
+export const platformTimeoutMs: Milliseconds = 500;
 
 export type PublishedRules = {
 	/** Grows with each publication. */
--- a/src/ports/server-calls.ts
+++ b/src/ports/server-calls.ts
@@ -10,16 +10,16 @@
 import {type HostId, type RequestId, type WorkspaceId} from './ids.js';
 
 /** What a caller says of its request beside the body. */
-export type CallerWork = {
+export type RequestHints = {
 	/** Time for which the caller waits, counted from its request's arrival. */
-	waitsMs: Milliseconds | undefined;
+	timeoutMs: Milliseconds | undefined;
 	model: string | undefined;
 	/** Tokens of the prompt; 0 where there is none. */
 	promptTokens: number;
 	/** Tokens that the answer may have at most. */
 	maxTokens: number;
 	/** The caller's own guess of the answer's tokens: right at the median, often far off. */
-	guessedTokens: number | undefined;
+	estimatedTokens: number | undefined;
 };
 
 /** The KV cache of a prompt, as its prefill server keeps it for a moment. */
@@ -57,7 +57,7 @@
 	/** It ends soon and is to get nothing new. */
 	isLeaving: boolean;
 	/** Time for which it asks this host to back off; `undefined` when it names none. */
-	pauseMs: Milliseconds | undefined;
+	backoffMs: Milliseconds | undefined;
 };
 
 /** Calls of servers that keep prefill and decode apart. */
@@ -87,7 +87,7 @@
 };
 
 export type ServerCalls = {
-	readWork: (headers: Readonly<Record<string, string>>) => CallerWork;
+	parseHints: (headers: Readonly<Record<string, string>>) => RequestHints;
 	toHeaders: (call: OutgoingCall) => Record<string, string | string[]>;
 	/** Why a server says that it did not run the request; `undefined` when it says no such thing. */
 	toRefusal: (status: number, headers: AnswerHeaders) => EngineRefusalReason | undefined;
--- a/src/programs/_operations/start-operations.ts
+++ b/src/programs/_operations/start-operations.ts
@@ -18,9 +18,9 @@
 	metrics: Metrics;
 	keys?: ProgramKeys | undefined;
 	/** Why the program takes no requests; empty when it does. Called at each request. */
-	notReady: () => readonly ReadinessReason[];
+	notReadyReasons: () => readonly ReadinessReason[];
 	/** What needs somebody's attention although requests are taken; told with readiness. */
-	attention?: () => readonly ReadinessReason[];
+	warnings?: () => readonly ReadinessReason[];
 	/** Called before metrics are exposed, to set gauges. */
 	beforeMetrics?: () => void;
 	status: () => unknown;
@@ -50,13 +50,13 @@
 		token: settings.operatorToken,
 		keys: keys?.operator,
 		readiness() {
-			const notReady = options.notReady();
-			const attention = options.attention?.() ?? [];
+			const notReady = options.notReadyReasons();
+			const attention = options.warnings?.() ?? [];
 			const ofKeys = (keys?.toReasons() ?? []).map(reason => ({reason}));
 			return {ready: notReady.length === 0, reasons: [...notReady, ...attention, ...ofKeys]};
 		},
 		metrics() {
-			readyGauge.set({}, options.notReady().length === 0 ? 1 : 0);
+			readyGauge.set({}, options.notReadyReasons().length === 0 ? 1 : 0);
 			options.beforeMetrics?.();
 			return metrics.toPrometheus();
 		},
--- a/src/programs/_operations/test.ts
+++ b/src/programs/_operations/test.ts
@@ -30,7 +30,7 @@
 		const burn = reportSlo(ledger, clock, metrics);
 		let notReady: readonly ReadinessReason[] = [{reason: 'no configuration is in force'}];
 		const started = await startOperations({
-			settings: {bind: '127.0.0.1', operatorPort: 0}, log, metrics, notReady: () => notReady, status: () => ({}), ...burn,
+			settings: {bind: '127.0.0.1', operatorPort: 0}, log, metrics, notReadyReasons: () => notReady, status: () => ({}), ...burn,
 		});
 		const server = started._unsafeUnwrap();
 		context.after(async () => server.close(1000));
@@ -61,8 +61,8 @@
 			settings: {bind: '127.0.0.1', operatorPort: 0},
 			log,
 			metrics: createMetrics(),
-			notReady: () => [],
-			attention: () => [{reason: 'two of one name', remedy: 'stop one'}],
+			notReadyReasons: () => [],
+			warnings: () => [{reason: 'two of one name', remedy: 'stop one'}],
 			status: () => ({}),
 		});
 		const server = started._unsafeUnwrap();
--- a/src/programs/_operations/to-slo-sample.ts
+++ b/src/programs/_operations/to-slo-sample.ts
@@ -5,7 +5,7 @@
 import {type WorkspaceId} from '../../ports/ids.js';
 
 /** What an entry knows of a request that has ended. */
-export type EndedForSlo = {
+export type SloRequestOutcome = {
 	workspace: WorkspaceId;
 	rule: {name: string; then: Pick<Rule['then'], 'class' | 'target'>};
 	end: 'complete' | 'refused' | 'failed' | 'caller-gone';
@@ -14,7 +14,7 @@
 	outputTokens: number;
 };
 
-const sampleEnds: Readonly<Record<EndedForSlo['end'], SampleEnd>> = {
+const sampleEnds: Readonly<Record<SloRequestOutcome['end'], SampleEnd>> = {
 	complete: 'complete', refused: 'refused', failed: 'failed', 'caller-gone': 'gone',
 };
 
@@ -24,7 +24,7 @@
  * @param ended - The request.
  * @returns The sample; the time between tokens is the mean over the answer.
  */
-export function toSloSample(ended: EndedForSlo): SloSample {
+export function toSloSample(ended: SloRequestOutcome): SloSample {
 	const {rule, firstTokenMs, completeMs, outputTokens} = ended;
 	const gaps = outputTokens - 1;
 	return {
--- a/src/programs/_run/index.ts
+++ b/src/programs/_run/index.ts
@@ -8,7 +8,7 @@
 const abandonedCode = 1;
 
 /** What runs: an entry, however it learns of the fleet. */
-export type Running = {
+export type RunningProgram = {
 	callerPort: number;
 	peerPort: number;
 	operatorPort: number;
@@ -23,7 +23,7 @@
 	process.exit(code);
 }
 
-async function startOrExit(log: Log, start: () => Promise<Running>): Promise<Running> {
+async function startOrExit(log: Log, start: () => Promise<RunningProgram>): Promise<RunningProgram> {
 	try {
 		return await start();
 	} catch (error) {
@@ -39,7 +39,7 @@
  * @param log - The program's log.
  * @param start - Starts it; what it throws is logged and ends the process.
  */
-export async function runUntilStopped(log: Log, start: () => Promise<Running>): Promise<void> {
+export async function runUntilStopped(log: Log, start: () => Promise<RunningProgram>): Promise<void> {
 	const running = await startOrExit(log, start);
 	const {callerPort, peerPort, operatorPort} = running;
 	log.info('listening', {callerPort, peerPort, operatorPort});
--- a/src/programs/agent/_lib/agent-types.ts
+++ b/src/programs/agent/_lib/agent-types.ts
@@ -47,9 +47,9 @@
 	/** Orders that wait, and for what. */
 	heldOrders: () => HeldOrders;
 	/** Whether it has a configuration and may be relied on; with reasons when not. */
-	notReady: () => readonly AgentReason[];
+	notReadyReasons: () => readonly AgentReason[];
 	/** What needs somebody's attention although the agent may be relied on. */
-	attention: () => readonly AgentReason[];
+	warnings: () => readonly AgentReason[];
 	/** Address of another live agent under this host's name, while there is one. */
 	twin: () => string | undefined;
 	/** Takes changed keys for new connections. */
--- a/src/programs/agent/_lib/give-orders.ts
+++ b/src/programs/agent/_lib/give-orders.ts
@@ -5,7 +5,7 @@
 import {type Log} from '../../../adapters/log/index.js';
 import {waitFor} from '../../../_lib/wait-for/index.js';
 import {isOrderAllowed, isViewConfirmed, toOrderCircumstances} from '../../../domain/is-order-allowed/index.js';
-import {pickLoads} from '../../../domain/pick-loads/index.js';
+import {planRollout} from '../../../domain/plan-rollout/index.js';
 import {toHeldNotices, type HeldNotice} from '../../../domain/to-held-notices/index.js';
 import {type WantedOrder} from '../../../domain/to-orders/index.js';
 import {type Milliseconds, type Random} from '../../../ports/clock.js';
@@ -86,7 +86,7 @@
 		const acceptedAt = toWantedSince(current.accepted.config);
 		plannedVersion = current.accepted.version;
 		const mine = new Map(servers().map(server => [server.id, server]));
-		const {orders, held} = pickLoads(current, current.accepted, decidedAt, {acceptedAt});
+		const {orders, held} = planRollout(current, current.accepted, decidedAt, {acceptedAt});
 		const isUnsure = isBehind() || !isViewConfirmed(current, decidedAt);
 		const unsure = isUnsure ? orders.map(wanted => ({...wanted, reason: 'unconfirmed' as const})) : [];
 		onHeld(toHeldNotices([...held, ...unsure], current.accepted.config));
--- a/src/programs/agent/_lib/hold-documents.ts
+++ b/src/programs/agent/_lib/hold-documents.ts
@@ -122,7 +122,7 @@
 			log.info('configuration accepted', {
 				edition, revision, digest, from: source,
 			});
-			const warning = verdict.rivalry?.message ?? verdict.warning;
+			const warning = verdict.conflict?.message ?? verdict.warning;
 			notices = {refused: undefined, warning};
 			// Published again by mistake, it is told again.
 			refusedDigest = undefined;
--- a/src/programs/agent/_lib/judge-leavers.ts
+++ b/src/programs/agent/_lib/judge-leavers.ts
@@ -1,6 +1,6 @@
 /** What a server's load report is worth after the server refused work as leaving. */
 import {type FleetTable} from '../../../domain/create-fleet-table/index.js';
-import {type LeaveHold} from '../../../domain/create-leave-hold/index.js';
+import {type LeavingOverrides} from '../../../domain/create-leaving-overrides/index.js';
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type ServerEntry} from '../../../ports/config.js';
 import {type LoadReport} from '../../../ports/engine.js';
@@ -10,7 +10,7 @@
 
 export type JudgeLeaversOptions = Pick<AgentOptions, 'toEngine' | 'log'> & {
 	table: FleetTable;
-	hold: LeaveHold;
+	hold: LeavingOverrides;
 	/** Servers that this host looks after now. */
 	servers: () => readonly ServerEntry[];
 	/** In whose name a probe reserves. */
@@ -38,7 +38,7 @@
 		judge(load) {
 			const before = table.view(now()).servers.get(load.server);
 			const isListedLeaving = () => table.fleet()?.fleet.servers.some(({id, state}) => id === load.server && state === 'leaving') === true;
-			return hold.judge(load, now(), {wasLeaving: before?.leaving === true, stateBefore: before?.load?.state, isListedLeaving});
+			return hold.toEffectiveReport(load, now(), {wasLeaving: before?.leaving === true, previousState: before?.load?.state, isListedLeaving});
 		},
 		async probe(load) {
 			const server = servers().find(({id}) => id === load.server);
@@ -50,7 +50,7 @@
 			const isAccepted = await probeLeaver(server, {
 				engine: toEngine(server), load, owner, count: probes,
 			});
-			hold.noteProbe(server.id, isAccepted, now());
+			hold.noteProbeResult(server.id, isAccepted, now());
 			const reason = isAccepted ? 'it accepts work and is used again' : 'it accepts none and is asked again later, each time after twice as long';
 			log.info('asked a server that was said to be leaving', {server: server.id, reason});
 		},
--- a/src/programs/agent/_lib/mind-pauses.ts
+++ b/src/programs/agent/_lib/mind-pauses.ts
@@ -54,7 +54,7 @@
 		},
 		toSoundTime(askedAt) {
 			check();
-			return guard.toSoundTime(askedAt, now());
+			return guard.toValidAsOf(askedAt, now());
 		},
 		toArrival() {
 			check();
--- a/src/programs/agent/_lib/serve-peers.ts
+++ b/src/programs/agent/_lib/serve-peers.ts
@@ -1,7 +1,7 @@
 /** Takes what agents of other hosts and this host's entry say, and passes it to whom it concerns. */
 import {type PeerConnection, type PeerHello} from '../../../adapters/peer-tcp/index.js';
 import {
-	configCall, feedEvents, type FeedConfig, type FeedLeaving, type FeedPing, type ViewPublisher,
+	feedConfigCall, feedEvents, type FeedConfig, type FeedLeaving, type FeedPing, type ViewPublisher,
 } from '../../../adapters/view-feed/index.js';
 import {isRecord} from '../../../_lib/is-record/index.js';
 import {type Membership} from '../../../domain/create-membership/index.js';
@@ -57,7 +57,7 @@
 			return;
 		}
 
-		const reply = await connection.call(configCall, {}, {timeoutMs: configTimeoutMs});
+		const reply = await connection.call(feedConfigCall, {}, {timeoutMs: configTimeoutMs});
 		const held = reply.unwrapOr(undefined) as FeedConfig | undefined;
 		if (held) {
 			const texts = new Map(held.parts?.map(({sha256, text}) => [sha256, text]));
--- a/src/programs/agent/_lib/spread-loads.test.ts
+++ b/src/programs/agent/_lib/spread-loads.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {createFleetTable} from '../../../domain/create-fleet-table/index.js';
-import {createLeaveHold} from '../../../domain/create-leave-hold/index.js';
-import {createLoadSpread} from '../../../domain/create-load-spread/index.js';
+import {createLeavingOverrides} from '../../../domain/create-leaving-overrides/index.js';
+import {createLoadBroadcast} from '../../../domain/create-load-broadcast/index.js';
 import {type AcceptedConfig} from '../../../ports/config.js';
 import {type LoadReport} from '../../../ports/engine.js';
 import {type HostLife, type HostStatus} from '../../../ports/view.js';
@@ -31,7 +31,7 @@
 	table.noteLoad(toReport(server), 10_000);
 	const loads = spreadLoads({
 		table,
-		hold: createLeaveHold(),
+		hold: createLeavingOverrides(),
 		self: () => ({id: 'a-1', zone: 'a'}),
 		hosts: () => new Map([toHost('a-1', 'a'), toHost('a-2', 'a'), toHost('b-1', 'b', lifeOfB)]),
 		send: () => undefined,
@@ -40,9 +40,9 @@
 		now: () => 11_000,
 		toArrival: () => 11_000,
 	});
-	const sender = createLoadSpread();
+	const sender = createLoadBroadcast();
 	sender.noteUnreachable(server, askedAt);
-	loads.takeEvent(from, peerEvents.loads, sender.take(1, 11_000));
+	loads.takeEvent(from, peerEvents.loads, sender.takeDue(1, 11_000));
 	return table.view(11_000).servers.get(server)!.reachable;
 }
 
--- a/src/programs/agent/_lib/spread-loads.ts
+++ b/src/programs/agent/_lib/spread-loads.ts
@@ -1,8 +1,8 @@
 /** Passes load reports, reachability reports and news of leaving servers between agents. */
 import {isRecord} from '../../../_lib/is-record/index.js';
-import {createLoadSpread, readLoads, type LoadSpread} from '../../../domain/create-load-spread/index.js';
+import {createLoadBroadcast, decodeLoads, type LoadBroadcast} from '../../../domain/create-load-broadcast/index.js';
 import {type FleetTable} from '../../../domain/create-fleet-table/index.js';
-import {type LeaveHold} from '../../../domain/create-leave-hold/index.js';
+import {type LeavingOverrides} from '../../../domain/create-leaving-overrides/index.js';
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type LoadReport} from '../../../ports/engine.js';
 import {type HostId, type ServerId} from '../../../ports/ids.js';
@@ -15,7 +15,7 @@
 
 export type SpreadLoadsOptions = {
 	table: FleetTable;
-	hold: LeaveHold;
+	hold: LeavingOverrides;
 	self: () => {id: HostId; zone: string};
 	hosts: () => ReadonlyMap<HostId, HostStatus>;
 	send: (host: HostStatus, name: string, body: unknown) => void;
@@ -30,7 +30,7 @@
 };
 
 export type LoadsTask = {
-	spread: LoadSpread;
+	spread: LoadBroadcast;
 	/** Sends what is due. */
 	tick: () => void;
 	/** Takes news that servers are leaving, holds it, and passes on what the table did not know. */
@@ -52,7 +52,7 @@
  * @returns See {@link LoadsTask}.
  */
 export function spreadLoads({table, hold, self, hosts, send, call, spreadTargets, now, toArrival, smallFleet}: SpreadLoadsOptions): LoadsTask {
-	const spread = createLoadSpread();
+	const spread = createLoadBroadcast();
 	const asking = new Set<HostId>();
 	const names = createServerNames(table);
 
@@ -113,7 +113,7 @@
 	}
 
 	function takeLoads(from: HostId, body: unknown) {
-		const {loads, unreachable, wanted} = readLoads(body instanceof Uint8Array ? body : new Uint8Array(), names.findByHash, findLoad);
+		const {loads, unreachable, wanted} = decodeLoads(body instanceof Uint8Array ? body : new Uint8Array(), names.findByHash, findLoad);
 		for (const load of loads) {
 			table.noteLoad(load, toArrival() - load.ageMs);
 		}
@@ -133,7 +133,7 @@
 		spread,
 		tick() {
 			const to = receivers();
-			const bytes = spread.take(to.length, now());
+			const bytes = spread.takeDue(to.length, now());
 			for (const host of bytes ? to : []) {
 				send(host, peerEvents.loads, bytes);
 			}
--- a/src/programs/agent/_lib/spread-summaries.ts
+++ b/src/programs/agent/_lib/spread-summaries.ts
@@ -94,7 +94,7 @@
 		makeAt = now() + (makeIntervals * intervalMs);
 		const {rows, at} = summariseZone(table.view(now()), self.zone, now());
 		if (rows.length > 0) {
-			summaries.make({zone: self.zone, at, rows}, now(), wallNow());
+			summaries.setOwn({zone: self.zone, at, rows}, now(), wallNow());
 		}
 	}
 
@@ -142,7 +142,7 @@
 		},
 		toRider: to => look().isActing && hosts().get(to)?.zone !== self.zone ? summaries.pack(now(), self.zone) : undefined,
 		takeRider(bytes) {
-			summaries.take(bytes, toArrival(), now());
+			summaries.merge(bytes, toArrival(), now());
 		},
 		takeEvent(name, body) {
 			if (name !== peerEvents.summaries) {
@@ -150,7 +150,7 @@
 			}
 
 			if (isSummariesEvent(body) && hosts().get(body.root)?.zone === self.zone) {
-				summaries.take(body.bytes, toArrival(), now());
+				summaries.merge(body.bytes, toArrival(), now());
 				if (isNewRound(body)) {
 					tellOn(body.root, body.round);
 				}
--- a/src/programs/agent/_lib/start-agent.ts
+++ b/src/programs/agent/_lib/start-agent.ts
@@ -6,7 +6,7 @@
 import {createViewPublisher} from '../../../adapters/view-feed/index.js';
 import {listenPeers, type PeerHello} from '../../../adapters/peer-tcp/index.js';
 import {createFleetTable} from '../../../domain/create-fleet-table/index.js';
-import {createLeaveHold} from '../../../domain/create-leave-hold/index.js';
+import {createLeavingOverrides} from '../../../domain/create-leaving-overrides/index.js';
 import {createMembership, type Membership} from '../../../domain/create-membership/index.js';
 import {type HostId} from '../../../ports/ids.js';
 import {type HostStatus} from '../../../ports/view.js';
@@ -97,7 +97,7 @@
 		platformReads: 0, orphansReleased: 0, ordersGiven: 0, configsRefused: 0,
 	};
 	const table = createFleetTable();
-	const hold = createLeaveHold();
+	const hold = createLeavingOverrides();
 	const publisher = createViewPublisher();
 	const membership = startMembership(options, address);
 	const mesh = createMesh({
@@ -233,8 +233,8 @@
 		},
 		notices: documents.notices,
 		heldOrders: tended.heldOrders,
-		notReady: () => table.accepted() ? [] : [{reason: 'no configuration has been accepted yet', remedy: 'see that --platform-url or one of --seeds is reached and serves a valid document'}],
-		attention: twins.reasons,
+		notReadyReasons: () => table.accepted() ? [] : [{reason: 'no configuration has been accepted yet', remedy: 'see that --platform-url or one of --seeds is reached and serves a valid document'}],
+		warnings: twins.reasons,
 		twin: () => membership.twin(now()),
 		reloadKeys: listener.reloadKeys,
 		async stop() {
--- a/src/programs/agent/_lib/tend-servers.ts
+++ b/src/programs/agent/_lib/tend-servers.ts
@@ -1,6 +1,6 @@
 /** What this host does for the servers that are its to look after: polls them, frees orphans, and gives orders. */
 import {type FleetTable} from '../../../domain/create-fleet-table/index.js';
-import {type LeaveHold} from '../../../domain/create-leave-hold/index.js';
+import {type LeavingOverrides} from '../../../domain/create-leaving-overrides/index.js';
 import {type Milliseconds} from '../../../ports/clock.js';
 import {
 	type HostId, type Incarnation, type Owner, type ServerId,
@@ -20,7 +20,7 @@
 	table: FleetTable;
 	hosts: () => ReadonlyMap<HostId, HostStatus>;
 	loads: LoadsTask;
-	hold: LeaveHold;
+	hold: LeavingOverrides;
 	/** Of this process. */
 	incarnation: Incarnation;
 	pauses: Pauses;
--- a/src/programs/agent/main.ts
+++ b/src/programs/agent/main.ts
@@ -89,8 +89,8 @@
 		log,
 		metrics,
 		keys,
-		notReady: agent.notReady,
-		attention: agent.attention,
+		notReadyReasons: agent.notReadyReasons,
+		warnings: agent.warnings,
 		status: () => ({
 			...toStatus(agent.view(), performance.now()), ...agent.notices(), twin: agent.twin(), heldOrders: agent.heldOrders(), counts: agent.counts(),
 		}),
--- a/src/programs/cli/run-explain-request/index.ts
+++ b/src/programs/cli/run-explain-request/index.ts
@@ -1,7 +1,7 @@
 /** `banyanport explain-request`: one request's story from the log lines of all hosts. */
 import {err, ok} from 'neverthrow';
 import {type LogLine} from '../../../domain/parse-log-lines/index.js';
-import {toFieldsText, toRequestStory} from '../../../domain/to-request-story/index.js';
+import {toFieldsText, toRequestHistory} from '../../../domain/to-request-history/index.js';
 import {
 	type CliIo, type CommandResult, exitCodes, toJsonText,
 } from '../_lib/io.js';
@@ -21,7 +21,7 @@
 		return err(read.error);
 	}
 
-	const story = toRequestStory(read.value, options.id);
+	const story = toRequestHistory(read.value, options.id);
 	if (options.json) {
 		io.write(toJsonText({requestId: options.id, ...story}));
 	} else {
@@ -36,7 +36,7 @@
 	return ok(exitCodes.faults);
 }
 
-function toStoryText({own, beliefs, verdict}: ReturnType<typeof toRequestStory>): string {
+function toStoryText({own, beliefs, verdict}: ReturnType<typeof toRequestHistory>): string {
 	const [first] = own;
 	if (first === undefined) {
 		return '';
--- a/src/programs/cli/run-timeline/index.ts
+++ b/src/programs/cli/run-timeline/index.ts
@@ -1,6 +1,6 @@
 /** `banyanport timeline`: what hosts believed when, from their log lines. */
 import {err, ok} from 'neverthrow';
-import {toBeliefTimeline, type BeliefRow} from '../../../domain/to-belief-timeline/index.js';
+import {toEventTimeline, type TimelineRow} from '../../../domain/to-event-timeline/index.js';
 import {
 	type CliIo, type CommandResult, exitCodes, toJsonText,
 } from '../_lib/io.js';
@@ -23,12 +23,12 @@
 		return err(read.error);
 	}
 
-	const rows = toBeliefTimeline(read.value);
+	const rows = toEventTimeline(read.value);
 	io.write(options.json ? toJsonText({rows}) : rows.map(row => `${toRowText(row)}\n`).join(''));
 	return ok(rows.length > 0 ? exitCodes.fine : exitCodes.faults);
 }
 
-function toRowText({message, subject, firstAt, lastAt, hosts}: BeliefRow): string {
+function toRowText({message, subject, firstAt, lastAt, hosts}: TimelineRow): string {
 	const who = hosts.length <= maxNamedHosts ? hosts.join(' ') : `${hosts.length} hosts, ${hosts[0]} first, ${hosts.at(-1)} last`;
 	const spread = lastAt > firstAt ? ` (all within ${lastAt - firstAt} ms)` : '';
 	return `${new Date(firstAt).toISOString()}  ${message}  ${subject}  ${who}${spread}`;
--- a/src/programs/entry/_lib/tally.ts
+++ b/src/programs/entry/_lib/create-entry-metrics.ts
@@ -1,7 +1,7 @@
 /** The entry's metrics. */
 import {latencyBoundsMs, type Metrics} from '../../../adapters/metrics/index.js';
-import {type EndedRequest} from './ended.js';
-import {type Tally} from './types.js';
+import {type EndedRequest} from './ended-request.js';
+import {type RunMetrics} from './types.js';
 
 const classes = ['quick', 'batch'] as const;
 const ends = ['complete', 'refused', 'failed', 'caller-gone'] as const satisfies ReadonlyArray<EndedRequest['end']>;
@@ -17,7 +17,7 @@
  * @param metrics - Registry of the process.
  * @returns What a run counts, and the counters that the program itself uses.
  */
-export function createTally(metrics: Metrics) {
+export function createEntryMetrics(metrics: Metrics) {
 	const scale = 0.001;
 	const requests = metrics.createCounter({
 		name: 'requests_total', help: 'Requests by how they ended, but for those that were the caller\'s mistake.', labels: {class: classes, end: ends, outcome: outcomes},
@@ -38,24 +38,24 @@
 	const wastedTokens = metrics.createCounter({name: 'wasted_prefill_tokens_total', help: 'Prompt tokens of prefills whose result was not used.', labels: {cause: wasteCauses}});
 	const cancels = metrics.createCounter({name: 'cancels_total', help: 'Cancels of attempts on engines, by how they ended.', labels: {end: cancelEnds}});
 	const pauses = metrics.createCounter({name: 'pauses_total', help: 'Times that the process woke up after it was paused.'});
-	const tally: Tally = {
+	const tally: RunMetrics = {
 		firstToken(run, ms) {
 			firstToken.record({class: run.rule.then.class}, ms);
 		},
-		chunkDropped(cause) {
+		countDroppedChunk(cause) {
 			dropped.add({cause});
 		},
-		resumed() {
+		countResume() {
 			resumed.add({});
 		},
-		rerun() {
+		countRerun() {
 			rerun.add({});
 		},
-		retryDecided(decision, cost) {
+		countRetryDecision(decision, cost) {
 			retries.add({decision});
 			retryCost.add({}, cost);
 		},
-		prefillWasted(cause, promptTokens) {
+		countWastedPrefill(cause, promptTokens) {
 			wasted.add({cause});
 			wastedTokens.add({cause}, promptTokens);
 		},
--- a/src/programs/entry/_lib/create-notices.ts
+++ b/src/programs/entry/_lib/create-notice-handler.ts
@@ -8,7 +8,7 @@
 /** Servers whose leaving was logged, so that it is logged once. */
 const maxTold = 1024;
 
-export type NoticesOptions = {
+export type NoticeHandlerOptions = {
 	log: Log;
 	/** Takes a server's own notice that it leaves. */
 	reportLeaving: (server: ServerId) => void;
@@ -22,7 +22,7 @@
  * @param options - What to do with them.
  * @returns The function.
  */
-export function createNotices({log, reportLeaving, notePause}: NoticesOptions): (server: ServerEntry, notice: ServerNotice) => void {
+export function createNoticeHandler({log, reportLeaving, notePause}: NoticeHandlerOptions): (server: ServerEntry, notice: ServerNotice) => void {
 	const told = new Set<ServerId>();
 
 	function noteLeaving(id: ServerId): void {
@@ -39,7 +39,7 @@
 		reportLeaving(id);
 	}
 
-	return ({id}, {isLeaving, pauseMs}) => {
+	return ({id}, {isLeaving, backoffMs: pauseMs}) => {
 		if (isLeaving) {
 			noteLeaving(id);
 		}
--- a/src/programs/entry/_lib/create-run-services.ts
+++ b/src/programs/entry/_lib/create-run-services.ts
@@ -7,7 +7,7 @@
 import {type RetryBudgetOptions} from '../../../domain/create-retry-budget/index.js';
 import {type SharedLoads} from '../../../domain/create-shared-loads/index.js';
 import {type ServerHealthOptions} from '../../../domain/create-server-health/index.js';
-import {createTransferLimits} from '../../../domain/create-transfer-limits/index.js';
+import {createTransferTimeouts} from '../../../domain/create-transfer-timeouts/index.js';
 import {tokensPerBlock} from '../../../domain/to-prefix-blocks/index.js';
 import {type Clock, type Milliseconds, type Random} from '../../../ports/clock.js';
 import {type Config} from '../../../ports/config.js';
@@ -20,7 +20,7 @@
 import {createCancelQueue, type CancelQueueOptions} from '../cancel-queue/index.js';
 import {createGate} from '../gate/index.js';
 import {createPoolBudgets} from './create-pool-budgets/index.js';
-import {type createTally} from './tally.js';
+import {type createEntryMetrics} from './create-entry-metrics.js';
 import {type RunServices} from './types.js';
 
 export type RunServicesOptions = {
@@ -29,7 +29,7 @@
 	host: HostId;
 	zone: ZoneId;
 	engines: Engines;
-	counters: ReturnType<typeof createTally>;
+	counters: ReturnType<typeof createEntryMetrics>;
 	log: Log;
 	reservationTtlMs: Milliseconds;
 	/** Bounds of each pool's retries. */
@@ -73,7 +73,7 @@
 		toView,
 		toEngine: engines.toEngine,
 		placement: createPlacement({
-			zone, host, tokensPerBlock, ...(options.health && {health: options.health}), ...(options.shared && {readOthers: options.shared.read, isZoneSilent: options.shared.isZoneSilent}),
+			zone, host, tokensPerBlock, ...(options.health && {health: options.health}), ...(options.shared && {readPeerLoad: options.shared.read, isZoneSilent: options.shared.isZoneSilent}),
 		}),
 		gate: createGate({admission: createAdmission(), zone, now: clock.now}),
 		cancels: createCancelQueue({
@@ -91,8 +91,8 @@
 		}),
 		reportLeaving,
 		toRetryBudget: budgets.toRetryBudget,
-		transferLimits: createTransferLimits(),
-		tally: counters.tally,
+		transferLimits: createTransferTimeouts(),
+		runMetrics: counters.tally,
 		reservationTtlMs,
 	};
 
--- a/src/programs/entry/_lib/find-key.ts
+++ b/src/programs/entry/_lib/find-idempotency-key.ts
@@ -13,7 +13,7 @@
  * @param isRepeatable - Whether the work may run again.
  * @returns The key, `undefined` for a request without one, or why it can't be served.
  */
-export function findKey(exchange: CallerExchange, isRepeatable: boolean): Result<string | undefined, Problem> {
+export function findIdempotencyKey(exchange: CallerExchange, isRepeatable: boolean): Result<string | undefined, Problem> {
 	const parsed = parseIdempotencyKey(exchange.headers['idempotency-key']);
 	if (parsed.isOk()) {
 		return ok(parsed.value.key);
@@ -31,7 +31,7 @@
  * @param body - Its body.
  * @returns SHA-256 over method, path and body, hex.
  */
-export function toDigest(exchange: CallerExchange, body: Uint8Array): string {
+export function toRequestDigest(exchange: CallerExchange, body: Uint8Array): string {
 	return createHash('sha256').update(`${exchange.method} ${exchange.target}\n`).update(body).digest('hex');
 }
 
@@ -46,7 +46,7 @@
  * @param headers - The caller's.
  * @returns The problem, with an outcome that claims no more than is known.
  */
-export function toUnclaimed(problem: Problem, headers: CallerExchange['headers']): Problem {
+export function toUnclaimedProblem(problem: Problem, headers: CallerExchange['headers']): Problem {
 	return problem.outcome === 'not-run' && parseIdempotencyKey(headers['idempotency-key']).isOk()
 		? {...problem, outcome: 'may-have-run'}
 		: problem;
--- a/src/programs/entry/_lib/join-fleet.ts
+++ b/src/programs/entry/_lib/join-fleet.ts
@@ -67,7 +67,7 @@
 		clock,
 		random,
 		log,
-		runs: {maxKeptBytes: settings.keptAnswerBytes, keptForMs: settings.keptAnswerAge},
+		runs: {maxKeptBytes: settings.keptAnswerBytes, answerRetentionMs: settings.keptAnswerAge},
 	});
 	const peers: PeerListener = await listenPeers({
 		...tls, bind: settings.bind, port: settings.peerPort, hello, onCall: claims.onCall, onEvent: claims.onEvent,
--- a/src/programs/entry/_lib/refuse.ts
+++ b/src/programs/entry/_lib/problems.ts
@@ -3,7 +3,7 @@
 import {type Problem} from '../../../domain/to-problem/index.js';
 import {msPerSecond} from '../../../ports/units.js';
 import {type GateRefusal} from '../gate/index.js';
-import {type ServeServices} from './serve-types.js';
+import {type ServeContext} from './serve-types.js';
 import {type EndCause} from './types.js';
 
 /**
@@ -63,7 +63,7 @@
  * @param serve - The program.
  * @returns The problem when there is no room.
  */
-export function findOverload(serve: ServeServices): Problem | undefined {
+export function findOverload(serve: ServeContext): Problem | undefined {
 	const {limits, registry, services} = serve;
 	const isFull = registry.size() >= limits.maxInFlight || services.gate.waiting() >= limits.maxQueued;
 	return isFull
--- a/src/programs/entry/_lib/quarantine.test.ts
+++ b/src/programs/entry/_lib/quarantine.test.ts
@@ -4,7 +4,7 @@
 import {createCrashSuspects} from '../../../domain/create-crash-suspects/index.js';
 import {createCollectedLines} from '../../../../test/_lib/create-collected-lines/index.js';
 import {noteBrokenCall} from './quarantine.js';
-import {type ServeServices} from './serve-types.js';
+import {type ServeContext} from './serve-types.js';
 
 function createServe() {
 	const collected = createCollectedLines();
@@ -12,7 +12,7 @@
 	const log = createLog({
 		level: 'info', program: 'test', host: 'h', zone: 'z', incarnation: 1, sink: collected.sink,
 	});
-	const serve = {suspects, log, services: {clock: {now: () => 0, wallNow: () => 0}}} as unknown as ServeServices;
+	const serve = {suspects, log, services: {clock: {now: () => 0, wallNow: () => 0}}} as unknown as ServeContext;
 	return {serve, suspects, lines: collected.lines};
 }
 
--- a/src/programs/entry/_lib/quarantine.ts
+++ b/src/programs/entry/_lib/quarantine.ts
@@ -6,7 +6,7 @@
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type Fingerprint, type ServerId} from '../../../ports/ids.js';
 import {type Outcome} from '../../../ports/outcome.js';
-import {type ServeServices} from './serve-types.js';
+import {type ServeContext} from './serve-types.js';
 
 /**
  * @param outcome - What is known of the request's earlier calls.
@@ -45,7 +45,7 @@
  * @param call - The request, the server, and how the call ended.
  * @param serve - The program around it.
  */
-export function noteBrokenCall({fingerprint, server, fault}: BrokenCall, {suspects, services, log}: Pick<ServeServices, 'suspects' | 'services' | 'log'>): void {
+export function noteBrokenCall({fingerprint, server, fault}: BrokenCall, {suspects, services, log}: Pick<ServeContext, 'suspects' | 'services' | 'log'>): void {
 	if (fingerprint === undefined || fault.isClosed !== true) {
 		return;
 	}
--- a/src/programs/entry/_lib/note-placed.ts
+++ b/src/programs/entry/_lib/record-placement.ts
@@ -16,10 +16,10 @@
  * @param details - Pool and chosen servers, and what else the account keeps.
  * @returns The placement to use from here on.
  */
-export function notePlaced<T extends Placement | PlainPlacement>(account: Account, placement: T, details: {pool: string; chosen: readonly ServerId[]} & Readonly<Record<string, unknown>>): T {
+export function recordPlacement<T extends Placement | PlainPlacement>(account: Account, placement: T, details: {pool: string; chosen: readonly ServerId[]} & Readonly<Record<string, unknown>>): T {
 	const {account: toAccount} = placement;
 	const {pool, chosen} = details;
-	account.noteLazy('placed', details, () => {
+	account.addLazyStage('placed', details, () => {
 		const {passedOver, counts, notLookedAt} = toAccount();
 		return {passedOver: passedOver.slice(0, keptRows), counts, notLookedAt};
 	});
--- a/src/programs/entry/_lib/report-refused.ts
+++ b/src/programs/entry/_lib/report-refused.ts
@@ -1,9 +1,9 @@
 import {type Problem, type ProblemKind} from '../../../domain/to-problem/index.js';
 import {type Fingerprint, type RequestId} from '../../../ports/ids.js';
 import {type Account} from '../accounts/index.js';
-import {type DecidedRule} from './ended.js';
+import {type DecidedRule} from './ended-request.js';
 import {type Route} from './route.js';
-import {type ServeServices} from './serve-types.js';
+import {type ServeContext} from './serve-types.js';
 
 /** Kinds of problems that are this system's want and not the caller's mistake. */
 const lostKinds: ReadonlySet<ProblemKind> = new Set([
@@ -43,9 +43,9 @@
  * @param request - The request, as far as it is known.
  * @param serve - The program.
  */
-export function reportRefused({kind, outcome}: Problem, {requestId, account, route, headers, fingerprint}: RefusedRequest, serve: ServeServices): void {
+export function reportRefused({kind, outcome}: Problem, {requestId, account, route, headers, fingerprint}: RefusedRequest, serve: ServeContext): void {
 	const rule = route?.rule ?? toUnroutedRule(headers);
-	account.note('refused', {kind, outcome});
+	account.addStage('refused', {kind, outcome});
 	serve.log.info('request refused', {
 		requestId, reason: kind, outcome, fingerprint, ...(route && {workspace: route.workspace, rule: rule.name, class: rule.then.class}),
 	});
--- a/src/programs/entry/_lib/route.ts
+++ b/src/programs/entry/_lib/route.ts
@@ -10,7 +10,7 @@
 import {type ServiceClass} from '../../../ports/outcome.js';
 import {type Random} from '../../../ports/clock.js';
 import {type FleetView} from '../../../ports/view.js';
-import {noConfiguration} from './refuse.js';
+import {noConfiguration} from './problems.js';
 
 export type RouteInput = {
 	headers: Readonly<Record<string, string>>;
--- a/src/programs/entry/_lib/run-registry.ts
+++ b/src/programs/entry/_lib/run-registry.ts
@@ -82,8 +82,8 @@
 		isOverdue,
 	};
 	registry.add(run);
-	exchange.gone.addEventListener('abort', onGone, {once: true});
-	if (exchange.gone.aborted) {
+	exchange.disconnectSignal.addEventListener('abort', onGone, {once: true});
+	if (exchange.disconnectSignal.aborted) {
 		onGone();
 	}
 
@@ -92,7 +92,7 @@
 		abort: run.abort,
 		close() {
 			registry.remove(run);
-			exchange.gone.removeEventListener('abort', onGone);
+			exchange.disconnectSignal.removeEventListener('abort', onGone);
 		},
 	};
 }
--- a/src/programs/entry/_lib/serve-types.ts
+++ b/src/programs/entry/_lib/serve-types.ts
@@ -6,7 +6,7 @@
 import {type ServerEntry} from '../../../ports/config.js';
 import {type ServerCalls, type ServerNotice} from '../../../ports/server-calls.js';
 import {type Claims} from '../claims/index.js';
-import {type EndedRequest} from './ended.js';
+import {type EndedRequest} from './ended-request.js';
 import {type Router} from './route.js';
 import {type RunRegistry} from './run-registry.js';
 import {type RunServices} from './types.js';
@@ -21,7 +21,7 @@
 	maxQueued: number;
 };
 
-export type ServeServices = {
+export type ServeContext = {
 	services: RunServices;
 	limits: CallerLimits;
 	route: Router;
@@ -32,7 +32,7 @@
 	/** How passed-on requests are dressed for backend servers. */
 	calls: ServerCalls;
 	/** Takes what a server said of itself in an answer. */
-	noteNotice: (server: ServerEntry, notice: ServerNotice) => void;
+	handleNotice: (server: ServerEntry, notice: ServerNotice) => void;
 	/** Requests under which servers crashed. */
 	suspects: CrashSuspects;
 	log: Log;
--- a/src/programs/entry/_lib/keyed.test.ts
+++ b/src/programs/entry/_lib/to-keyed-options.test.ts
@@ -4,11 +4,11 @@
 import {toProblem, type ProblemKind} from '../../../domain/to-problem/index.js';
 import {type Account} from '../accounts/index.js';
 import {type JoinEnd} from '../claims/index.js';
-import {type EndedRequest} from './ended.js';
-import {toKeyedOptions} from './keyed.js';
+import {type EndedRequest} from './ended-request.js';
+import {toKeyedOptions} from './to-keyed-options.js';
 import {reportRefused} from './report-refused.js';
 import {type Route} from './route.js';
-import {type ServeServices} from './serve-types.js';
+import {type ServeContext} from './serve-types.js';
 
 const target = {firstTokenMs: 1300, perTokenMs: 61, completeMs: 10_000};
 const route = {workspace: 'w', rule: {name: 'desk', then: {class: 'quick', target}}} as unknown as Route;
@@ -29,7 +29,7 @@
 		onEnded(one: EndedRequest) {
 			ended.push(one);
 		},
-	} as unknown as ServeServices;
+	} as unknown as ServeContext;
 	const account = {
 		note(stage: string) {
 			stages.push(stage);
--- a/src/programs/entry/_lib/keyed.ts
+++ b/src/programs/entry/_lib/to-keyed-options.ts
@@ -1,10 +1,10 @@
 import {type CallerExchange} from '../../../adapters/caller-http/index.js';
 import {type Account} from '../accounts/index.js';
 import {type JoinEnd, type ServeKeyedOptions} from '../claims/index.js';
-import {type EndedRequest} from './ended.js';
+import {type EndedRequest} from './ended-request.js';
 import {reportRefused} from './report-refused.js';
 import {type Route} from './route.js';
-import {type ServeServices} from './serve-types.js';
+import {type ServeContext} from './serve-types.js';
 
 /** What a joined call's end means in the log and the burn report; its caller went to another connection when it was taken over. */
 const joinEnds: Readonly<Record<JoinEnd['kind'], Pick<EndedRequest, 'end' | 'outcome'>>> = {
@@ -24,7 +24,7 @@
  * @param work - Does the work for whoever reads the answer.
  * @returns What the claims need.
  */
-export function toKeyedOptions(call: {exchange: CallerExchange; account: Account; route: Route}, serve: ServeServices, work: ServeKeyedOptions['serve']): ServeKeyedOptions {
+export function toKeyedOptions(call: {exchange: CallerExchange; account: Account; route: Route}, serve: ServeContext, work: ServeKeyedOptions['serve']): ServeKeyedOptions {
 	const {exchange: {requestId, headers}, account, route} = call;
 	const {workspace, rule} = route;
 	const {now} = serve.services.clock;
@@ -37,13 +37,13 @@
 		now,
 		serve: work,
 		onJoin(host) {
-			account.note('joined a run', {host});
+			account.addStage('joined a run', {host});
 			serve.log.info('joined a run', {...about, peer: host});
 		},
 		onJoinEnded(host, {kind, startedAt}) {
 			const completeMs = now() - receivedAt;
 			const {end, outcome} = joinEnds[kind];
-			account.note('ended', {outcome, reason: kind});
+			account.addStage('ended', {outcome, reason: kind});
 			serve.log.info('request ended', {
 				...about, peer: host, outcome, reason: kind, durationMs: completeMs,
 			});
--- a/src/programs/entry/_lib/types.ts
+++ b/src/programs/entry/_lib/types.ts
@@ -5,7 +5,7 @@
 import {type Usage} from '../../../domain/create-sse-encoder/index.js';
 import {type CompletionRequest} from '../../../domain/parse-completion-request/index.js';
 import {type Problem} from '../../../domain/to-problem/index.js';
-import {type TransferLimits} from '../../../domain/create-transfer-limits/index.js';
+import {type TransferTimeouts} from '../../../domain/create-transfer-timeouts/index.js';
 import {type Log} from '../../../adapters/log/index.js';
 import {type Clock, type Milliseconds, type Random} from '../../../ports/clock.js';
 import {type Rule, type ServerEntry} from '../../../ports/config.js';
@@ -66,14 +66,14 @@
 export type WasteCause = 'caller-gone' | 'deadline-passed' | 'expired' | 'transfer' | 'server-lost' | 'stopping';
 
 /** Counts of what happened, for metrics. */
-export type Tally = {
+export type RunMetrics = {
 	firstToken: (run: Run, ms: Milliseconds) => void;
-	chunkDropped: (cause: DropCause) => void;
-	resumed: () => void;
-	rerun: () => void;
+	countDroppedChunk: (cause: DropCause) => void;
+	countResume: () => void;
+	countRerun: () => void;
 	/** A call failed, and another attempt was granted or, for the reason named, not. */
-	retryDecided: (decision: 'granted' | NoRetryReason, cost: number) => void;
-	prefillWasted: (cause: WasteCause, promptTokens: number) => void;
+	countRetryDecision: (decision: 'granted' | NoRetryReason, cost: number) => void;
+	countWastedPrefill: (cause: WasteCause, promptTokens: number) => void;
 };
 
 /** What a run needs of the program around it. */
@@ -89,7 +89,7 @@
 	/** Tells the fleet that a server refused because it leaves. */
 	reportLeaving: (server: ServerId) => void;
 	toRetryBudget: (pool: string) => RetryBudget;
-	transferLimits: TransferLimits;
-	tally: Tally;
+	transferLimits: TransferTimeouts;
+	runMetrics: RunMetrics;
 	reservationTtlMs: Milliseconds;
 };
--- a/src/programs/entry/_lib/wait-awake.ts
+++ b/src/programs/entry/_lib/wait-unless-aborted.ts
@@ -8,7 +8,7 @@
  * @param run - The request.
  * @param ms - How long.
  */
-export async function waitAwake(run: Pick<Run, 'signal'>, ms: Milliseconds): Promise<void> {
+export async function waitUnlessAborted(run: Pick<Run, 'signal'>, ms: Milliseconds): Promise<void> {
 	try {
 		await sleep(ms, undefined, {signal: run.signal});
 	} catch {
--- a/src/programs/entry/accounts/index.ts
+++ b/src/programs/entry/accounts/index.ts
@@ -24,16 +24,16 @@
 type Details = Readonly<Record<string, unknown>>;
 
 export type Account = {
-	note: (stage: string, details?: Details) => void;
+	addStage: (stage: string, details?: Details) => void;
 	/**
 	 * Notes a stage of which a part is dear. `toRest` is called when the account
-	 * is read, or by {@link Account.workOut}, and tells what is so at that moment;
-	 * it is let go with {@link maxLazy} newer ones, and the stage then stays
+	 * is read, or by {@link Account.resolveDetails}, and tells what is so at that moment;
+	 * it is let go with {@link maxUnresolvedStages} newer ones, and the stage then stays
 	 * without that part.
 	 */
-	noteLazy: (stage: string, details: Details, toRest: () => Details) => void;
+	addLazyStage: (stage: string, details: Details, toRest: () => Details) => void;
 	/** Works out now what stages noted so far have left for a reader. */
-	workOut: () => void;
+	resolveDetails: () => void;
 };
 
 export type Accounts = {
@@ -56,7 +56,7 @@
 };
 
 /** Parts of accounts not worked out that are kept over all requests: each may hold a view of the whole fleet. */
-export const maxLazy = 16;
+export const maxUnresolvedStages = 16;
 
 /** A request that is retried without end must not grow its account without end. */
 const maxStages = 100;
@@ -104,21 +104,21 @@
 			};
 
 			return {
-				note(stage, details) {
+				addStage(stage, details) {
 					add(stage, details);
 				},
-				noteLazy(stage, details, toRest) {
+				addLazyStage(stage, details, toRest) {
 					const added = add(stage, details);
 					if (added === undefined) {
 						return;
 					}
 
 					lazy.set(added, toRest);
-					if (lazy.size > maxLazy) {
+					if (lazy.size > maxUnresolvedStages) {
 						lazy.delete(lazy.keys().next().value!);
 					}
 				},
-				workOut() {
+				resolveDetails() {
 					workOut(entry.stages);
 				},
 			};
--- a/src/programs/entry/accounts/test.ts
+++ b/src/programs/entry/accounts/test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {createAccounts, maxLazy} from './index.js';
+import {createAccounts, maxUnresolvedStages} from './index.js';
 
 const createFixture = () => createAccounts({limit: 100, now: () => 0, wallNow: () => 0});
 
@@ -8,7 +8,7 @@
 	it('works the dear part of a stage out once, and only for a reader', () => {
 		const accounts = createFixture();
 		let count = 0;
-		accounts.open('r').noteLazy('placed', {attempt: 1}, () => ({count: ++count}));
+		accounts.open('r').addLazyStage('placed', {attempt: 1}, () => ({count: ++count}));
 		assert.equal(count, 0);
 		accounts.findAccount('r');
 		assert.deepEqual(accounts.findAccount('r')?.stages[0]?.details, {attempt: 1, count: 1});
@@ -17,11 +17,11 @@
 	it('lets go of what nobody read, and keeps what was worked out in time', () => {
 		const accounts = createFixture();
 		const failed = accounts.open('failed');
-		failed.noteLazy('placed', {attempt: 1}, () => ({why: 'worse'}));
-		failed.workOut();
-		accounts.open('old').noteLazy('placed', {attempt: 1}, () => ({why: 'worse'}));
-		for (let i = 0; i < maxLazy; i++) {
-			accounts.open(`r${i}`).noteLazy('placed', {attempt: 1}, () => ({why: 'worse'}));
+		failed.addLazyStage('placed', {attempt: 1}, () => ({why: 'worse'}));
+		failed.resolveDetails();
+		accounts.open('old').addLazyStage('placed', {attempt: 1}, () => ({why: 'worse'}));
+		for (let i = 0; i < maxUnresolvedStages; i++) {
+			accounts.open(`r${i}`).addLazyStage('placed', {attempt: 1}, () => ({why: 'worse'}));
 		}
 
 		const toDetails = (id: string) => accounts.findAccount(id)?.stages[0]?.details;
--- a/src/programs/entry/call-pair/_lib/reserve-place.ts
+++ b/src/programs/entry/call-pair/_lib/reserve-place.ts
@@ -1,6 +1,6 @@
 /** A place at a decode server, before the prompt is computed. */
 import {err, ok, type Result} from 'neverthrow';
-import {toLimitSignal} from '../../../../_lib/to-limit-signal/index.js';
+import {createTimeoutSignal} from '../../../../_lib/create-timeout-signal/index.js';
 import {type Placement, type PlacementRefusalReason} from '../../../../domain/create-placement/index.js';
 import {toReservedTokens} from '../../../../domain/to-reserved-tokens/index.js';
 import {type Milliseconds} from '../../../../ports/clock.js';
@@ -8,9 +8,9 @@
 import {type EngineFailure} from '../../../../ports/engine.js';
 import {type ServerId} from '../../../../ports/ids.js';
 import {type CacheCalls} from '../../../../ports/server-calls.js';
-import {noteAnswered, timeLeft} from '../../call-plain/_lib/send-step.js';
+import {noteAnswered, toRemainingMs} from '../../call-plain/_lib/send-step.js';
 import {type PlainRun} from '../../call-plain/_lib/types.js';
-import {notePlaced} from '../../_lib/note-placed.js';
+import {recordPlacement} from '../../_lib/record-placement.js';
 import {giveBack} from './give-back.js';
 import {isInService} from './is-in-service.js';
 import {type PairAttempt} from './types.js';
@@ -53,7 +53,7 @@
 /** Asks one decode server for a place. One that announces with it that it leaves gets it back: the answer would break with its end. */
 async function askForPlace(run: PlainRun, caches: CacheCalls, decode: ServerEntry): Promise<Result<string, EngineFailure>> {
 	const {services} = run.serve;
-	const limit = toLimitSignal(Math.min(reserveLimitMs, timeLeft(run)), run.signal);
+	const limit = createTimeoutSignal(Math.min(reserveLimitMs, toRemainingMs(run)), run.signal);
 	const calledAt = services.clock.now();
 	const reserved = await caches.reserve(decode, {tokens: toReservedTokens(run.work), ttlMs: toReservationMs(run)}, limit);
 	if (reserved.isErr()) {
@@ -96,7 +96,7 @@
 		}
 
 		const {decode} = picked.value;
-		const placement = notePlaced(run.account, picked.value, {attempt, pool: run.route.pool.name, chosen: [picked.value.prefill.id, decode.id]});
+		const placement = recordPlacement(run.account, picked.value, {attempt, pool: run.route.pool.name, chosen: [picked.value.prefill.id, decode.id]});
 		const reserved = await askForPlace(run, caches, decode);
 		if (reserved.isOk()) {
 			return ok({placement, reservationId: reserved.value});
@@ -104,7 +104,7 @@
 
 		const {kind, reason} = reserved.error;
 		const message = kind === 'aborted' && !run.signal.aborted ? 'no answer within the time for a reservation' : reserved.error.message;
-		run.account.note('no place', {
+		run.account.addStage('no place', {
 			server: decode.id, failure: kind, reason, message,
 		});
 		if (reason !== 'full') {
--- a/src/programs/entry/call-pair/index.ts
+++ b/src/programs/entry/call-pair/index.ts
@@ -4,18 +4,18 @@
  * A prompt computed without a place to go is work for nothing.
  */
 import {err, ok, type Result} from 'neverthrow';
-import {toLimitSignal} from '../../../_lib/to-limit-signal/index.js';
+import {createTimeoutSignal} from '../../../_lib/create-timeout-signal/index.js';
 import {limitedBySignal} from '../../../adapters/_lib/dispatch-call/index.js';
 import {readAnswer} from '../../../adapters/_lib/read-answer/index.js';
 import {type Placement} from '../../../domain/create-placement/index.js';
 import {toReservedTokens} from '../../../domain/to-reserved-tokens/index.js';
 import {type Milliseconds} from '../../../ports/clock.js';
-import {type CacheCalls, type CallerWork, type PromptCache} from '../../../ports/server-calls.js';
+import {type CacheCalls, type RequestHints, type PromptCache} from '../../../ports/server-calls.js';
 import {bytesPerKibibyte} from '../../../ports/units.js';
 import {type PlainFault} from '../send-plain/index.js';
 import {type PlainRun} from '../call-plain/_lib/types.js';
 import {
-	isQuarantined, noteAnswered, sendWhole, takeNotice, timeLeft, toCallHeaders,
+	isQuarantined, noteAnswered, sendRequest, handleAnswerNotice, toRemainingMs, toCallHeaders,
 } from '../call-plain/_lib/send-step.js';
 import {giveBack} from './_lib/give-back.js';
 import {isInService} from './_lib/is-in-service.js';
@@ -46,7 +46,7 @@
 type Step = {
 	run: PlainRun;
 	caches: CacheCalls;
-	work: CallerWork;
+	work: RequestHints;
 	placement: Placement;
 	attempt: number;
 };
@@ -57,7 +57,7 @@
 	const payload = run.body.open();
 	const calledAt = run.serve.services.clock.now();
 	const expectedMs = Math.max(leastPromptLimitMs, promptFactor * placement.predictedPrefillMs);
-	const limitMs = Math.min(timeLeft(run), promptShare * toReservationMs(run), expectedMs);
+	const limitMs = Math.min(toRemainingMs(run), promptShare * toReservationMs(run), expectedMs);
 	const answer = await readAnswer({
 		dispatcher: run.clients.toDispatcher(server),
 		origin: server.url,
@@ -67,7 +67,7 @@
 		...(payload !== undefined && {payload}),
 		headersTimeoutMs: limitedBySignal,
 		idleTimeoutMs: limitedBySignal,
-		signal: toLimitSignal(limitMs, run.signal),
+		signal: createTimeoutSignal(limitMs, run.signal),
 	}, maxPrefillAnswerBytes);
 	if (answer.isErr()) {
 		const {kind, message} = answer.error;
@@ -80,7 +80,7 @@
 	}
 
 	const {status, headers, text} = answer.value;
-	takeNotice(run, server, {status, headers});
+	handleAnswerNotice(run, server, {status, headers});
 	const reason = run.serve.calls.toRefusal(status, headers);
 	noteAnswered(run, {server: server.id, calledAt, refusal: reason});
 	if (reason !== undefined) {
@@ -109,7 +109,7 @@
 	if (computed.isOk()) {
 		const now = services.clock.now();
 		services.placement.notePrefilled(placement, {promptTokens: work.promptTokens, cachedTokens: 0, bytes: 0}, now);
-		run.account.note('prompt computed', {server: server.id, tookMs: Math.round(now - startedAt)});
+		run.account.addStage('prompt computed', {server: server.id, tookMs: Math.round(now - startedAt)});
 		run.log.info('prompt computed', {
 			attempt, prefillServer: server.id, decodeServer: decode.id, durationMs: Math.round(now - startedAt), promptTokens: work.promptTokens,
 		});
@@ -167,7 +167,7 @@
 	}
 
 	run.ledger.noteOffered();
-	const ended = await sendWhole(run, decode, {
+	const ended = await sendRequest(run, decode, {
 		kind: 'decode', reservationId, cache, lastEventId: run.events?.lastId,
 	}, () => {
 		services.placement.noteFirstToken(placement, services.clock.now());
--- a/src/programs/entry/call-plain/_lib/decide-again.ts
+++ b/src/programs/entry/call-plain/_lib/decide-retry.ts
@@ -23,7 +23,7 @@
 /** Prompts that are sent to be computed before a request is given up: none of them runs the request. */
 const maxPromptTries = 3;
 
-export type Again = {kind: 'give-up'} | {kind: 'retry'; delayMs: Milliseconds};
+export type RetryDecision = {kind: 'give-up'} | {kind: 'retry'; delayMs: Milliseconds};
 
 /** What the retry budget is told of a call: whether it ran the request, or may have. */
 function toFailedAttempt(run: PlainRun, {hasRun, isOffered, isStarted, sent}: {hasRun: boolean; isOffered: boolean; isStarted: boolean; sent: number}): FailedAttempt {
@@ -52,7 +52,7 @@
  * @param run - The request; its present call is not counted in `sent` yet.
  * @returns The reason; `undefined` if the answer may be let go.
  */
-export function findNoAgain(run: PlainRun): NoRetryReason | 'own-answer' | undefined {
+export function findNoRetryReason(run: PlainRun): NoRetryReason | 'own-answer' | undefined {
 	const {services} = run.serve;
 	// Own callers without relay terms get what their service answers.
 	if (run.route.rule.then.relay === undefined) {
@@ -66,7 +66,7 @@
 	const failed = toFailedAttempt(run, {
 		hasRun: true, isOffered: true, isStarted: true, sent: run.sent + 1,
 	});
-	return services.toRetryBudget(run.route.pool.name).findNoRetry(failed, services.clock.now());
+	return services.toRetryBudget(run.route.pool.name).findNoRetryReason(failed, services.clock.now());
 }
 
 /**
@@ -77,7 +77,7 @@
  * @param hasRun - Whether the call was to run the request, and not just compute its prompt.
  * @returns Whether to call another server, and when.
  */
-export function decideAgain(run: PlainRun, fault: PlainFault, hasRun: boolean): Again {
+export function decideRetry(run: PlainRun, fault: PlainFault, hasRun: boolean): RetryDecision {
 	const {services} = run.serve;
 	if (!canSendAgain(run)) {
 		return {kind: 'give-up'};
@@ -107,16 +107,16 @@
 		return 0;
 	}
 
-	run.isOneCall = !budget.takeAnother(run.serve.services.clock.now());
+	run.isOneCall = !budget.takeExtraCall(run.serve.services.clock.now());
 	return run.isOneCall ? 0 : 1;
 }
 
 /** What was decided, and by which state of the budget, of which each host has its own part. */
 function noteDecision({serve, route, log, tried}: PlainRun, answer: RetryAnswer, budget: RetryBudget, promptCost: number): void {
-	const {clock, tally} = serve.services;
+	const {clock, runMetrics: tally} = serve.services;
 	const decision = answer.kind === 'retry' ? 'granted' : answer.reason;
 	const cost = promptCost + (answer.kind === 'retry' ? answer.cost : 0);
-	tally.retryDecided(decision, cost);
+	tally.countRetryDecision(decision, cost);
 	log.info('retry decided', {
 		attempt: tried.length, pool: route.pool.name, reason: decision, cost, available: toHundredths(budget.available(clock.now())), limit: budget.capacity(),
 	});
--- a/src/programs/entry/call-plain/_lib/send-step.ts
+++ b/src/programs/entry/call-plain/_lib/send-step.ts
@@ -5,7 +5,7 @@
 import {type ServerId} from '../../../../ports/ids.js';
 import {type CallStep, type AnswerHeaders} from '../../../../ports/server-calls.js';
 import {type PlainEnd, type PlainFault, sendPlain} from '../../send-plain/index.js';
-import {findNoAgain} from './decide-again.js';
+import {findNoRetryReason} from './decide-retry.js';
 import {type PlainRun} from './types.js';
 
 /** Targets of silence after which another server is tried: three times as long as answers that are in time take at most. */
@@ -18,7 +18,7 @@
 const firstServerFault = 500;
 
 /** Time left until nobody wants the answer, 1 ms at least. */
-export function timeLeft({deadline, serve}: PlainRun): Milliseconds {
+export function toRemainingMs({deadline, serve}: PlainRun): Milliseconds {
 	return Math.max(1, deadline - serve.services.clock.now());
 }
 
@@ -31,7 +31,7 @@
 export function toCallHeaders(run: PlainRun, server: ServerEntry, step: CallStep): Record<string, string | string[]> {
 	const {exchange, serve} = run;
 	return serve.calls.toHeaders({
-		headers: exchange.headers, workspace: run.route.workspace, requestId: exchange.requestId, server, step, deadlineInMs: timeLeft(run),
+		headers: exchange.headers, workspace: run.route.workspace, requestId: exchange.requestId, server, step, deadlineInMs: toRemainingMs(run),
 	});
 }
 
@@ -58,7 +58,7 @@
 		return undefined;
 	}
 
-	const noAgain = isMisfit ? undefined : findNoAgain(run);
+	const noAgain = isMisfit ? undefined : findNoRetryReason(run);
 	if (noAgain === undefined) {
 		return {kind: 'failed-answer', message: `status ${status}`};
 	}
@@ -87,10 +87,10 @@
  * @param server - The server that was called.
  * @param answer - Status and headers of its answer.
  */
-export function takeNotice({serve}: PlainRun, server: ServerEntry, {status, headers}: {status: number; headers: AnswerHeaders}): void {
+export function handleAnswerNotice({serve}: PlainRun, server: ServerEntry, {status, headers}: {status: number; headers: AnswerHeaders}): void {
 	const notice = serve.calls.readNotice?.(status, headers);
 	if (notice !== undefined) {
-		serve.noteNotice(server, notice);
+		serve.handleNotice(server, notice);
 	}
 }
 
@@ -113,7 +113,7 @@
  * @param onFirst - Told of the head of an answer that is no fault of the server.
  * @returns How it ended; after `failed` nothing has been relayed.
  */
-export async function sendWhole(run: PlainRun, server: ServerEntry, step: CallStep, onFirst: () => void): Promise<PlainEnd> {
+export async function sendRequest(run: PlainRun, server: ServerEntry, step: CallStep, onFirst: () => void): Promise<PlainEnd> {
 	const {exchange, serve, clients, body} = run;
 	const silence = createSilence(run);
 	const calledAt = serve.services.clock.now();
@@ -125,11 +125,11 @@
 		payload: body.open(),
 		events: run.events,
 		signal: silence.signal,
-		headersTimeoutMs: timeLeft(run),
+		headersTimeoutMs: toRemainingMs(run),
 		idleTimeoutMs: run.events === undefined ? serve.limits.writeTimeoutMs : run.route.rule.then.target.perTokenMs * silentPauses,
 		checkHead(status, headers) {
 			silence.end();
-			takeNotice(run, server, {status, headers});
+			handleAnswerNotice(run, server, {status, headers});
 			const fault = findHeadFault(run, status, headers);
 			noteAnswered(run, {server: server.id, calledAt, refusal: fault?.kind === 'refused' ? fault.reason : undefined});
 			return fault;
@@ -153,7 +153,7 @@
  * that went dead, would hold it until its caller leaves.
  */
 function createSilence(run: PlainRun): {signal: AbortSignal; end: () => void} {
-	if (findNoAgain(run) !== undefined) {
+	if (findNoRetryReason(run) !== undefined) {
 		return {signal: run.signal, end: () => undefined};
 	}
 
--- a/src/programs/entry/call-plain/_lib/to-plain-outcome.ts
+++ b/src/programs/entry/call-plain/_lib/to-plain-outcome.ts
@@ -6,7 +6,7 @@
 import {msPerSecond} from '../../../../ports/units.js';
 import {type PlainFault} from '../../send-plain/index.js';
 import {toQuarantineProblem} from '../../_lib/quarantine.js';
-import {toBodyProblem, toEndProblem} from '../../_lib/refuse.js';
+import {toBodyProblem, toEndProblem} from '../../_lib/problems.js';
 import {type EndCause} from '../../_lib/types.js';
 import {type PlainOutcome, type PlainRun} from './types.js';
 
@@ -21,7 +21,7 @@
  * @param run - The request.
  * @returns How it ended.
  */
-export function toCutOff(run: PlainRun): PlainOutcome {
+export function toAborted(run: PlainRun): PlainOutcome {
 	const outcome = run.ledger.outcome();
 	const cause = run.signal.reason as EndCause;
 	return cause === 'caller-gone'
