--- a/src/programs/entry/call-plain/_lib/types.ts
+++ b/src/programs/entry/call-plain/_lib/types.ts
@@ -2,7 +2,7 @@
 import {type CallerExchange} from '../../../../adapters/caller-http/index.js';
 import {type Problem} from '../../../../domain/to-problem/index.js';
 import {type FailedAttempt} from '../../../../domain/create-retry-budget/index.js';
-import {type CallerWork} from '../../../../ports/server-calls.js';
+import {type RequestHints} from '../../../../ports/server-calls.js';
 import {type Milliseconds} from '../../../../ports/clock.js';
 import {type Fingerprint} from '../../../../ports/ids.js';
 import {type Outcome} from '../../../../ports/outcome.js';
@@ -12,12 +12,12 @@
 import {type PlainBody} from '../../_lib/plain-body.js';
 import {type PlainClients} from '../../_lib/plain-clients.js';
 import {type Route} from '../../_lib/route.js';
-import {type ServeServices} from '../../_lib/serve-types.js';
+import {type ServeContext} from '../../_lib/serve-types.js';
 
 export type PlainRun = {
 	exchange: CallerExchange;
 	route: Route;
-	serve: ServeServices;
+	serve: ServeContext;
 	clients: PlainClients;
 	account: Account;
 	/** Carries the request's id. */
@@ -25,7 +25,7 @@
 	/** The same for each repeat of the request; `undefined` where its body goes through unread. */
 	fingerprint: Fingerprint | undefined;
 	/** What the caller says of the request beside its body. */
-	work: CallerWork;
+	work: RequestHints;
 	body: PlainBody;
 	receivedAt: Milliseconds;
 	deadline: Milliseconds;
--- a/src/programs/entry/call-plain/index.ts
+++ b/src/programs/entry/call-plain/index.ts
@@ -9,18 +9,18 @@
 import {type ServerId} from '../../../ports/ids.js';
 import {callPair} from '../call-pair/index.js';
 import {type PlainEnd, type PlainFault} from '../send-plain/index.js';
-import {notePlaced} from '../_lib/note-placed.js';
+import {recordPlacement} from '../_lib/record-placement.js';
 import {noteBrokenCall} from '../_lib/quarantine.js';
-import {waitAwake} from '../_lib/wait-awake.js';
-import {isQuarantined, sendWhole} from './_lib/send-step.js';
-import {decideAgain} from './_lib/decide-again.js';
+import {waitUnlessAborted} from '../_lib/wait-unless-aborted.js';
+import {isQuarantined, sendRequest} from './_lib/send-step.js';
+import {decideRetry} from './_lib/decide-retry.js';
 import {
-	toBounced, toCutOff, toGivenUp, toNotPlaced, toQuarantined,
+	toBounced, toAborted, toGivenUp, toNotPlaced, toQuarantined,
 } from './_lib/to-plain-outcome.js';
 import {type PlainOutcome, type PlainRun} from './_lib/types.js';
 
-export {isRepeatable} from './_lib/decide-again.js';
-export {toCutOff} from './_lib/to-plain-outcome.js';
+export {isRepeatable} from './_lib/decide-retry.js';
+export {toAborted} from './_lib/to-plain-outcome.js';
 export {type PlainOutcome, type PlainRun} from './_lib/types.js';
 
 function pickServer(run: PlainRun, exclude: ReadonlySet<ServerId>) {
@@ -48,11 +48,11 @@
 	}
 
 	const {server} = picked.value;
-	const placed = notePlaced(account, picked.value, {attempt, pool: route.pool.name, chosen: [server.id]});
+	const placed = recordPlacement(account, picked.value, {attempt, pool: route.pool.name, chosen: [server.id]});
 	run.log.info('sent', {attempt, server: server.id, zones: server.zone});
 	placement.noteDispatched(placed, clock.now());
 	ledger.noteOffered();
-	const ended = await sendWhole(run, server, {kind: 'whole'}, () => {
+	const ended = await sendRequest(run, server, {kind: 'whole'}, () => {
 		placement.noteFirstToken(placed, clock.now());
 	});
 	placement.noteFinished(placed, clock.now());
@@ -86,12 +86,12 @@
 
 		const attempted = await callOnce(run);
 		if (run.signal.aborted) {
-			return toCutOff(run);
+			return toAborted(run);
 		}
 
 		if (attempted.kind !== 'called') {
 			const {refusal} = attempted;
-			run.account.note('not placed', {...refusal.account(), reason: refusal.reason});
+			run.account.addStage('not placed', {...refusal.account(), reason: refusal.reason});
 			logNoServer(run, attempted);
 			return attempted.kind === 'bounced' ? toBounced(run, refusal) : toNotPlaced(run, refusal);
 		}
@@ -111,7 +111,7 @@
 
 		noteFailed(run, server, ended.fault);
 		run.tried.push({server: server.id, zone: server.zone});
-		const again = decideAgain(run, ended.fault, hasRun);
+		const again = decideRetry(run, ended.fault, hasRun);
 		if (ended.kind === 'cut' && (again.kind === 'give-up' || run.events === undefined)) {
 			run.exchange.destroy();
 			return {end: 'failed', outcome: run.ledger.outcome()};
@@ -121,9 +121,9 @@
 			return toGivenUp(run, server, ended.fault);
 		}
 
-		await waitAwake(run, again.delayMs);
+		await waitUnlessAborted(run, again.delayMs);
 		if (run.signal.aborted) {
-			return toCutOff(run);
+			return toAborted(run);
 		}
 	}
 }
@@ -156,7 +156,7 @@
 		services.placement.noteFailure(server, {kind: fault.kind, reason}, services.clock.now());
 	}
 
-	run.account.note('attempt failed', {
+	run.account.addStage('attempt failed', {
 		attempt, server: server.id, failure: fault.kind, reason, message: fault.message,
 	});
 	if (fault.kind === 'broken') {
--- a/src/programs/entry/claims/_lib/create-claimer.ts
+++ b/src/programs/entry/claims/_lib/create-claimer.ts
@@ -3,7 +3,7 @@
 import {claimKey, type ClaimKeyOptions} from '../../../../domain/claim-key/index.js';
 import {type Claim, type ScopedKey} from '../../../../domain/create-claim-witness/index.js';
 import {type RunTable} from '../../../../domain/create-run-table/index.js';
-import {toScopedText} from '../../../../domain/to-scoped-text/index.js';
+import {toScopedKey} from '../../../../domain/to-scoped-key/index.js';
 import {type Clock, type Random} from '../../../../ports/clock.js';
 import {type Claimed, type KeyedRequest} from '../types.js';
 import {toClaimProblem, toJoinProblem, toLostProblem} from './to-claim-problem.js';
@@ -51,7 +51,7 @@
 
 	async function claimOnce(request: KeyedRequest, replaces: string | undefined): Promise<Claimed | {kind: 'held'; holder: Claim}> {
 		const {workspace, key, digest, isRepeatable} = request;
-		const text = toScopedText(request);
+		const text = toScopedKey(request);
 		claimCount++;
 		const claimId = `${instance}-${claimCount}`;
 		const decided = createDeferred();
@@ -103,7 +103,7 @@
 	}
 
 	async function claim(request: KeyedRequest): Promise<Claimed> {
-		const text = toScopedText(request);
+		const text = toScopedKey(request);
 		let replaces: string | undefined;
 		for (let round = 1; round <= rounds; round++) {
 			const local = joinLocal(request);
@@ -141,7 +141,7 @@
 	return {
 		claim,
 		async waitForDecision(request) {
-			const undecided = pending.get(toScopedText(request));
+			const undecided = pending.get(toScopedKey(request));
 			if (undecided?.claimId === request.claimId) {
 				await undecided.decided;
 			}
--- a/src/programs/entry/claims/_lib/create-peer-pool.ts
+++ b/src/programs/entry/claims/_lib/create-peer-pool.ts
@@ -10,7 +10,7 @@
 	 * to be dead. A peer that was restarted leaves such connections behind, and the
 	 * first call after it would fail for no other reason. For idempotent calls alone.
 	 */
-	callTwice: (address: string, method: string, body: unknown, timeoutMs: Milliseconds) => ResultAsync<{connection: PeerConnection; reply: unknown}, PeerFailure>;
+	callWithRetry: (address: string, method: string, body: unknown, timeoutMs: Milliseconds) => ResultAsync<{connection: PeerConnection; reply: unknown}, PeerFailure>;
 	/** Closes connections that were not used for a while. */
 	closeIdle: () => void;
 	close: () => void;
@@ -80,7 +80,7 @@
 
 	return {
 		get,
-		callTwice: (address, method, body, timeoutMs) => callOnce(address, method, body, timeoutMs).orElse(failure => {
+		callWithRetry: (address, method, body, timeoutMs) => callOnce(address, method, body, timeoutMs).orElse(failure => {
 			if (failure.kind !== 'broken' && failure.kind !== 'not-sent') {
 				return errAsync(failure);
 			}
--- a/src/programs/entry/claims/_lib/create-remote-joiner.ts
+++ b/src/programs/entry/claims/_lib/create-remote-joiner.ts
@@ -12,7 +12,7 @@
 
 async function callJoin(pool: PeerPool, request: KeyedRequest, holder: Claim): Promise<{connection: PeerConnection; reply: JoinReply} | undefined> {
 	const {workspace, key, digest} = request;
-	const replied = await pool.callTwice(holder.claimant.address, methods.join, {
+	const replied = await pool.callWithRetry(holder.claimant.address, methods.join, {
 		workspace, key, digest, claimId: holder.claimId,
 	}, joinTimeoutMs);
 	if (replied.isErr()) {
--- a/src/programs/entry/claims/_lib/create-witness-client.ts
+++ b/src/programs/entry/claims/_lib/create-witness-client.ts
@@ -77,7 +77,7 @@
 			return okAsync(witness.claim(request, clock.wallNow()));
 		}
 
-		const answered = pool.callTwice(toAddressOf(host), methods.claim, request, askTimeoutMs)
+		const answered = pool.callWithRetry(toAddressOf(host), methods.claim, request, askTimeoutMs)
 			.mapErr((failure): AskFailure => failure)
 			.andThen(({connection, reply}) => {
 				const answer = claimAnswerSchema.safeParse(reply);
--- a/src/programs/entry/claims/index.ts
+++ b/src/programs/entry/claims/index.ts
@@ -11,7 +11,7 @@
 	createClaimWitness, defaultClockBoundMs, defaultRetentionMs,
 } from '../../../domain/create-claim-witness/index.js';
 import {createRunTable} from '../../../domain/create-run-table/index.js';
-import {toScopedText} from '../../../domain/to-scoped-text/index.js';
+import {toScopedKey} from '../../../domain/to-scoped-key/index.js';
 import {msPerMinute, msPerSecond} from '../../../ports/units.js';
 import {createClaimer} from './_lib/create-claimer.js';
 import {createHandOvers} from './_lib/create-hand-overs.js';
@@ -100,7 +100,7 @@
 	}
 
 	function releaseEverywhere(request: {workspace: string; key: string; claimId: string}) {
-		const slots = new Set(toSets(toScopedText(request)).flatMap(set => set.slots));
+		const slots = new Set(toSets(toScopedKey(request)).flatMap(set => set.slots));
 		for (const host of slots) {
 			release(host, request);
 		}
@@ -173,7 +173,7 @@
 	return {
 		claim,
 		onCall,
-		handles: method => Object.values<string>(methods).includes(method),
+		isOwnMethod: method => Object.values<string>(methods).includes(method),
 		onEvent(_peer, name, body, connection) {
 			if (name === events.release) {
 				witness.release(releaseSchema.parse(body));
--- a/src/programs/entry/claims/serve-keyed-fleet.test.ts
+++ b/src/programs/entry/claims/serve-keyed-fleet.test.ts
@@ -72,7 +72,7 @@
 		let hasEnded = false;
 		await serve(hosts[0]!, toRequest(), exchange, async recorded => {
 			const gone = new Promise(resolve => {
-				recorded.gone.addEventListener('abort', resolve);
+				recorded.disconnectSignal.addEventListener('abort', resolve);
 			});
 			leave();
 			await gone;
--- a/src/programs/entry/claims/serve-keyed.ts
+++ b/src/programs/entry/claims/serve-keyed.ts
@@ -108,9 +108,9 @@
 		isEventStream: false, isBetweenEvents: true, isRefusal: false, startedAt: undefined,
 	};
 	const toEnd = (kind: JoinEnd['kind']): JoinEnd => ({kind, startedAt: position.startedAt});
-	exchange.gone.addEventListener('abort', onGone, {once: true});
+	exchange.disconnectSignal.addEventListener('abort', onGone, {once: true});
 	try {
-		while (!exchange.gone.aborted) {
+		while (!exchange.disconnectSignal.aborted) {
 			const part = await reader.next();
 			if (part.kind === 'head') {
 				position = toStarted(part.status, String(part.headers['content-type']), now());
@@ -133,7 +133,7 @@
 
 		return toEnd('caller-gone');
 	} finally {
-		exchange.gone.removeEventListener('abort', onGone);
+		exchange.disconnectSignal.removeEventListener('abort', onGone);
 		reader.close(now());
 	}
 }
@@ -168,7 +168,7 @@
 
 	const recorded: CallerExchange = {
 		...exchange,
-		gone,
+		disconnectSignal: gone,
 		isStarted: () => isStarted,
 		startStream: start,
 		write: piece => writer.write(typeof piece === 'string' ? Buffer.from(piece) : piece),
--- a/src/programs/entry/claims/types.ts
+++ b/src/programs/entry/claims/types.ts
@@ -48,7 +48,7 @@
 	onCall: CallHandler;
 	onEvent: EventHandler;
 	/** Whether a call is of this part. */
-	handles: (method: string) => boolean;
+	isOwnMethod: (method: string) => boolean;
 	claim: (request: KeyedRequest) => Promise<Claimed>;
 	/** Takes over the table that the previous process of this slot left with a peer, if any; to be called once, after the first view. Asks for up to 30 seconds. */
 	takeOver: () => Promise<boolean>;
--- a/src/programs/entry/follow-published/_test/create-scripted-platform.ts
+++ b/src/programs/entry/follow-published/_test/create-scripted-platform.ts
@@ -4,7 +4,7 @@
 } from 'neverthrow';
 import {type Milliseconds} from '../../../../ports/clock.js';
 import {
-	answerLimitMs, type PublishedChange, type PublishedEra, type PublishedFailure, type PublishedRead, type PublishedServer, type PublishedSource,
+	platformTimeoutMs, type PublishedChange, type PublishedEra, type PublishedFailure, type PublishedRead, type PublishedServer, type PublishedSource,
 } from '../../../../ports/published.js';
 import {type VirtualTime} from './create-virtual-time.js';
 
@@ -103,12 +103,12 @@
 				return ok(lost!);
 			}
 
-			if (isAnsweredLate && path === 'silent' && clock.now() < endsAt + answerLimitMs) {
+			if (isAnsweredLate && path === 'silent' && clock.now() < endsAt + platformTimeoutMs) {
 				continue;
 			}
 
 			if (isConnectionDead || path === 'silent') {
-				await sleep(endsAt + answerLimitMs - clock.now(), signal);
+				await sleep(endsAt + platformTimeoutMs - clock.now(), signal);
 				isConnectionDead = false;
 				return unreachable('no answer');
 			}
--- a/src/programs/entry/follow-published/index.ts
+++ b/src/programs/entry/follow-published/index.ts
@@ -7,12 +7,12 @@
 import {type Log} from '../../../adapters/log/index.js';
 import {compareEras} from '../../../domain/compare-eras/index.js';
 import {createPublishedFleet, type FleetChange} from '../../../domain/create-published-fleet/index.js';
-import {leastPauseMs, toReadPace} from '../../../domain/to-read-pace/index.js';
+import {minPauseMs, toReadPace} from '../../../domain/to-read-pace/index.js';
 import {type Clock, type Milliseconds, type Random} from '../../../ports/clock.js';
 import {type ZoneEntry} from '../../../ports/config.js';
 import {type ServerId} from '../../../ports/ids.js';
 import {
-	answerLimitMs, type PublishedEra, type PublishedFailure, type PublishedPosition, type PublishedRead, type PublishedSource,
+	platformTimeoutMs, type PublishedEra, type PublishedFailure, type PublishedPosition, type PublishedRead, type PublishedSource,
 } from '../../../ports/published.js';
 import {type FleetView} from '../../../ports/view.js';
 import {logFleetChange, logWholeRead} from './_lib/log-published.js';
@@ -37,7 +37,7 @@
 	/** Whether the platform answered the last read. */
 	isConnected: () => boolean;
 	/** Time since the platform answered a read; `undefined` before the first. */
-	answerAgeMs: () => Milliseconds | undefined;
+	platformAnswerAgeMs: () => Milliseconds | undefined;
 	/** Whether what the platform lists may be older than what is known, as it came back from a copy a moment ago. */
 	isReset: () => boolean;
 	/** Takes a server's own notice that it leaves. */
@@ -155,7 +155,7 @@
 		answeredAt = now;
 		failedReadAt = undefined;
 		awayAt = undefined;
-		if (isWhole && fleet.wholeReadAt() !== undefined) {
+		if (isWhole && fleet.fullReadAt() !== undefined) {
 			logWholeRead(log, read, fleet.countDifferences(read.changes));
 		}
 
@@ -172,12 +172,12 @@
 	function toWaitMs(longestMs: Milliseconds): Milliseconds {
 		const missingUntil = fleet.missingUntil();
 		const leftMs = missingUntil === undefined ? Infinity : Math.min(missingWaitMs, Math.ceil(missingUntil - clock.now()));
-		const toWholeReadMs = Math.ceil((fleet.wholeReadAt() ?? Infinity) - clock.now());
+		const toWholeReadMs = Math.ceil((fleet.fullReadAt() ?? Infinity) - clock.now());
 		return Math.min(longestMs, Math.max(1, Math.min(leftMs, toWholeReadMs)));
 	}
 
 	/** Without rules nobody can be served: they may be published any moment. */
-	const toPauseAfterRead = (): Milliseconds => view?.accepted === undefined ? leastPauseMs : pace.pauseMs;
+	const toPauseAfterRead = (): Milliseconds => view?.accepted === undefined ? minPauseMs : pace.pauseMs;
 
 	/** After a failed read the question is whether the platform answers at all: nothing is waited for. */
 	function readNext(signal: AbortSignal, {isWhole, waitMs}: {isWhole: boolean; waitMs: Milliseconds}): ReturnType<PublishedSource['list']> {
@@ -231,7 +231,7 @@
 				era: next, eraBefore: era, revision: answered?.revision, revisionBefore: position?.revision, edition: view?.accepted?.version.edition,
 			});
 			onReset();
-			fleet.noteReset({latest: toLatestAct(startedAt)}, now);
+			fleet.noteReset({latestActAt: toLatestAct(startedAt)}, now);
 		}
 
 		era = next;
@@ -258,7 +258,7 @@
 
 	async function readOnce(signal: AbortSignal): Promise<void> {
 		const startedAt = clock.now();
-		const isWhole = position === undefined || startedAt >= (fleet.wholeReadAt() ?? Infinity);
+		const isWhole = position === undefined || startedAt >= (fleet.fullReadAt() ?? Infinity);
 		const waitMs = failures > 0 ? 1 : toWaitMs(pace.waitMs);
 		const read = await readNext(signal, {isWhole, waitMs});
 		if (signal.aborted) {
@@ -271,7 +271,7 @@
 				era: read.error.era, position: undefined, startedAt, isWhole: false,
 			});
 			const isReturn = read.error.kind === 'forgotten' && era !== eraBefore;
-			const isUnanswered = clock.now() - startedAt >= answerLimitMs + (isWhole ? 0 : waitMs);
+			const isUnanswered = clock.now() - startedAt >= platformTimeoutMs + (isWhole ? 0 : waitMs);
 			await (isReturn ? pauseBeforeReset(signal) : noteFailed(read.error, {startedAt, isUnanswered}));
 			return;
 		}
@@ -286,7 +286,7 @@
 
 		if (isReturning) {
 			isReturning = false;
-			fleet.noteReset({latest: toLatestAct(startedAt)}, clock.now());
+			fleet.noteReset({latestActAt: toLatestAct(startedAt)}, clock.now());
 		}
 
 		take(read.value, {isWhole});
@@ -303,8 +303,8 @@
 	return {
 		toView: () => view,
 		isConnected: () => isConnected,
-		isReset: () => fleet.wholeReadAt() !== undefined,
-		answerAgeMs: () => toAge(answeredAt, clock.now()),
+		isReset: () => fleet.fullReadAt() !== undefined,
+		platformAnswerAgeMs: () => toAge(answeredAt, clock.now()),
 		noteLeaving(server) {
 			report(fleet.noteLeaving(server));
 		},
--- a/src/programs/entry/relay-stream/_lib/create-pace-meter.test.ts
+++ b/src/programs/entry/relay-stream/_lib/create-pace-meter.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {type SeenTokens} from '../../../../domain/create-token-pace/index.js';
+import {type SeenTokens} from '../../../../domain/create-inter-token-latency/index.js';
 import {createPaceMeter, type PaceMeter} from './create-pace-meter.js';
 
 /** Runs the steps, each at its time, and returns what was noted. */
--- a/src/programs/entry/relay-stream/_lib/create-pace-meter.ts
+++ b/src/programs/entry/relay-stream/_lib/create-pace-meter.ts
@@ -1,4 +1,4 @@
-import {type SeenTokens} from '../../../../domain/create-token-pace/index.js';
+import {type SeenTokens} from '../../../../domain/create-inter-token-latency/index.js';
 import {type Milliseconds} from '../../../../ports/clock.js';
 
 /** How often a stream tells of its tokens, milliseconds: soon enough to turn the next requests away, and seldom against the cost of a token. */
--- a/src/programs/entry/relay-stream/index.ts
+++ b/src/programs/entry/relay-stream/index.ts
@@ -1,7 +1,7 @@
 /**
  * Relays the tokens of one attempt, and resumes its stream where it broke.
  */
-import {type SeenTokens} from '../../../domain/create-token-pace/index.js';
+import {type SeenTokens} from '../../../domain/create-inter-token-latency/index.js';
 import {
 	type AttemptKey, type DecodeChunk, type Engine, type EngineFailure, type EngineStreamError,
 } from '../../../ports/engine.js';
@@ -27,7 +27,7 @@
  * @param run - The request, whose rule has the target between tokens.
  * @returns Limit of silence within a stream, milliseconds.
  */
-export function toStallMs(run: Run): number {
+export function toStallTimeoutMs(run: Run): number {
 	return Math.max(minStallMs, run.rule.then.target.perTokenMs * stallFactor);
 }
 
@@ -65,7 +65,7 @@
 			}
 
 			if (taken.kind === 'dropped') {
-				services.tally.chunkDropped(taken.cause);
+				services.runMetrics.countDroppedChunk(taken.cause);
 				continue;
 			}
 
@@ -97,7 +97,7 @@
 	meter.stop();
 	step.disarm();
 	const isReading = await run.delivery.drained();
-	step.arm(toStallMs(run));
+	step.arm(toStallTimeoutMs(run));
 	return isReading;
 }
 
@@ -106,8 +106,8 @@
 	const firstTokenMs = now - run.receivedAt;
 	run.ledger.noteRan(now);
 	services.gate.noteFirstToken(run.id);
-	services.tally.firstToken(run, firstTokenMs);
-	run.account.note('first token');
+	services.runMetrics.firstToken(run, firstTokenMs);
+	run.account.addStage('first token');
 	run.log.info('first token relayed', {firstTokenMs});
 }
 
@@ -140,7 +140,7 @@
 	let idle = 0;
 	for (;;) {
 		const before = run.buffer.offset();
-		step.arm(toStallMs(run));
+		step.arm(toStallTimeoutMs(run));
 		const failure = await readStream({
 			run, services, server, step, meter,
 		}, stream);
@@ -160,13 +160,13 @@
 		}
 
 		const offset = run.buffer.offset();
-		run.account.note('stream broke', {
+		run.account.addStage('stream broke', {
 			server, offset, failure: failure.kind, message: failure.message,
 		});
 		run.log.warn('stream broke, resuming it', {
 			attempt: key.attempt, server, offset, kind: failure.kind, reason: failure.message,
 		});
-		services.tally.resumed();
+		services.runMetrics.countResume();
 		step = createStepSignal(run.signal, services.clock.now);
 		const resumed = await runStep(step, {limitMs: resumeTimeoutMs, server}, signal => engine.resume(key, offset, {signal}));
 		if (resumed.isErr()) {
--- a/src/programs/entry/run-attempt/_lib/call-engines.ts
+++ b/src/programs/entry/run-attempt/_lib/call-engines.ts
@@ -4,7 +4,7 @@
 import {type DecodeChunk, type PrefillResult} from '../../../../ports/engine.js';
 import {msPerSecond} from '../../../../ports/units.js';
 import {runStep, type StepFailure} from '../../_lib/step.js';
-import {toStallMs} from '../../relay-stream/index.js';
+import {toStallTimeoutMs} from '../../relay-stream/index.js';
 import {holdsNothing, type Attempt} from './attempt.js';
 
 const reserveTimeoutMs = 2 * msPerSecond;
@@ -61,7 +61,7 @@
 export async function openStream(attempt: Attempt, reservationId: string): Promise<Result<AsyncIterable<DecodeChunk>, StepFailure>> {
 	const {run, services, placement, key} = attempt;
 	const answerOffset = run.buffer.offset();
-	return runStep(attempt.step, {limitMs: toStallMs(run), server: placement.decode.id}, signal =>
+	return runStep(attempt.step, {limitMs: toStallTimeoutMs(run), server: placement.decode.id}, signal =>
 		services.toEngine(placement.decode).decode({
 			key, reservationId, maxTokens: run.request.maxTokens, ...(answerOffset > 0 && {answerOffset}), class: run.rule.then.class,
 		}, {signal}));
--- a/src/programs/entry/run-attempt/_lib/transfer-cache.ts
+++ b/src/programs/entry/run-attempt/_lib/transfer-cache.ts
@@ -22,7 +22,7 @@
 function toStallLimitMs({isFirst, run, services, placement}: Attempt, bytes: number): Milliseconds {
 	const {prefill, decode} = placement;
 	const mayRunAgain = isFirst && run.rule.then.repeatable;
-	return mayRunAgain ? services.transferLimits.toLimitMs({from: prefill.zone, to: decode.zone}, bytes) : Infinity;
+	return mayRunAgain ? services.transferLimits.toTimeoutMs({from: prefill.zone, to: decode.zone}, bytes) : Infinity;
 }
 
 /**
@@ -47,8 +47,8 @@
 	if (imported.isOk()) {
 		transferLimits.noteDone(link, bytes, clock.now() - startedAt);
 	} else if (imported.error.isTimedOut && stallMs < slotLeftMs) {
-		transferLimits.noteGivenUp(link, bytes, clock.now() - startedAt);
-		run.account.note('transfer given up', {from: from.id, to: to.id, limitMs: Math.round(stallMs)});
+		transferLimits.noteTimedOut(link, bytes, clock.now() - startedAt);
+		run.account.addStage('transfer given up', {from: from.id, to: to.id, limitMs: Math.round(stallMs)});
 		// The request's own time is not over: what follows must not say that a deadline passed.
 		return err({
 			...imported.error, kind: 'broken', message: `the transfer from ${from.id} had not ended after ${Math.round(stallMs)} ms`, isTimedOut: false,
--- a/src/programs/entry/run-attempt/index.ts
+++ b/src/programs/entry/run-attempt/index.ts
@@ -48,7 +48,7 @@
 	// A prefill that ends after its slot has expired has nowhere to go.
 	const toSlotLeft = () => Math.min(attempt.timeLeft(), reservedAt + expiresInMs - now());
 	services.placement.noteReserved(placement, placement.promptTokens + placement.maxTokens, now());
-	run.account.note('reserved', {server: decodeServer.id, expiresInMs});
+	run.account.addStage('reserved', {server: decodeServer.id, expiresInMs});
 	const prefilled = await prefill(attempt, toSlotLeft());
 	if (prefilled.isErr()) {
 		return toFailed(attempt, 'prefill', prefillServer, prefilled.error);
@@ -57,7 +57,7 @@
 	const {kvId, promptTokens, cachedTokens, bytes} = prefilled.value;
 	notePrefilled(prefilled.value);
 	services.placement.notePrefilled(placement, prefilled.value, now());
-	run.account.note('prefilled', {
+	run.account.addStage('prefilled', {
 		server: prefillServer.id, promptTokens, cachedTokens, bytes,
 	});
 	const imported = await transferCache(attempt, {
@@ -68,7 +68,7 @@
 		return toFailed(attempt, 'transfer', isSource ? prefillServer : decodeServer, imported.error);
 	}
 
-	run.account.note('transferred', {bytes: imported.value.bytes});
+	run.account.addStage('transferred', {bytes: imported.value.bytes});
 	const opened = await openStream(attempt, reservationId);
 	if (opened.isErr()) {
 		return toFailed(attempt, 'decode', decodeServer, opened.error);
@@ -107,7 +107,7 @@
  */
 export async function runAttempt(run: Run, services: RunServices, placement: Placement, options: {attempt: number; isFirst: boolean}): Promise<AttemptEnd> {
 	const {attempt: attemptNumber, isFirst} = options;
-	const {clock, cancels, tally} = services;
+	const {clock, cancels, runMetrics: tally} = services;
 	const key = {requestId: run.id, attempt: attemptNumber, owner: services.toOwner()};
 	const attempt: Attempt = {
 		run, services, placement, key, step: createStepSignal(run.signal, clock.now), touched: new Set(), timeLeft: () => toTimeLeft(run, clock.now()), isFirst,
@@ -123,7 +123,7 @@
 		if (end.kind === 'complete') {
 			attempt.touched.clear();
 		} else if (prefilled !== undefined && run.buffer.offset() === tokensBefore) {
-			tally.prefillWasted(toWasteCause(end, run), prefilled.promptTokens - prefilled.cachedTokens);
+			tally.countWastedPrefill(toWasteCause(end, run), prefilled.promptTokens - prefilled.cachedTokens);
 		}
 
 		return end;
--- a/src/programs/entry/run-request/_lib/place.ts
+++ b/src/programs/entry/run-request/_lib/place.ts
@@ -3,8 +3,8 @@
 import {type Placement} from '../../../../domain/create-placement/index.js';
 import {type Milliseconds} from '../../../../ports/clock.js';
 import {type ServerId} from '../../../../ports/ids.js';
-import {notePlaced} from '../../_lib/note-placed.js';
-import {noConfiguration} from '../../_lib/refuse.js';
+import {recordPlacement} from '../../_lib/record-placement.js';
+import {noConfiguration} from '../../_lib/problems.js';
 import {type Run, type RunServices} from '../../_lib/types.js';
 import {type RunEnd, toNotPlaced} from './to-run-end.js';
 
@@ -74,14 +74,14 @@
 	}
 
 	if (picked.isErr()) {
-		run.account.note('not placed', {...picked.error.account(), reason: picked.error.reason});
+		run.account.addStage('not placed', {...picked.error.account(), reason: picked.error.reason});
 		return err(toNotPlaced(run, picked.error, history.full.size > 0));
 	}
 
 	const {
 		prefill, decode, predictedFirstTokenMs, predictedStepMs, expectedCachedTokens,
 	} = picked.value;
-	return ok(notePlaced(run.account, picked.value, {
+	return ok(recordPlacement(run.account, picked.value, {
 		attempt, pool: run.rule.then.pool, chosen: [prefill.id, decode.id], predictedFirstTokenMs, predictedStepMs, expectedCachedTokens,
 	}));
 }
--- a/src/programs/entry/run-request/_lib/to-run-end.ts
+++ b/src/programs/entry/run-request/_lib/to-run-end.ts
@@ -3,7 +3,7 @@
 import {type Problem, type ProblemKind} from '../../../../domain/to-problem/index.js';
 import {msPerSecond} from '../../../../ports/units.js';
 import {type AttemptFailure} from '../../run-attempt/index.js';
-import {toEndProblem} from '../../_lib/refuse.js';
+import {toEndProblem} from '../../_lib/problems.js';
 import {type AnswerEnd, type EndCause, type Run} from '../../_lib/types.js';
 
 export type RunEnd =
--- a/src/programs/entry/run-request/index.ts
+++ b/src/programs/entry/run-request/index.ts
@@ -5,7 +5,7 @@
 import {type ServerId, type ZoneId} from '../../../ports/ids.js';
 import {type AttemptFailure, runAttempt} from '../run-attempt/index.js';
 import {type Run, type RunServices} from '../_lib/types.js';
-import {waitAwake} from '../_lib/wait-awake.js';
+import {waitUnlessAborted} from '../_lib/wait-unless-aborted.js';
 import {place} from './_lib/place.js';
 import {type RunEnd, toEnded, toGivenUp} from './_lib/to-run-end.js';
 
@@ -22,14 +22,14 @@
 }
 
 function noteFull(run: Run, attempt: number, server: ServerId): void {
-	run.account.note('server full', {attempt, server});
+	run.account.addStage('server full', {attempt, server});
 	run.log.info('decode server full, asking the next', {attempt, server});
 }
 
 function logFailure(run: Run, attempt: number, failed: AttemptFailure): void {
 	const {step, server, failure} = failed;
-	run.account.workOut();
-	run.account.note('attempt failed', {
+	run.account.resolveDetails();
+	run.account.addStage('attempt failed', {
 		attempt, step, server: server.id, failure: failure.kind, reason: failure.reason, message: failure.message,
 	});
 	run.log.warn('attempt failed', {
@@ -99,16 +99,16 @@
 			tried,
 		}, clock.now(), services.random);
 		if (again.kind === 'give-up') {
-			run.account.note('given up', {reason: again.reason});
+			run.account.addStage('given up', {reason: again.reason});
 			return {end: toGivenUp(run, ended), nextAttempt: attempt + 1};
 		}
 
 		if (ended.hasOffered) {
-			services.tally.rerun();
+			services.runMetrics.countRerun();
 		}
 
 		failed = new Set(again.avoidServers);
-		await waitAwake(run, again.delayMs);
+		await waitUnlessAborted(run, again.delayMs);
 	}
 }
 
--- a/src/programs/entry/run-request/test.ts
+++ b/src/programs/entry/run-request/test.ts
@@ -7,7 +7,7 @@
 	toConfig, toSeededRandom, toServer, toStatus, toView,
 } from '../../../domain/create-placement/_lib/fixtures.js';
 import {createRetryBudget} from '../../../domain/create-retry-budget/index.js';
-import {createTransferLimits} from '../../../domain/create-transfer-limits/index.js';
+import {createTransferTimeouts} from '../../../domain/create-transfer-timeouts/index.js';
 import {type ServerEntry} from '../../../ports/config.js';
 import {type DecodeChunk, type Engine, type EngineFailure} from '../../../ports/engine.js';
 import {createOutcomeLedger} from '../outcome-ledger/index.js';
@@ -89,7 +89,7 @@
 		cancels: {add: quiet},
 		reportLeaving: quiet,
 		toRetryBudget: () => budget,
-		transferLimits: createTransferLimits(),
+		transferLimits: createTransferTimeouts(),
 		tally: {
 			firstToken: quiet, chunkDropped: quiet, resumed: quiet, rerun: quiet, retryDecided: quiet, prefillWasted: quiet,
 		},
--- a/src/programs/entry/send-plain/index.ts
+++ b/src/programs/entry/send-plain/index.ts
@@ -105,7 +105,7 @@
 				resolve({kind: 'complete', status});
 			},
 			onFault(fault) {
-				if (fault.kind === 'aborted' && exchange.gone.aborted) {
+				if (fault.kind === 'aborted' && exchange.disconnectSignal.aborted) {
 					resolve({kind: 'caller-gone'});
 				} else {
 					resolve({kind: relay.hasBegun() ? 'cut' : 'failed', fault});
--- a/src/programs/entry/serve-completion/_lib/read-request.ts
+++ b/src/programs/entry/serve-completion/_lib/read-request.ts
@@ -5,9 +5,9 @@
 import {type AnswerKind} from '../../../../domain/create-sse-encoder/index.js';
 import {type CompletionRequest, parseCompletionRequest} from '../../../../domain/parse-completion-request/index.js';
 import {type Problem} from '../../../../domain/to-problem/index.js';
-import {toDigest} from '../../_lib/find-key.js';
-import {toBodyProblem} from '../../_lib/refuse.js';
-import {type ServeServices} from '../../_lib/serve-types.js';
+import {toRequestDigest} from '../../_lib/find-idempotency-key.js';
+import {toBodyProblem} from '../../_lib/problems.js';
+import {type ServeContext} from '../../_lib/serve-types.js';
 
 const defaultMaxTokens = 256;
 
@@ -29,7 +29,7 @@
  * @param serve - The program around it, for its limits.
  * @returns The request, or the problem to answer with; `gone` when the caller left before its body was whole.
  */
-export async function readRequest(kind: AnswerKind, exchange: CallerExchange, serve: ServeServices): Promise<Result<ReadRequest, Problem | 'gone'>> {
+export async function readRequest(kind: AnswerKind, exchange: CallerExchange, serve: ServeContext): Promise<Result<ReadRequest, Problem | 'gone'>> {
 	const {limits} = serve;
 	const bodyLimits = {limitBytes: limits.maxBodyBytes, timeoutMs: limits.bodyTimeoutMs};
 	const type = exchange.headers['content-type'] ?? 'application/json';
@@ -50,5 +50,5 @@
 	const promptTokens = countPromptTokens(parsed.value.prompt);
 	return promptTokens > limits.maxPromptTokens
 		? err({kind: 'prompt-too-long', detail: `The prompt has about ${promptTokens} tokens; this host takes ${limits.maxPromptTokens}. Send a shorter one.`, outcome: 'not-run'})
-		: ok({request: parsed.value, promptTokens, digest: toDigest(exchange, body.value)});
+		: ok({request: parsed.value, promptTokens, digest: toRequestDigest(exchange, body.value)});
 }
--- a/src/programs/entry/serve-completion/_lib/report-end.ts
+++ b/src/programs/entry/serve-completion/_lib/report-end.ts
@@ -1,8 +1,8 @@
 /** What is told of a run once it has ended. */
 import {type KeyedVerdict} from '../../claims/index.js';
 import {type RunEnd} from '../../run-request/index.js';
-import {type EndedRequest} from '../../_lib/ended.js';
-import {type ServeServices} from '../../_lib/serve-types.js';
+import {type EndedRequest} from '../../_lib/ended-request.js';
+import {type ServeContext} from '../../_lib/serve-types.js';
 import {type Run} from '../../_lib/types.js';
 
 function toEndReport(run: Run, end: RunEnd): Pick<EndedRequest, 'end' | 'outcome'> & {reason: string} {
@@ -25,11 +25,11 @@
  * @param end - How it ended.
  * @param serve - The program around it.
  */
-export function reportEnd(run: Run, end: RunEnd, serve: ServeServices): void {
+export function reportEnd(run: Run, end: RunEnd, serve: ServeContext): void {
 	const completeMs = serve.services.clock.now() - run.receivedAt;
 	const {reason, ...report} = toEndReport(run, end);
 	const outputTokens = run.buffer.offset();
-	run.account.note('ended', {outcome: report.outcome, reason, outputTokens});
+	run.account.addStage('ended', {outcome: report.outcome, reason, outputTokens});
 	run.log.info('request ended', {
 		outcome: report.outcome, reason, outputTokens, durationMs: completeMs,
 	});
--- a/src/programs/entry/serve-completion/index.ts
+++ b/src/programs/entry/serve-completion/index.ts
@@ -14,18 +14,18 @@
 import {createJsonDelivery, createSseDelivery, type DeliveryOptions} from '../delivery/index.js';
 import {createOutcomeLedger} from '../outcome-ledger/index.js';
 import {type RunEnd, runRequest, toEnded} from '../run-request/index.js';
-import {findKey, toUnclaimed} from '../_lib/find-key.js';
-import {findOverload, toGateProblem} from '../_lib/refuse.js';
-import {toKeyedOptions} from '../_lib/keyed.js';
+import {findIdempotencyKey, toUnclaimedProblem} from '../_lib/find-idempotency-key.js';
+import {findOverload, toGateProblem} from '../_lib/problems.js';
+import {toKeyedOptions} from '../_lib/to-keyed-options.js';
 import {reportRefused} from '../_lib/report-refused.js';
 import {type Route, toHostName, toServedModel} from '../_lib/route.js';
 import {openRunControl} from '../_lib/run-registry.js';
-import {type ServeServices} from '../_lib/serve-types.js';
+import {type ServeContext} from '../_lib/serve-types.js';
 import {type Delivery, type Run} from '../_lib/types.js';
 import {readRequest, type ParsedRequest} from './_lib/read-request.js';
 import {reportEnd, toVerdict} from './_lib/report-end.js';
 
-function createDeliveryFor(exchange: CallerExchange, request: CompletionRequest, serve: ServeServices): Delivery {
+function createDeliveryFor(exchange: CallerExchange, request: CompletionRequest, serve: ServeContext): Delivery {
 	const head: AnswerHead = {
 		kind: request.kind,
 		id: `${request.kind === 'chat' ? 'chatcmpl' : 'cmpl'}-${exchange.requestId}`,
@@ -44,7 +44,7 @@
 	account: Account;
 };
 
-function createRun(input: RunInput, serve: ServeServices): Run {
+function createRun(input: RunInput, serve: ServeContext): Run {
 	const {exchange, route, request, promptTokens} = input;
 	const {clock, random} = serve.services;
 	const {then, name} = route.rule;
@@ -72,7 +72,7 @@
 	};
 }
 
-async function waitForRoom(run: Run, serve: ServeServices): Promise<RunEnd | undefined> {
+async function waitForRoom(run: Run, serve: ServeContext): Promise<RunEnd | undefined> {
 	const {gate, clock} = serve.services;
 	const {then} = run.rule;
 	const enteredAt = clock.now();
@@ -91,16 +91,16 @@
 	}, run.signal);
 	if (entered.isOk()) {
 		const waitedMs = clock.now() - enteredAt;
-		run.account.note('admitted', {waitedMs});
+		run.account.addStage('admitted', {waitedMs});
 		return undefined;
 	}
 
-	run.account.note('not admitted', {reason: entered.error.reason});
+	run.account.addStage('not admitted', {reason: entered.error.reason});
 	return entered.error.reason === 'gone' ? toEnded(run) : {kind: 'failed', problem: toGateProblem(entered.error, run.ledger.outcome())};
 }
 
 /** Runs an admitted request, and gives its place back whatever way it ends. */
-async function runAdmitted(run: Run, serve: ServeServices, attempt: number): ReturnType<typeof runRequest> {
+async function runAdmitted(run: Run, serve: ServeContext, attempt: number): ReturnType<typeof runRequest> {
 	const {gate} = serve.services;
 	let outcome: Parameters<typeof gate.leave>[1] = 'failed';
 	try {
@@ -118,7 +118,7 @@
  * request where nobody looks at its target: its caller would hear of the miss
  * when the delay is over, up to twice the target late.
  */
-async function runToEnd(run: Run, serve: ServeServices): Promise<RunEnd> {
+async function runToEnd(run: Run, serve: ServeContext): Promise<RunEnd> {
 	const {clock} = serve.services;
 	let attempt = 1;
 	for (;;) {
@@ -133,7 +133,7 @@
 			return end;
 		}
 
-		run.account.note('bounced');
+		run.account.addStage('bounced');
 	}
 }
 
@@ -145,10 +145,10 @@
 	}
 }
 
-async function runRouted(input: Omit<RunInput, 'signal'>, serve: ServeServices): Promise<KeyedVerdict> {
+async function runRouted(input: Omit<RunInput, 'signal'>, serve: ServeContext): Promise<KeyedVerdict> {
 	const control = openRunControl(serve.registry, input.exchange, now => now > run.deadline && run.buffer.offset() === 0);
 	const run = createRun({...input, signal: control.signal}, serve);
-	run.account.note('routed', {
+	run.account.addStage('routed', {
 		workspace: run.workspace, rule: run.rule.name, pool: run.rule.then.pool, class: run.rule.then.class, promptTokens: run.promptTokens, version: run.version,
 	});
 	run.log.info('request received', {pool: run.rule.then.pool, promptTokens: run.promptTokens});
@@ -169,7 +169,7 @@
  * @param exchange - The caller's request.
  * @param serve - The program around it.
  */
-export async function serveCompletion(kind: AnswerKind, exchange: CallerExchange, serve: ServeServices): Promise<void> {
+export async function serveCompletion(kind: AnswerKind, exchange: CallerExchange, serve: ServeContext): Promise<void> {
 	const account = serve.accounts.open(exchange.requestId);
 	const refuse = (problem: Problem) => {
 		reportRefused(problem, {
@@ -180,7 +180,7 @@
 
 	const overload = findOverload(serve);
 	if (overload !== undefined) {
-		refuse(toUnclaimed(overload, exchange.headers));
+		refuse(toUnclaimedProblem(overload, exchange.headers));
 		return;
 	}
 
@@ -199,8 +199,8 @@
 	}, serve.services.toView());
 	const served = routed.andThen(route => toServedModel(request.model, route).map(model => ({route, model})));
 	const ready = served
-		.mapErr(problem => toUnclaimed(problem, exchange.headers))
-		.andThen(({route, model}) => findKey(exchange, route.rule.then.repeatable).map(key => ({route, model, key})));
+		.mapErr(problem => toUnclaimedProblem(problem, exchange.headers))
+		.andThen(({route, model}) => findIdempotencyKey(exchange, route.rule.then.repeatable).map(key => ({route, model, key})));
 	if (ready.isErr()) {
 		refuse(ready.error);
 		return;
--- a/src/programs/entry/serve-models/index.ts
+++ b/src/programs/entry/serve-models/index.ts
@@ -1,7 +1,7 @@
 import {type CallerExchange} from '../../../adapters/caller-http/index.js';
 import {identifyCaller} from '../../../domain/identify-caller/index.js';
 import {type FleetView} from '../../../ports/view.js';
-import {noConfiguration} from '../_lib/refuse.js';
+import {noConfiguration} from '../_lib/problems.js';
 
 /**
  * Answers `GET /v1/models` from the configuration in force.
--- a/src/programs/entry/serve-plain/index.ts
+++ b/src/programs/entry/serve-plain/index.ts
@@ -10,28 +10,28 @@
 import {type ServiceClass} from '../../../ports/outcome.js';
 import {type Fingerprint} from '../../../ports/ids.js';
 import {toFingerprint} from '../../../domain/to-fingerprint/index.js';
-import {toLeastReturnDelay, toReturnDelay} from '../../../domain/to-return-delay/index.js';
+import {toMinFullPoolRetryAfter, toFullPoolRetryAfter} from '../../../domain/to-full-pool-retry-after/index.js';
 import {
-	toAge, toWait, type Wait, type WaitInput,
-} from '../../../domain/to-wait/index.js';
+	toEarlierWaitMs, toWaitPolicy, type WaitPolicy, type WaitPolicyInput,
+} from '../../../domain/to-wait-policy/index.js';
 import {bytesPerKibibyte} from '../../../ports/units.js';
 import {
-	callServers, isRepeatable, toCutOff, type PlainOutcome, type PlainRun,
+	callServers, isRepeatable, toAborted, type PlainOutcome, type PlainRun,
 } from '../call-plain/index.js';
 import {type KeyedVerdict, serveKeyed} from '../claims/index.js';
 import {type Gate, type GateRefusal} from '../gate/index.js';
 import {createOutcomeLedger} from '../outcome-ledger/index.js';
-import {type EndedRequest} from '../_lib/ended.js';
-import {findKey, toDigest, toUnclaimed} from '../_lib/find-key.js';
-import {toKeyedOptions} from '../_lib/keyed.js';
+import {type EndedRequest} from '../_lib/ended-request.js';
+import {findIdempotencyKey, toRequestDigest, toUnclaimedProblem} from '../_lib/find-idempotency-key.js';
+import {toKeyedOptions} from '../_lib/to-keyed-options.js';
 import {createPlainBody, type PlainBody} from '../_lib/plain-body.js';
 import {type PlainClients} from '../_lib/plain-clients.js';
-import {findOverload, toBodyProblem, toGateProblem} from '../_lib/refuse.js';
+import {findOverload, toBodyProblem, toGateProblem} from '../_lib/problems.js';
 import {toQuarantineProblem} from '../_lib/quarantine.js';
 import {reportRefused} from '../_lib/report-refused.js';
 import {type Route, toHostName} from '../_lib/route.js';
 import {openRunControl, type RunControl} from '../_lib/run-registry.js';
-import {type ServeServices} from '../_lib/serve-types.js';
+import {type ServeContext} from '../_lib/serve-types.js';
 
 /** Bodies up to this size are read whole first, so that they can be sent again. */
 const bufferedBodyBytes = 64 * bytesPerKibibyte;
@@ -40,7 +40,7 @@
  * A body that a key names is read whole, because its digest must be known before
  * the work is claimed; one that is relayed, because it goes to several servers.
  */
-async function takeBody(exchange: CallerExchange, serve: ServeServices, isWhole: boolean): Promise<Result<PlainBody, Problem | 'gone'>> {
+async function takeBody(exchange: CallerExchange, serve: ServeContext, isWhole: boolean): Promise<Result<PlainBody, Problem | 'gone'>> {
 	const {maxBodyBytes: limitBytes, bodyTimeoutMs: timeoutMs} = serve.limits;
 	const length = exchange.headers['content-length'];
 	const hasBody = exchange.headers['transfer-encoding'] !== undefined || Number(length ?? 0) > 0;
@@ -66,35 +66,35 @@
 async function waitAndCall(run: PlainRun): Promise<FinalOutcome> {
 	const {clock} = run.serve.services;
 	for (;;) {
-		const wait = toWait(toWaitInput(run), clock.now());
+		const wait = toWaitPolicy(toWaitInput(run), clock.now());
 		const ended = await enterAndCall(run, wait);
 		const {end} = ended;
 		if (end !== 'bounced') {
 			return {...ended, end};
 		}
 
-		run.account.note('bounced');
-		if (wait.isOnce || (ended.roomAt ?? -Infinity) > wait.latestStart) {
+		run.account.addStage('bounced');
+		if (wait.isSingleTry || (ended.roomAt ?? -Infinity) > wait.latestStart) {
 			return toNoRoom(run, ended.roomAt);
 		}
 	}
 }
 
-function toWaitInput({route, receivedAt, deadline, work, events, serve: {services}}: PlainRun): WaitInput {
+function toWaitInput({route, receivedAt, deadline, work, events, serve: {services}}: PlainRun): WaitPolicyInput {
 	return {
 		then: route.rule.then,
 		poolKind: route.pool.kind,
 		receivedAt,
 		deadline,
-		waitsMs: work.waitsMs,
-		leastReturnMs: toLeastReturnDelay(services.gate.meanHoldMs(route.pool.name)),
-		hasBegun: events?.hasBegun ?? false,
+		callerTimeoutMs: work.timeoutMs,
+		minRetryAfterMs: toMinFullPoolRetryAfter(services.gate.meanHoldMs(route.pool.name)),
+		hasPartialAnswer: events?.hasBegun ?? false,
 	};
 }
 
 /** When a caller may come back to a pool whose memory is full. */
 function toReturnMs({route, serve: {services}}: PlainRun): Milliseconds {
-	return toReturnDelay(services.gate.meanHoldMs(route.pool.name), services.random);
+	return toFullPoolRetryAfter(services.gate.meanHoldMs(route.pool.name), services.random);
 }
 
 function toNoRoom(run: PlainRun, roomAt = -Infinity): FinalOutcome {
@@ -109,7 +109,7 @@
 	};
 }
 
-async function enter(run: PlainRun, wait: Wait): Promise<Result<void, GateRefusal>> {
+async function enter(run: PlainRun, wait: WaitPolicy): Promise<Result<void, GateRefusal>> {
 	const {exchange, route, serve} = run;
 	return serve.services.gate.enter({
 		id: exchange.requestId,
@@ -119,7 +119,7 @@
 		deadline: run.deadline,
 		firstTokenDeadline: wait.latestStart,
 		promptTokens: Math.max(1, run.work.promptTokens),
-		maxTokens: Math.max(1, run.work.guessedTokens ?? run.work.maxTokens),
+		maxTokens: Math.max(1, run.work.estimatedTokens ?? run.work.maxTokens),
 		queueLimit: route.rule.then.queueLimit,
 	}, run.signal);
 }
@@ -130,16 +130,16 @@
 	return run.route.pool.kind === 'model' ? {...problem, retryAfterMs: toReturnMs(run)} : problem;
 }
 
-async function enterAndCall(run: PlainRun, wait: Wait): Promise<PlainOutcome> {
+async function enterAndCall(run: PlainRun, wait: WaitPolicy): Promise<PlainOutcome> {
 	const {exchange, route, serve, account} = run;
 	const {gate} = serve.services;
 	const entered = await enter(run, wait);
 	if (entered.isErr()) {
-		account.note('not admitted', {reason: entered.error.reason});
+		account.addStage('not admitted', {reason: entered.error.reason});
 		run.log.info('not admitted', {reason: entered.error.reason, pool: route.pool.name, queued: gate.waiting()});
 		// An earlier call may have been taken before this one found every server full.
 		const outcome = run.ledger.outcome();
-		return entered.error.reason === 'gone' ? toCutOff(run) : {end: outcome === 'not-run' ? 'refused' : 'failed', outcome, problem: toWaitProblem(run, entered.error, outcome)};
+		return entered.error.reason === 'gone' ? toAborted(run) : {end: outcome === 'not-run' ? 'refused' : 'failed', outcome, problem: toWaitProblem(run, entered.error, outcome)};
 	}
 
 	let end: Parameters<typeof gate.leave>[1] = 'failed';
@@ -174,9 +174,9 @@
 
 	const reason = ended.problem?.kind ?? ended.end;
 	const firstTokenMs = run.firstByteAt === undefined ? undefined : run.firstByteAt - run.receivedAt;
-	account.note('ended', {outcome: ended.outcome, reason});
+	account.addStage('ended', {outcome: ended.outcome, reason});
 	serve.log.info('request ended', {
-		requestId: exchange.requestId, workspace: route.workspace, rule: route.rule.name, class: route.rule.then.class, edition: route.edition, outcome: ended.outcome, reason, durationMs: Math.round(completeMs), firstTokenMs: firstTokenMs && Math.round(firstTokenMs), count: run.bounces, ageMs: toAge(toWaitInput(run)),
+		requestId: exchange.requestId, workspace: route.workspace, rule: route.rule.name, class: route.rule.then.class, edition: route.edition, outcome: ended.outcome, reason, durationMs: Math.round(completeMs), firstTokenMs: firstTokenMs && Math.round(firstTokenMs), count: run.bounces, ageMs: toEarlierWaitMs(toWaitInput(run)),
 	});
 	serve.onEnded({
 		workspace: route.workspace, rule: route.rule, end: ended.end, outcome: ended.outcome, firstTokenMs, completeMs, outputTokens: 0,
@@ -190,11 +190,11 @@
  * @param serve - The program around it.
  * @param clients - Connections to plain services.
  */
-export async function servePlain(exchange: CallerExchange, serve: ServeServices, clients: PlainClients): Promise<void> {
+export async function servePlain(exchange: CallerExchange, serve: ServeContext, clients: PlainClients): Promise<void> {
 	const {services} = serve;
 	const receivedAt = services.clock.now();
 	const account = serve.accounts.open(exchange.requestId);
-	const work = serve.calls.readWork(exchange.headers);
+	const work = serve.calls.parseHints(exchange.headers);
 	const routed = serve.route({
 		headers: exchange.headers, host: toHostName(exchange.headers.host), path: exchange.path, model: work.model, promptTokens: work.promptTokens, random: services.random,
 	}, services.toView());
@@ -209,13 +209,13 @@
 	};
 
 	if (early !== undefined || routed.isErr()) {
-		refuse(early && toUnclaimed(early, exchange.headers));
+		refuse(early && toUnclaimedProblem(early, exchange.headers));
 		return;
 	}
 
 	const route = routed.value;
 	const {relay, target} = route.rule.then;
-	const key = relay === undefined ? findKey(exchange, isRepeatable({exchange, route})) : ok<string | undefined, Problem>(undefined);
+	const key = relay === undefined ? findIdempotencyKey(exchange, isRepeatable({exchange, route})) : ok<string | undefined, Problem>(undefined);
 	const body = key.isErr() ? err(key.error) : await takeBody(exchange, serve, relay !== undefined || key.value !== undefined);
 	if (body.isErr() || key.isErr()) {
 		refuse(body.isErr() ? body.error : undefined);
@@ -225,18 +225,18 @@
 	const fingerprint = toFingerprintOf(exchange, route, body.value);
 	if (fingerprint !== undefined && serve.suspects.isQuarantined(fingerprint, services.clock.now())) {
 		serve.suspects.noteRefused(fingerprint, services.clock.now());
-		refuse(toUnclaimed(toQuarantineProblem('not-run'), exchange.headers), fingerprint);
+		refuse(toUnclaimedProblem(toQuarantineProblem('not-run'), exchange.headers), fingerprint);
 		return;
 	}
 
-	const deadline = receivedAt + Math.min(target.completeMs, work.waitsMs ?? Infinity);
+	const deadline = receivedAt + Math.min(target.completeMs, work.timeoutMs ?? Infinity);
 	const serveOne = async (caller: CallerExchange) => runRouted({
 		exchange: caller, route, serve, clients, account, receivedAt, work, body: body.value, deadline, fingerprint,
 	});
 	await (key.value === undefined || serve.claims === undefined
 		? serveOne(exchange)
 		: serveKeyed(serve.claims, exchange, {
-			workspace: route.workspace, key: key.value, digest: toDigest(exchange, body.value.bytes() ?? new Uint8Array()), isRepeatable: isRepeatable({exchange, route}),
+			workspace: route.workspace, key: key.value, digest: toRequestDigest(exchange, body.value.bytes() ?? new Uint8Array()), isRepeatable: isRepeatable({exchange, route}),
 		}, toKeyedOptions({exchange, account, route}, serve, serveOne)));
 }
 
@@ -254,7 +254,7 @@
 	} = input;
 	const control = openRunControl(serve.registry, exchange, now => now > deadline && !exchange.isStarted());
 	const timer = route.rule.then.relay === undefined ? undefined : endAt(control, deadline - serve.services.clock.now());
-	account.note('routed', {
+	account.addStage('routed', {
 		workspace: route.workspace, rule: route.rule.name, pool: route.pool.name, class: route.rule.then.class,
 	});
 	serve.log.info('request received', {
--- a/src/programs/entry/start-entry/_lib/create-handlers.ts
+++ b/src/programs/entry/start-entry/_lib/create-handlers.ts
@@ -1,7 +1,7 @@
 /** Who serves which kind of request. */
 import {type CallerHandlers} from '../../../../adapters/caller-http/index.js';
 import {type PlainClients} from '../../_lib/plain-clients.js';
-import {type ServeServices} from '../../_lib/serve-types.js';
+import {type ServeContext} from '../../_lib/serve-types.js';
 import {serveCompletion} from '../../serve-completion/index.js';
 import {serveModels} from '../../serve-models/index.js';
 import {servePlain} from '../../serve-plain/index.js';
@@ -13,7 +13,7 @@
  * @param ticker - Woken by each request.
  * @returns What serves the requests of callers.
  */
-export function createHandlers(serve: ServeServices, clients: PlainClients, ticker: Ticker): CallerHandlers {
+export function createHandlers(serve: ServeContext, clients: PlainClients, ticker: Ticker): CallerHandlers {
 	/** What the request begins, before it waits for anything, is what the next tick is for. */
 	async function awake(serving: Promise<void>): Promise<void> {
 		ticker.wake();
--- a/src/programs/entry/start-entry/_lib/create-readiness.ts
+++ b/src/programs/entry/start-entry/_lib/create-readiness.ts
@@ -20,7 +20,7 @@
 	return view !== undefined
 		&& isIsolated?.() === true
 		&& !link.isConnected()
-		&& services.placement.isOutOfReach(view, services.clock.now());
+		&& services.placement.isAnyPoolSuspect(view, services.clock.now());
 }
 
 /**
--- a/src/programs/entry/start-entry/_lib/drain.ts
+++ b/src/programs/entry/start-entry/_lib/drain.ts
@@ -2,7 +2,7 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {type CallerServer} from '../../../../adapters/caller-http/index.js';
 import {type Milliseconds} from '../../../../ports/clock.js';
-import {type ServeServices} from '../../_lib/serve-types.js';
+import {type ServeContext} from '../../_lib/serve-types.js';
 
 /** Time for cancels to be confirmed before the process ends. */
 export const cancelSettleMs = 2000;
@@ -14,7 +14,7 @@
  *
  * @param serve - Runs in progress, and the queue of cancels.
  */
-export async function settle({registry, services}: ServeServices): Promise<void> {
+export async function settle({registry, services}: ServeContext): Promise<void> {
 	for (let waitedMs = 0; registry.size() > 0 && waitedMs < cancelSettleMs; waitedMs += settlePollMs) {
 		await sleep(settlePollMs);
 	}
@@ -29,7 +29,7 @@
  * @param parts - The callers' port and the runs behind it.
  * @param timeoutMs - Limit of the drain, milliseconds.
  */
-export async function drain({callers, serve}: {callers: CallerServer; serve: ServeServices}, timeoutMs: Milliseconds): Promise<void> {
+export async function drain({callers, serve}: {callers: CallerServer; serve: ServeContext}, timeoutMs: Milliseconds): Promise<void> {
 	const closed = callers.close();
 	const limit = new AbortController();
 	const isDrained = await Promise.race([
--- a/src/programs/entry/start-entry/index.ts
+++ b/src/programs/entry/start-entry/index.ts
@@ -8,7 +8,7 @@
 } from '../../../adapters/caller-http/index.js';
 import {type Log} from '../../../adapters/log/index.js';
 import {type Metrics} from '../../../adapters/metrics/index.js';
-import {createOwnCalls} from '../../../adapters/own-calls/index.js';
+import {createNativeCalls} from '../../../adapters/native-calls/index.js';
 import {createCrashSuspects, type CrashSuspects} from '../../../domain/create-crash-suspects/index.js';
 import {type ServerHealthOptions} from '../../../domain/create-server-health/index.js';
 import {type RetryBudgetOptions} from '../../../domain/create-retry-budget/index.js';
@@ -28,14 +28,14 @@
 import {createAccounts, type Accounts} from '../accounts/index.js';
 import {startTicker} from '../start-ticker/index.js';
 import {watchPauses} from '../watch-pauses/index.js';
-import {createNotices} from '../_lib/create-notices.js';
+import {createNoticeHandler} from '../_lib/create-notice-handler.js';
 import {createRunServices} from '../_lib/create-run-services.js';
 import {type FleetLink, type JoinOptions} from '../_lib/join-fleet.js';
 import {createPlainClients, type PlainClients} from '../_lib/plain-clients.js';
 import {createRouter} from '../_lib/route.js';
 import {createRunRegistry} from '../_lib/run-registry.js';
-import {type CallerLimits, type ServeServices} from '../_lib/serve-types.js';
-import {createTally} from '../_lib/tally.js';
+import {type CallerLimits, type ServeContext} from '../_lib/serve-types.js';
+import {createEntryMetrics} from '../_lib/create-entry-metrics.js';
 import {toEntryStatus} from '../_lib/to-entry-status.js';
 import {cancelSettleMs, drain, settle} from './_lib/drain.js';
 import {createHandlers} from './_lib/create-handlers.js';
@@ -93,7 +93,7 @@
 	/** Part of a pool's servers that should compute prompts, by what requests cost here; `undefined` while too little is known. */
 	toPrefillShare: PlacementDecider['toPrefillShare'];
 	/** Takes what a server said of itself in an answer to a call that was made elsewhere. */
-	noteNotice: ServeServices['noteNotice'];
+	handleNotice: ServeContext['handleNotice'];
 	/** Finishes everything in progress, then closes. */
 	stop: () => Promise<void>;
 	/** Ends everything in progress and waits a moment for the cancels; returns the ids of what is abandoned. */
@@ -136,9 +136,9 @@
 type EntryParts = {
 	options: EntryOptions;
 	link: FleetLink;
-	serve: ServeServices;
+	serve: ServeContext;
 	callers: CallerServer;
-	counters: ReturnType<typeof createTally>;
+	counters: ReturnType<typeof createEntryMetrics>;
 	toIsStopping: () => boolean;
 };
 
@@ -148,14 +148,14 @@
 	} = parts;
 	const {services, registry, accounts} = serve;
 	counters.sample({
-		inProgress: registry.size, waiting: services.gate.waiting, openAnswers: callers.open, cancelsPending: services.cancels.pending, quarantined: () => serve.suspects.count(options.clock.now()).quarantined,
+		inProgress: registry.size, waiting: services.gate.waiting, openAnswers: callers.openExchanges, cancelsPending: services.cancels.pending, quarantined: () => serve.suspects.count(options.clock.now()).quarantined,
 	});
 	const started = await startOperations({
 		settings: options.settings,
 		log: options.log,
 		metrics: options.metrics,
 		keys: options.keys,
-		notReady: createReadiness({
+		notReadyReasons: createReadiness({
 			link, services, log: options.log, isIsolated: options.loadSharing?.isIsolated, isStopping: toIsStopping,
 		}),
 		status: () => toEntryStatus({
@@ -182,7 +182,7 @@
 		settings, clock, random, log, metrics, suspects = createCrashSuspects(),
 	} = options;
 	let isStopping = false;
-	const counters = createTally(metrics);
+	const counters = createEntryMetrics(metrics);
 	const ledger = createSloLedger({host: settings.hostId});
 	const engines = createEngines(server => options.createEngine(server, {onDropped: counters.noteDropped}));
 	const clients = createPlainClients({connectTimeoutMs: settings.engineConnectTimeout, ...(options.serverIdleMs !== undefined && {idleMs: options.serverIdleMs})});
@@ -211,7 +211,7 @@
 	const opened: {callers?: CallerServer} = {};
 	const applyBounds = (bounds: CallerBounds): void => {
 		limits.maxBodyBytes = bounds.maxBodyBytes;
-		opened.callers?.setKeepAlive(bounds.keepAliveTimeoutMs);
+		opened.callers?.setKeepAliveTimeout(bounds.keepAliveTimeoutMs);
 	};
 
 	const link: FleetLink = await options.join({
@@ -226,22 +226,22 @@
 			}
 		},
 	});
-	const noteNotice = createNotices({
+	const noteNotice = createNoticeHandler({
 		log,
 		reportLeaving(server) {
 			link.reportLeaving(server);
 		},
 		notePause: (server, pauseMs) => run.services.placement.notePause(server, pauseMs, clock.now()),
 	});
-	const serve: ServeServices = {
+	const serve: ServeContext = {
 		services: run.services,
 		limits,
 		route: createRouter(settings.zone),
 		accounts,
 		registry,
 		claims: link.claims,
-		calls: options.createCalls?.(clients.toDispatcher, {onNotice: noteNotice}) ?? createOwnCalls({toView: () => link.toView()}),
-		noteNotice,
+		calls: options.createCalls?.(clients.toDispatcher, {onNotice: noteNotice}) ?? createNativeCalls({toView: () => link.toView()}),
+		handleNotice: noteNotice,
 		suspects,
 		log,
 		onEnded(ended) {
@@ -285,7 +285,7 @@
 		view: link.toView,
 		accounts,
 		toPrefillShare: run.services.placement.toPrefillShare,
-		noteNotice,
+		handleNotice: noteNotice,
 		async stop() {
 			isStopping = true;
 			callers.startStopping();
--- a/src/programs/relay/keep-roles/index.ts
+++ b/src/programs/relay/create-role-manager/index.ts
@@ -15,7 +15,7 @@
 import {msPerSecond} from '../../../ports/units.js';
 import {type FleetView} from '../../../ports/view.js';
 
-export type KeepRolesOptions = {
+export type RoleManagerOptions = {
 	host: HostId;
 	/** Part of a pool's servers that is to compute prompts until requests have told what they cost. */
 	prefillShare: number;
@@ -30,7 +30,7 @@
 	isConnected: () => boolean;
 };
 
-export type RoleKeeper = {
+export type RoleManager = {
 	/** Looks at all pools, and orders what is needed; the program calls it now and then. */
 	tick: () => Promise<void>;
 };
@@ -92,7 +92,7 @@
  * @param options - What is wanted, what is known, and how servers are told.
  * @returns The keeper.
  */
-export function keepRoles(options: KeepRolesOptions): RoleKeeper {
+export function createRoleManager(options: RoleManagerOptions): RoleManager {
 	const {
 		host, prefillShare, toPrefillShare, clock, log, assignRole, toView, isConnected,
 	} = options;
--- a/src/programs/relay/keep-roles/test.ts
+++ b/src/programs/relay/create-role-manager/test.ts
@@ -5,7 +5,7 @@
 import {type ServerEntry} from '../../../ports/config.js';
 import {type RoleOrder} from '../../../ports/server-calls.js';
 import {type FleetView} from '../../../ports/view.js';
-import {keepRoles, type KeepRolesOptions, type RoleKeeper} from './index.js';
+import {createRoleManager, type RoleManagerOptions, type RoleManager} from './index.js';
 
 const toServer = (id: string, role: ServerEntry['role'], zone: string): ServerEntry => ({
 	id, role, zone, url: `http://10.0.0.1:1/${id}`, pool: 'model', slots: 100, checksFence: false,
@@ -42,8 +42,8 @@
 let orders: Given[];
 let learntShare: number | undefined;
 
-function start(): RoleKeeper {
-	const assignRole: KeepRolesOptions['assignRole'] = ({id}, order) => {
+function start(): RoleManager {
+	const assignRole: RoleManagerOptions['assignRole'] = ({id}, order) => {
 		orders.push({...order, server: id, at: now});
 		return isTaken
 			? okAsync(undefined)
@@ -52,7 +52,7 @@
 			});
 	};
 
-	return keepRoles({
+	return createRoleManager({
 		host: 'front-a-1',
 		prefillShare: 0.33,
 		toPrefillShare: () => learntShare,
@@ -67,7 +67,7 @@
 }
 
 /** Looks once a second, as the program does. */
-async function passTime(keeper: RoleKeeper, seconds: number): Promise<void> {
+async function passTime(keeper: RoleManager, seconds: number): Promise<void> {
 	for (let second = 0; second < seconds; second++) {
 		now += 1000;
 		wall += 1000;
--- a/src/programs/relay/share-loads/_test/start-hosts.ts
+++ b/src/programs/relay/share-loads/_test/start-hosts.ts
@@ -5,12 +5,12 @@
 import {type Milliseconds, type Random} from '../../../../ports/clock.js';
 import {type LoadMessage} from '../../../../ports/shared-loads.js';
 import {msPerSecond} from '../../../../ports/units.js';
-import {shareLoads, type RunningLoadSharing} from '../index.js';
+import {shareLoads, type LoadExchange} from '../index.js';
 
 export const zones = ['a', 'b', 'c', 'd', 'e', 'f'];
 export const stepMs: Milliseconds = 50;
 
-export type Host = {name: string; zone: string; address: string; sharing: RunningLoadSharing; suspects: CrashSuspects; startedAt: Milliseconds; isDead: boolean};
+export type Host = {name: string; zone: string; address: string; sharing: LoadExchange; suspects: CrashSuspects; startedAt: Milliseconds; isDead: boolean};
 
 const log = createLog({
 	level: 'error', program: 'test', host: 'h', zone: 'z', incarnation: 1, sink: {write: () => true, writableLength: 0, on: () => undefined},
--- a/src/programs/relay/share-loads/index.ts
+++ b/src/programs/relay/share-loads/index.ts
@@ -33,7 +33,7 @@
 	open?: typeof openLoadDatagrams;
 };
 
-export type RunningLoadSharing = Pick<SharedLoads, 'read' | 'isZoneSilent'> & {
+export type LoadExchange = Pick<SharedLoads, 'read' | 'isZoneSilent'> & {
 	/** Whether hosts of other zones were heard before, and none is any more. */
 	isIsolated: () => boolean;
 	/** Hosts that are known to live, with this one; `undefined` while none was ever heard. */
@@ -91,7 +91,7 @@
  * @param options - This host, and where others may be.
  * @returns What is heard, and the function that tells.
  */
-export async function shareLoads(options: ShareLoadsOptions): Promise<RunningLoadSharing> {
+export async function shareLoads(options: ShareLoadsOptions): Promise<LoadExchange> {
 	const {
 		address, seeds, host, zone, incarnation, clock, log, suspects, open = openLoadDatagrams,
 	} = options;
@@ -116,8 +116,8 @@
 				log.info('peer heard', {peer: message.host, peerZone: message.zone, peerAddress: from});
 			}
 
-			peers.noteNamed(message.peers, now);
-			for (const fingerprint of suspects.noteHeard(message.crashes, now)) {
+			peers.noteAdvertised(message.peers, now);
+			for (const fingerprint of suspects.mergeReports(message.crashes, now)) {
 				logQuarantined(log, suspects, {fingerprint, now, peer: message.host});
 			}
 		},
@@ -169,7 +169,7 @@
 		const leastCrashes = toLeastCrashes(now);
 		const crashes = changed.filter(report => report.crashes.length >= leastCrashes);
 		if (crashes.length > 0) {
-			send({loads, crashes}, [...peers.near(now), ...peers.far(now)]);
+			send({loads, crashes}, [...peers.directPeers(now), ...peers.remotePeers(now)]);
 		}
 
 		tellCollectors(loads, changed.filter(report => report.crashes.length < leastCrashes));
@@ -183,23 +183,23 @@
 		tellOfCrashes(loads, now);
 		if (now - roundAt >= roundMs) {
 			roundAt = now;
-			const named = peers.toName(now);
+			const named = peers.takeAdvertised(now);
 			const crashes = toReports(now);
-			const asked = new Set([...peers.near(now), ...peers.far(now), ...peers.toGreet(now)]);
+			const asked = new Set([...peers.directPeers(now), ...peers.remotePeers(now), ...peers.silentSeeds(now)]);
 			send({
 				loads, crashes, named, isAsking: true,
 			}, [...asked]);
-			send({loads, crashes, named}, [...new Set([...peers.askers(now), ...unanswered])].filter(address => !asked.has(address)));
+			send({loads, crashes, named}, [...new Set([...peers.remoteRequesters(now), ...unanswered])].filter(address => !asked.has(address)));
 		} else {
 			if (unanswered.length > 0) {
-				send({loads, crashes: toReports(now), named: peers.toName(now)}, unanswered);
+				send({loads, crashes: toReports(now), named: peers.takeAdvertised(now)}, unanswered);
 			}
 
 			if (!isDue(text, now)) {
 				return;
 			}
 
-			send({loads, crashes: []}, peers.near(now));
+			send({loads, crashes: []}, peers.directPeers(now));
 		}
 
 		lastText = text;
--- a/src/programs/relay/share-loads/retries.test.ts
+++ b/src/programs/relay/share-loads/retries.test.ts
@@ -7,7 +7,7 @@
 import {describe, it} from 'node:test';
 import {createRandom} from '../../../domain/_test/create-random.js';
 import {createRetryBudget, type FailedAttempt, type RetryBudget} from '../../../domain/create-retry-budget/index.js';
-import {toRetryPart, type RetryLimits} from '../../../domain/to-retry-part/index.js';
+import {toRetryShare, type RetryLimits} from '../../../domain/to-retry-share/index.js';
 import {type Milliseconds} from '../../../ports/clock.js';
 import {msPerSecond} from '../../../ports/units.js';
 import {startHosts, stepMs, type Host} from './_test/start-hosts.js';
@@ -36,7 +36,7 @@
 	const retries: number[] = [];
 
 	function toBudget(host: Host): RetryBudget {
-		const budget = budgets.get(host) ?? createRetryBudget(toRetryPart(limits, host.sharing.countSharers, {startedAt: host.startedAt}));
+		const budget = budgets.get(host) ?? createRetryBudget(toRetryShare(limits, host.sharing.countSharers, {startedAt: host.startedAt}));
 		budgets.set(host, budget);
 		return budget;
 	}
--- a/src/programs/relay/share-loads/test.ts
+++ b/src/programs/relay/share-loads/test.ts
@@ -4,7 +4,7 @@
 import {createCrashSuspects} from '../../../domain/create-crash-suspects/index.js';
 import {findUdpAddress} from '../../../../test/_lib/find-udp-address/index.js';
 import {waitUntil} from '../../../../test/_lib/wait-until/index.js';
-import {shareLoads, type RunningLoadSharing} from './index.js';
+import {shareLoads, type LoadExchange} from './index.js';
 
 const deadlineMs = 10_000;
 const clock = {now: () => performance.now(), wallNow: () => Date.now()};
@@ -12,9 +12,9 @@
 	level: 'error', program: 'test', host: 'h', zone: 'z', incarnation: 1, sink: {write: () => true, writableLength: 0, on: () => undefined},
 });
 
-let hosts: RunningLoadSharing[] = [];
+let hosts: LoadExchange[] = [];
 
-async function startHost(name: string, address: string, seeds: readonly string[]): Promise<RunningLoadSharing> {
+async function startHost(name: string, address: string, seeds: readonly string[]): Promise<LoadExchange> {
 	const host = await shareLoads({
 		address, seeds, host: name, zone: 'z', incarnation: 1, clock, log, suspects: createCrashSuspects(),
 	});
--- a/src/programs/relay/start-relay/_lib/add-relay-metrics.ts
+++ b/src/programs/relay/start-relay/_lib/add-relay-metrics.ts
@@ -3,7 +3,7 @@
 import {type Milliseconds} from '../../../../ports/clock.js';
 import {msPerSecond} from '../../../../ports/units.js';
 
-export type RelayKnowledge = {
+export type RelayMetricSources = {
 	/** Hosts that are known to live, with this one. */
 	countHosts: () => number;
 	/** Time since the platform answered a read; `undefined` before the first. */
@@ -18,7 +18,7 @@
  * @param knowledge - Asked at each exposure.
  * @returns What counts.
  */
-export function addRelayMetrics(metrics: Metrics, {countHosts, answerAgeMs}: RelayKnowledge): {noteReset: () => void} {
+export function addRelayMetrics(metrics: Metrics, {countHosts, answerAgeMs}: RelayMetricSources): {noteReset: () => void} {
 	metrics.createSampledGauge({name: 'hosts_known', help: 'Hosts that this one knows, with itself; each takes its part of the retries by it.', sample: countHosts});
 	metrics.createSampledGauge({
 		name: 'platform_age_seconds',
--- a/src/programs/relay/start-relay/_lib/create-no-engine.ts
+++ b/src/programs/relay/start-relay/_lib/create-unused-engine.ts
@@ -7,7 +7,7 @@
  *
  * @returns A client that refuses each call.
  */
-export function createNoEngine(): EngineClient {
+export function createUnusedEngine(): EngineClient {
 	const refuse = () => errAsync({
 		kind: 'invalid' as const, reason: undefined, server: '', message: 'requests are passed on here, and engines are not called in the own protocol', retryAfterMs: undefined,
 	});
--- a/src/programs/relay/start-relay/_lib/open-sharing.ts
+++ b/src/programs/relay/start-relay/_lib/open-load-sharing.ts
@@ -4,7 +4,7 @@
 import {type Clock} from '../../../../ports/clock.js';
 import {type Incarnation} from '../../../../ports/ids.js';
 import {type RelaySettings} from '../../../_settings/index.js';
-import {shareLoads, type RunningLoadSharing} from '../../share-loads/index.js';
+import {shareLoads, type LoadExchange} from '../../share-loads/index.js';
 
 /** Seeds are named by their control addresses; the port for peers is the same on all hosts. */
 function toPeerAddresses(seeds: readonly string[], peerAddress: string): string[] {
@@ -19,9 +19,9 @@
  * @param incarnation - Of this process.
  * @returns What is heard; `undefined` without an address for peers, or when it can't be had.
  */
-export async function openSharing({
+export async function openLoadSharing({
 	settings, clock, log, suspects,
-}: {settings: RelaySettings; clock: Clock; log: Log; suspects: CrashSuspects}, incarnation: Incarnation): Promise<RunningLoadSharing | undefined> {
+}: {settings: RelaySettings; clock: Clock; log: Log; suspects: CrashSuspects}, incarnation: Incarnation): Promise<LoadExchange | undefined> {
 	const {
 		peerAddress, seeds, hostId, zone,
 	} = settings;
--- a/src/programs/relay/start-relay/_lib/with-roles.ts
+++ b/src/programs/relay/start-relay/_lib/with-roles.ts
@@ -5,7 +5,7 @@
 import {type RelaySettings} from '../../../_settings/index.js';
 import {createPlainClients} from '../../../entry/_lib/plain-clients.js';
 import {type Entry, type EntryOptions} from '../../../entry/start-entry/index.js';
-import {keepRoles} from '../../keep-roles/index.js';
+import {createRoleManager} from '../../create-role-manager/index.js';
 
 /** Time between two looks at the roles of servers: what they depend on changes with servers that come and go. */
 const roleTickMs: Milliseconds = msPerSecond;
@@ -30,13 +30,13 @@
 	}
 
 	const clients = createPlainClients({connectTimeoutMs: settings.engineConnectTimeout});
-	const assignRole = createCalls?.(clients.toDispatcher, {onNotice: entry.noteNotice}).assignRole;
+	const assignRole = createCalls?.(clients.toDispatcher, {onNotice: entry.handleNotice}).assignRole;
 	if (assignRole === undefined) {
 		return entry;
 	}
 
 	log.info('this host gives orders to servers');
-	const keeper = keepRoles({
+	const keeper = createRoleManager({
 		host: hostId, prefillShare, clock, log, assignRole, isConnected, toView: entry.view, toPrefillShare: entry.toPrefillShare,
 	});
 	const timer = setInterval(() => {
--- a/src/programs/relay/start-relay/index.ts
+++ b/src/programs/relay/start-relay/index.ts
@@ -6,7 +6,7 @@
 import {type Metrics} from '../../../adapters/metrics/index.js';
 import {createCrashSuspects} from '../../../domain/create-crash-suspects/index.js';
 import {type ServerHealthOptions} from '../../../domain/create-server-health/index.js';
-import {toRetryPart} from '../../../domain/to-retry-part/index.js';
+import {toRetryShare} from '../../../domain/to-retry-share/index.js';
 import {type Clock, type Milliseconds, type Random} from '../../../ports/clock.js';
 import {type PublishedSource} from '../../../ports/published.js';
 import {msPerSecond} from '../../../ports/units.js';
@@ -16,8 +16,8 @@
 import {type FleetLink, type JoinOptions} from '../../entry/_lib/join-fleet.js';
 import {followPublished} from '../../entry/follow-published/index.js';
 import {addRelayMetrics} from './_lib/add-relay-metrics.js';
-import {createNoEngine} from './_lib/create-no-engine.js';
-import {openSharing} from './_lib/open-sharing.js';
+import {createUnusedEngine} from './_lib/create-unused-engine.js';
+import {openLoadSharing} from './_lib/open-load-sharing.js';
 import {withRoles} from './_lib/with-roles.js';
 
 export type RelayOptions = Pick<EntryOptions, 'createCalls' | 'callers'> & {
@@ -65,7 +65,7 @@
 	const startedAt = clock.now();
 	const incarnation = clock.wallNow();
 	const suspects = createCrashSuspects();
-	const loadSharing = await openSharing({
+	const loadSharing = await openLoadSharing({
 		settings, clock, log, suspects,
 	}, incarnation);
 	let isConnected = () => false;
@@ -78,7 +78,7 @@
 		});
 		// Roles are not changed by what may be older than what is known.
 		isConnected = () => follower.isConnected() && !follower.isReset();
-		answerAgeMs = follower.answerAgeMs;
+		answerAgeMs = follower.platformAnswerAgeMs;
 		return {
 			peerPort: 0,
 			toView: follower.toView,
@@ -102,10 +102,10 @@
 			retryBudget: 0,
 		},
 		join,
-		retryBudget: toRetryPart(settings, loadSharing === undefined ? () => 1 : loadSharing.countSharers, {startedAt}),
+		retryBudget: toRetryShare(settings, loadSharing === undefined ? () => 1 : loadSharing.countSharers, {startedAt}),
 		serverIdleMs: settings.serverIdle,
 		health: relayHealth,
-		createEngine: createNoEngine,
+		createEngine: createUnusedEngine,
 		suspects,
 		...(loadSharing && {loadSharing}),
 	});
--- a/test/contracts/peer-agents.test.ts
+++ b/test/contracts/peer-agents.test.ts
@@ -167,15 +167,15 @@
 		const address = (agent: Agent) => `127.0.0.1:${agent.peerPort}`;
 		await until('both know', () => older.twin() === address(newer) && newer.twin() === address(older));
 		for (const agent of [older, newer]) {
-			const [{reason, remedy}] = agent.attention() as [{reason: string; remedy: string}];
+			const [{reason, remedy}] = agent.warnings() as [{reason: string; remedy: string}];
 			assert.ok(reason.includes(address(older)) && reason.includes(address(newer)), reason);
 			assert.match(remedy, /--host-id/);
-			assert.deepEqual(agent.notReady(), []);
+			assert.deepEqual(agent.notReadyReasons(), []);
 		}
 
 		await older.stop();
 		agents.set('b-2', newer);
-		await until('the newer one is alone', () => newer.twin() === undefined && newer.attention().length === 0);
+		await until('the newer one is alone', () => newer.twin() === undefined && newer.warnings().length === 0);
 		await until('the others see it', () => agents.get('a-1')!.view().hosts.get('b-2')!.life === 'alive');
 	});
 
--- a/test/contracts/platform-adapter.test.ts
+++ b/test/contracts/platform-adapter.test.ts
@@ -126,14 +126,14 @@
 	});
 
 	it('tell of the work, whatever a caller writes there', () => {
-		assert.deepEqual(calls.readWork({
+		assert.deepEqual(calls.parseHints({
 			'token-count': '1460,80', 'length-hint': '40', 'deadline-ms': '1000', model: 'm',
 		}), {
-			waitsMs: 1000, model: 'm', promptTokens: 1460, maxTokens: 80, guessedTokens: 40,
+			timeoutMs: 1000, model: 'm', promptTokens: 1460, maxTokens: 80, estimatedTokens: 40,
 		});
 		fc.assert(fc.property(fc.string(), fc.string(), fc.string(), (tokens, hint, deadline) => {
-			const work = calls.readWork({'token-count': tokens, 'length-hint': hint, 'deadline-ms': deadline});
-			for (const value of [work.promptTokens, work.maxTokens, work.guessedTokens ?? 0, work.waitsMs ?? 0]) {
+			const work = calls.parseHints({'token-count': tokens, 'length-hint': hint, 'deadline-ms': deadline});
+			for (const value of [work.promptTokens, work.maxTokens, work.estimatedTokens ?? 0, work.timeoutMs ?? 0]) {
 				assert.ok(Number.isFinite(value) && value >= 0);
 			}
 		}));
@@ -142,7 +142,7 @@
 	it('say that a server leaves where it is the one that was called, whatever the status', () => {
 		const leaving = {'server-leaving': '1'};
 		for (const status of [200, 500, 503]) {
-			assert.deepEqual(calls.readNotice!(status, leaving), {isLeaving: true, pauseMs: undefined});
+			assert.deepEqual(calls.readNotice!(status, leaving), {isLeaving: true, backoffMs: undefined});
 			assert.equal(calls.readNotice!(status, {}), undefined);
 		}
 
@@ -150,7 +150,7 @@
 	});
 
 	it('say for how long a server wants nothing where it turned a call away, and nowhere else', () => {
-		assert.deepEqual(calls.readNotice!(503, {'retry-after': '2.5'}), {isLeaving: false, pauseMs: 2500});
+		assert.deepEqual(calls.readNotice!(503, {'retry-after': '2.5'}), {isLeaving: false, backoffMs: 2500});
 		for (const [status, retryAfter] of [[200, '2'], [421, '2'], [500, '2'], [503, '0'], [503, '-1'], [503, 'soon'], [503, ''], [503, ['1', '2']]] as const) {
 			assert.equal(calls.readNotice!(status, {'retry-after': retryAfter as string}), undefined, `${status} ${String(retryAfter)}`);
 		}
--- a/test/contracts/relay-orders.test.ts
+++ b/test/contracts/relay-orders.test.ts
@@ -42,7 +42,7 @@
 	it('bring what the server says of itself', async () => {
 		server.setLeaving(true);
 		await calls.assignRole!(toEntry(), {role: 'decode', host: 'front-a-1', fence: 41});
-		assert.deepEqual(notices, [{server: 'prefill1', isLeaving: true, pauseMs: undefined}]);
+		assert.deepEqual(notices, [{server: 'prefill1', isLeaving: true, backoffMs: undefined}]);
 	});
 
 	it('fail with a word while another is in progress', async () => {
--- a/test/failures/recovery.test.ts
+++ b/test/failures/recovery.test.ts
@@ -14,8 +14,8 @@
 import {type FeedUpdate} from '../../src/adapters/view-feed/_lib/messages.js';
 import {createAdmission} from '../../src/domain/create-admission/index.js';
 import {createFleetTable} from '../../src/domain/create-fleet-table/index.js';
-import {createLeaveHold} from '../../src/domain/create-leave-hold/index.js';
-import {createLoadSpread} from '../../src/domain/create-load-spread/index.js';
+import {createLeavingOverrides} from '../../src/domain/create-leaving-overrides/index.js';
+import {createLoadBroadcast} from '../../src/domain/create-load-broadcast/index.js';
 import {createPlacement} from '../../src/domain/create-placement/index.js';
 import {
 	toConfig, toPlacementRequest, toReport, toSeededRandom, toServer,
@@ -62,7 +62,7 @@
 		publisher.add(connection);
 		const loads = spreadLoads({
 			table,
-			hold: createLeaveHold(),
+			hold: createLeavingOverrides(),
 			self: () => ({id: 'a-1', zone: 'a'}),
 			hosts: () => hosts,
 			send: () => undefined,
@@ -102,12 +102,12 @@
 		},
 		/** Another host says that its polls of servers failed. */
 		hearLost(from: string, ids: readonly string[]) {
-			const sender = createLoadSpread();
+			const sender = createLoadBroadcast();
 			for (const id of ids) {
 				sender.noteUnreachable(id, clock.now());
 			}
 
-			agent?.loads.takeEvent(from, peerEvents.loads, sender.take(1, clock.now()));
+			agent?.loads.takeEvent(from, peerEvents.loads, sender.takeDue(1, clock.now()));
 		},
 		killAgent() {
 			agent = undefined;
--- a/test/stand-ins/users-platform/start-relay-fixture.ts
+++ b/test/stand-ins/users-platform/start-relay-fixture.ts
@@ -209,7 +209,7 @@
 		keys: undefined,
 		source: createStore(store.address),
 		createCalls: createServerCalls,
-		callers: {isRelayOnly: true, requestIdHeader: 'request-id', problemStyle: {hasFractions: true, isOutcomeInStatus: true, statuses: {'no-rule': 404}}},
+		callers: {isRelayOnly: true, requestIdHeader: 'request-id', problemStyle: {hasFractionalSeconds: true, isOutcomeInStatus: true, statuses: {'no-rule': 404}}},
 	});
 	return {relay, callerPort, operatorPort};
 }
