--- a/src/programs/entry/claims/serve-keyed-fleet.test.ts
+++ b/src/programs/entry/claims/serve-keyed-fleet.test.ts
@@ -15,7 +15,7 @@
 	const gone = new AbortController();
 	const exchange = {
 		requestId: 'r',
-		gone: gone.signal,
+		disconnectSignal: gone.signal,
 		isStarted: () => sent.length > 0,
 		startStream(status: number) {
 			sent.push(`${status}:`);
