--- a/src/programs/entry/_lib/to-keyed-options.test.ts
+++ b/src/programs/entry/_lib/to-keyed-options.test.ts
@@ -31,7 +31,7 @@
 		},
 	} as unknown as ServeContext;
 	const account = {
-		note(stage: string) {
+		addStage(stage: string) {
 			stages.push(stage);
 		},
 	} as unknown as Account;
--- a/src/programs/entry/relay-stream/test.ts
+++ b/src/programs/entry/relay-stream/test.ts
@@ -70,7 +70,7 @@
 			},
 			drained: async () => true,
 		},
-		account: {note: quiet},
+		account: {addStage: quiet},
 		log: {info: quiet, warn: quiet},
 	} as unknown as Run;
 }
@@ -78,7 +78,7 @@
 const services = {
 	clock: {now: () => 0, wallNow: () => 0},
 	gate: {noteFirstToken: () => undefined},
-	tally: {firstToken: () => undefined, chunkDropped: () => undefined, resumed: () => undefined},
+	runMetrics: {firstToken: () => undefined, countDroppedChunk: () => undefined, countResume: () => undefined},
 } as unknown as RunServices;
 
 async function relay(answer: readonly string[], connections: readonly Connection[], isGone = false) {
--- a/src/programs/entry/run-request/test.ts
+++ b/src/programs/entry/run-request/test.ts
@@ -41,11 +41,11 @@
 		pool: 'main', class: 'quick', repeatable: true, target: {firstTokenMs: 2000, perTokenMs: 100, completeMs: 60_000},
 	};
 	const account = {
-		note(stage: string) {
+		addStage(stage: string) {
 			noted.push(stage);
 		},
-		noteLazy: quiet,
-		workOut: quiet,
+		addLazyStage: quiet,
+		resolveDetails: quiet,
 	};
 	const run = {
 		id: 'r',
@@ -90,8 +90,8 @@
 		reportLeaving: quiet,
 		toRetryBudget: () => budget,
 		transferLimits: createTransferTimeouts(),
-		tally: {
-			firstToken: quiet, chunkDropped: quiet, resumed: quiet, rerun: quiet, retryDecided: quiet, prefillWasted: quiet,
+		runMetrics: {
+			firstToken: quiet, countDroppedChunk: quiet, countResume: quiet, countRerun: quiet, countRetryDecision: quiet, countWastedPrefill: quiet,
 		},
 		reservationTtlMs: 1000,
 	} as unknown as RunServices;
