--- a/src/programs/entry/_lib/create-entry-metrics.ts
+++ b/src/programs/entry/_lib/create-entry-metrics.ts
@@ -38,7 +38,7 @@
 	const wastedTokens = metrics.createCounter({name: 'wasted_prefill_tokens_total', help: 'Prompt tokens of prefills whose result was not used.', labels: {cause: wasteCauses}});
 	const cancels = metrics.createCounter({name: 'cancels_total', help: 'Cancels of attempts on engines, by how they ended.', labels: {end: cancelEnds}});
 	const pauses = metrics.createCounter({name: 'pauses_total', help: 'Times that the process woke up after it was paused.'});
-	const tally: RunMetrics = {
+	const runMetrics: RunMetrics = {
 		firstToken(run, ms) {
 			firstToken.record({class: run.rule.then.class}, ms);
 		},
@@ -62,9 +62,9 @@
 	};
 
 	return {
-		tally,
+		runMetrics,
 		/** Tokens that a client of an engine dropped before they reached a run. */
-		noteDropped(cause: 'crossed' | 'repeated') {
+		countDroppedTokens(cause: 'crossed' | 'repeated') {
 			dropped.add({cause: cause === 'crossed' ? 'other-request' : 'repeated'});
 		},
 		/** Adds gauges whose values are asked for at each exposure. */
@@ -77,7 +77,7 @@
 		},
 		cancels,
 		pauses,
-		noteEnded({rule, end, outcome, completeMs, outputTokens}: EndedRequest) {
+		recordEndedRequest({rule, end, outcome, completeMs, outputTokens}: EndedRequest) {
 			const {class: serviceClass} = rule.then;
 			requests.add({class: serviceClass, end, outcome});
 			tokens.add({class: serviceClass}, outputTokens);
--- a/src/programs/entry/_lib/create-notice-handler.ts
+++ b/src/programs/entry/_lib/create-notice-handler.ts
@@ -6,7 +6,7 @@
 import {type ServerNotice} from '../../../ports/server-calls.js';
 
 /** Servers whose leaving was logged, so that it is logged once. */
-const maxTold = 1024;
+const maxLoggedServers = 1024;
 
 export type NoticeHandlerOptions = {
 	log: Log;
@@ -23,25 +23,25 @@
  * @returns The function.
  */
 export function createNoticeHandler({log, reportLeaving, notePause}: NoticeHandlerOptions): (server: ServerEntry, notice: ServerNotice) => void {
-	const told = new Set<ServerId>();
+	const loggedServers = new Set<ServerId>();
 
-	function noteLeaving(id: ServerId): void {
-		if (told.has(id)) {
+	function handleLeaving(id: ServerId): void {
+		if (loggedServers.has(id)) {
 			return;
 		}
 
-		if (told.size >= maxTold) {
-			told.clear();
+		if (loggedServers.size >= maxLoggedServers) {
+			loggedServers.clear();
 		}
 
-		told.add(id);
+		loggedServers.add(id);
 		log.info('server says that it leaves', {server: id});
 		reportLeaving(id);
 	}
 
 	return ({id}, {isLeaving, backoffMs: pauseMs}) => {
 		if (isLeaving) {
-			noteLeaving(id);
+			handleLeaving(id);
 		}
 
 		if (pauseMs !== undefined && notePause(id, pauseMs)) {
--- a/src/programs/entry/_lib/create-pool-budgets/index.ts
+++ b/src/programs/entry/_lib/create-pool-budgets/index.ts
@@ -7,7 +7,7 @@
 	/** The budget of a pool; a full one where the pool is new. */
 	toRetryBudget: (pool: string) => RetryBudget;
 	/** Notes which pools the configuration has, and forgets those that it has not had for long. */
-	notePools: (pools: ReadonlySet<string>, now: Milliseconds) => void;
+	setPools: (pools: ReadonlySet<string>, now: Milliseconds) => void;
 };
 
 /**
@@ -15,7 +15,7 @@
  * once, a pool that comes back with the next configuration would be sent all the
  * retries again that every host has just made.
  */
-const keptMs: Milliseconds = 10 * msPerMinute;
+const retentionMs: Milliseconds = 10 * msPerMinute;
 
 /**
  * Creates the budgets of no pool yet.
@@ -26,11 +26,11 @@
 export function createPoolBudgets(options: RetryBudgetOptions): PoolBudgets {
 	const budgets = new Map<string, RetryBudget>();
 	/** When pools left the configuration. */
-	const leftAt = new Map<string, Milliseconds>();
+	const removedAt = new Map<string, Milliseconds>();
 
-	function forget(pool: string): void {
+	function evict(pool: string): void {
 		budgets.delete(pool);
-		leftAt.delete(pool);
+		removedAt.delete(pool);
 	}
 
 	return {
@@ -39,17 +39,17 @@
 			budgets.set(pool, budget);
 			return budget;
 		},
-		notePools(pools, now) {
+		setPools(pools, now) {
 			for (const pool of budgets.keys()) {
 				if (pools.has(pool)) {
-					leftAt.delete(pool);
+					removedAt.delete(pool);
 					continue;
 				}
 
-				const since = leftAt.get(pool) ?? now;
-				leftAt.set(pool, since);
-				if (now - since >= keptMs) {
-					forget(pool);
+				const since = removedAt.get(pool) ?? now;
+				removedAt.set(pool, since);
+				if (now - since >= retentionMs) {
+					evict(pool);
 				}
 			}
 		},
--- a/src/programs/entry/_lib/create-pool-budgets/test.ts
+++ b/src/programs/entry/_lib/create-pool-budgets/test.ts
@@ -29,8 +29,8 @@
 	it('keeps what a pool has spent while a configuration leaves it out', () => {
 		const budgets = createPoolBudgets({capacity, perSecond: 0});
 		spend(budgets.toRetryBudget('letters'), 0);
-		budgets.notePools(new Set(['desk']), 100);
-		budgets.notePools(new Set(['desk', 'letters']), 2000);
+		budgets.setPools(new Set(['desk']), 100);
+		budgets.setPools(new Set(['desk', 'letters']), 2000);
 		assert.equal(spend(budgets.toRetryBudget('letters'), 2000), 0);
 	});
 
@@ -38,7 +38,7 @@
 		const budgets = createPoolBudgets({capacity, perSecond: 0});
 		spend(budgets.toRetryBudget('letters'), 0);
 		for (let now = 0; now <= 11 * 60_000; now += 60_000) {
-			budgets.notePools(new Set(['desk']), now);
+			budgets.setPools(new Set(['desk']), now);
 		}
 
 		assert.equal(spend(budgets.toRetryBudget('letters'), 11 * 60_000), capacity);
@@ -48,8 +48,8 @@
 		for (const [afterMs, granted] of [[(10 * 60_000) - 1, 0], [10 * 60_000, capacity]] as const) {
 			const budgets = createPoolBudgets({capacity, perSecond: 0});
 			spend(budgets.toRetryBudget('letters'), 0);
-			budgets.notePools(new Set(['desk']), 0);
-			budgets.notePools(new Set(['desk']), afterMs);
+			budgets.setPools(new Set(['desk']), 0);
+			budgets.setPools(new Set(['desk']), afterMs);
 			assert.equal(spend(budgets.toRetryBudget('letters'), afterMs), granted, `after ${afterMs} ms`);
 		}
 	});
@@ -57,10 +57,10 @@
 	it('counts it anew when a pool leaves again', () => {
 		const budgets = createPoolBudgets({capacity, perSecond: 0});
 		spend(budgets.toRetryBudget('letters'), 0);
-		budgets.notePools(new Set(['desk']), 0);
-		budgets.notePools(new Set(['desk', 'letters']), 9 * 60_000);
-		budgets.notePools(new Set(['desk']), 9 * 60_000);
-		budgets.notePools(new Set(['desk']), 11 * 60_000);
+		budgets.setPools(new Set(['desk']), 0);
+		budgets.setPools(new Set(['desk', 'letters']), 9 * 60_000);
+		budgets.setPools(new Set(['desk']), 9 * 60_000);
+		budgets.setPools(new Set(['desk']), 11 * 60_000);
 		assert.equal(spend(budgets.toRetryBudget('letters'), 11 * 60_000), 0);
 	});
 });
--- a/src/programs/entry/_lib/create-run-services.ts
+++ b/src/programs/entry/_lib/create-run-services.ts
@@ -43,7 +43,7 @@
 };
 
 /** A cancel that could not be sent must not count as confirmed. */
-function toNoClient(server: ServerId): EngineFailure {
+function toUnknownServerFailure(server: ServerId): EngineFailure {
 	return {
 		kind: 'unreachable', reason: undefined, server, message: 'the server is no longer in the configuration', retryAfterMs: undefined,
 	};
@@ -55,7 +55,7 @@
  * @param options - Clocks, clients, counters, and what the entry knows.
  * @returns The services, and a function to call with each configuration.
  */
-export function createRunServices(options: RunServicesOptions): {services: RunServices; noteConfig: (config: Config) => void} {
+export function createRunServices(options: RunServicesOptions): {services: RunServices; applyConfig: (config: Config) => void} {
 	const {
 		clock, random, host, zone, engines, counters, log, reservationTtlMs, toView, toOwner, reportLeaving,
 	} = options;
@@ -64,7 +64,7 @@
 	let servers: ReadonlySet<ServerId> = new Set();
 
 	const cancel: CancelQueueOptions['cancel'] = (server, key, timeoutMs) =>
-		engines.findEngine(server)?.cancel(key, {signal: AbortSignal.timeout(timeoutMs)}) ?? errAsync(toNoClient(server));
+		engines.findEngine(server)?.cancel(key, {signal: AbortSignal.timeout(timeoutMs)}) ?? errAsync(toUnknownServerFailure(server));
 
 	const services: RunServices = {
 		clock,
@@ -92,13 +92,13 @@
 		reportLeaving,
 		toRetryBudget: budgets.toRetryBudget,
 		transferLimits: createTransferTimeouts(),
-		runMetrics: counters.tally,
+		runMetrics: counters.runMetrics,
 		reservationTtlMs,
 	};
 
 	return {
 		services,
-		noteConfig(config) {
+		applyConfig(config) {
 			if (config === lastConfig) {
 				return;
 			}
@@ -106,7 +106,7 @@
 			lastConfig = config;
 			servers = new Set(config.servers.map(server => server.id));
 			engines.keepOnly(servers);
-			budgets.notePools(new Set(config.pools.map(pool => pool.name)), clock.now());
+			budgets.setPools(new Set(config.pools.map(pool => pool.name)), clock.now());
 		},
 	};
 }
--- a/src/programs/entry/_lib/ended-request.ts
+++ b/src/programs/entry/_lib/ended-request.ts
@@ -4,7 +4,7 @@
 import {type WorkspaceId} from '../../../ports/ids.js';
 
 /** What is counted of a rule. */
-export type DecidedRule = {
+export type MatchedRule = {
 	name: string;
 	then: Pick<Rule['then'], 'class' | 'target'>;
 };
@@ -12,7 +12,7 @@
 /** What metrics and the service-level report are told of each request but those that are the caller's mistake. */
 export type EndedRequest = {
 	workspace: WorkspaceId;
-	rule: DecidedRule;
+	rule: MatchedRule;
 	/** How it ended for the caller. */
 	end: 'complete' | 'refused' | 'failed' | 'caller-gone';
 	outcome: Outcome;
--- a/src/programs/entry/_lib/join-fleet.ts
+++ b/src/programs/entry/_lib/join-fleet.ts
@@ -80,10 +80,10 @@
 		entryAddress: `${settings.bind}:${peers.port}`,
 		now: clock.now,
 		random,
-		onIncarnationSeen(least) {
+		onIncarnationSeen(minIncarnation) {
 			// A clock that was set back would give this process the stamp of one that died before it, and the agent
 			// would release its memory as that one's. The agent names a stamp that is above all earlier entries'.
-			incarnation = Math.max(incarnation, least);
+			incarnation = Math.max(incarnation, minIncarnation);
 		},
 		onState(state, reason) {
 			log.info(`view feed ${state}`, {reason});
--- a/src/programs/entry/_lib/plain-body.ts
+++ b/src/programs/entry/_lib/plain-body.ts
@@ -30,13 +30,13 @@
 	async function * read(): AsyncGenerator<Uint8Array> {
 		isTaken = true;
 		let size = 0;
-		const slow = createDeferred<undefined>();
-		const timer = setTimeout(slow.resolve, options.timeoutMs, undefined);
+		const timeout = createDeferred<undefined>();
+		const timer = setTimeout(timeout.resolve, options.timeoutMs, undefined);
 		// Leaving early must not end the caller's connection: it is still owed an answer.
-		const pieces = exchange.incoming.iterator({destroyOnReturn: false}) as AsyncIterator<Buffer, undefined>;
+		const chunks = exchange.incoming.iterator({destroyOnReturn: false}) as AsyncIterator<Buffer, undefined>;
 		try {
 			for (;;) {
-				const next = await Promise.race([pieces.next(), slow.promise]);
+				const next = await Promise.race([chunks.next(), timeout.promise]);
 				if (next === undefined) {
 					fault = 'slow-request';
 					throw new Error('the body came too slowly');
--- a/src/programs/entry/_lib/plain-clients.ts
+++ b/src/programs/entry/_lib/plain-clients.ts
@@ -20,23 +20,23 @@
  * @returns The pools.
  */
 export function createPlainClients(options: {connectTimeoutMs: Milliseconds; idleMs?: Milliseconds}): PlainClients {
-	const pools = new Map<ServerId, Agent>();
+	const agents = new Map<ServerId, Agent>();
 	return {
 		toDispatcher(server) {
-			const known = pools.get(server.id) ?? createHttpAgent({connections: connectionsPerServer, ...options});
-			pools.set(server.id, known);
-			return known;
+			const agent = agents.get(server.id) ?? createHttpAgent({connections: connectionsPerServer, ...options});
+			agents.set(server.id, agent);
+			return agent;
 		},
 		keepOnly(servers) {
-			for (const [server, pool] of pools) {
+			for (const [server, pool] of agents) {
 				if (!servers.has(server)) {
-					pools.delete(server);
+					agents.delete(server);
 					void pool.close();
 				}
 			}
 		},
 		async close() {
-			await Promise.all(Array.from(pools.values(), async pool => pool.close()));
+			await Promise.all(Array.from(agents.values(), async pool => pool.close()));
 		},
 	};
 }
--- a/src/programs/entry/_lib/problems.ts
+++ b/src/programs/entry/_lib/problems.ts
@@ -60,11 +60,11 @@
  * Looks at the bounds over all rules, so that no rule's own bounds add up to
  * more than the process can hold.
  *
- * @param serve - The program.
+ * @param ctx - The program.
  * @returns The problem when there is no room.
  */
-export function findOverload(serve: ServeContext): Problem | undefined {
-	const {limits, registry, services} = serve;
+export function findOverload(ctx: ServeContext): Problem | undefined {
+	const {limits, registry, services} = ctx;
 	const isFull = registry.size() >= limits.maxInFlight || services.gate.waiting() >= limits.maxQueued;
 	return isFull
 		? {
--- a/src/programs/entry/_lib/quarantine.test.ts
+++ b/src/programs/entry/_lib/quarantine.test.ts
@@ -12,15 +12,15 @@
 	const log = createLog({
 		level: 'info', program: 'test', host: 'h', zone: 'z', incarnation: 1, sink: collected.sink,
 	});
-	const serve = {suspects, log, services: {clock: {now: () => 0, wallNow: () => 0}}} as unknown as ServeContext;
-	return {serve, suspects, lines: collected.lines};
+	const ctx = {suspects, log, services: {clock: {now: () => 0, wallNow: () => 0}}} as unknown as ServeContext;
+	return {ctx, suspects, lines: collected.lines};
 }
 
 describe('noteBrokenCall', () => {
 	it('tells once, with all that is needed to find the requests and the servers', () => {
-		const {serve, lines} = createServe();
+		const {ctx, lines} = createServe();
 		for (const server of ['a', 'b', 'c', 'd']) {
-			noteBrokenCall({fingerprint: 'f', server, fault: {isClosed: true}}, serve);
+			noteBrokenCall({fingerprint: 'f', server, fault: {isClosed: true}}, ctx);
 		}
 
 		const told = lines().map(({message, fingerprint, servers, count}) => ({
@@ -33,10 +33,10 @@
 
 	/* Guards against quarantine for silent servers and for answers that made no sense. */
 	it('counts only connections that the server closed, and requests that can be told again', () => {
-		const {serve, suspects} = createServe();
+		const {ctx, suspects} = createServe();
 		for (const server of ['a', 'b', 'c']) {
-			noteBrokenCall({fingerprint: 'f', server, fault: {}}, serve);
-			noteBrokenCall({fingerprint: undefined, server, fault: {isClosed: true}}, serve);
+			noteBrokenCall({fingerprint: 'f', server, fault: {}}, ctx);
+			noteBrokenCall({fingerprint: undefined, server, fault: {isClosed: true}}, ctx);
 		}
 
 		assert.deepEqual(suspects.count(0), {suspects: 0, quarantined: 0});
--- a/src/programs/entry/_lib/quarantine.ts
+++ b/src/programs/entry/_lib/quarantine.ts
@@ -43,7 +43,7 @@
  * Notes a call whose connection the server closed: it may have crashed under the request.
  *
  * @param call - The request, the server, and how the call ended.
- * @param serve - The program around it.
+ * @param ctx - The program around it.
  */
 export function noteBrokenCall({fingerprint, server, fault}: BrokenCall, {suspects, services, log}: Pick<ServeContext, 'suspects' | 'services' | 'log'>): void {
 	if (fingerprint === undefined || fault.isClosed !== true) {
--- a/src/programs/entry/_lib/record-placement.ts
+++ b/src/programs/entry/_lib/record-placement.ts
@@ -3,7 +3,7 @@
 import {type Account} from '../accounts/index.js';
 
 /** Servers passed over that an account keeps by name; the counts hold them all. */
-const keptRows = 16;
+const maxPassedOverRows = 16;
 
 /**
  * Notes a placement in a request's account. Why servers were passed over is left
@@ -21,7 +21,7 @@
 	const {pool, chosen} = details;
 	account.addLazyStage('placed', details, () => {
 		const {passedOver, counts, notLookedAt} = toAccount();
-		return {passedOver: passedOver.slice(0, keptRows), counts, notLookedAt};
+		return {passedOver: passedOver.slice(0, maxPassedOverRows), counts, notLookedAt};
 	});
 	return {
 		...placement, account: () => ({
--- a/src/programs/entry/_lib/report-refused.ts
+++ b/src/programs/entry/_lib/report-refused.ts
@@ -1,12 +1,12 @@
 import {type Problem, type ProblemKind} from '../../../domain/to-problem/index.js';
 import {type Fingerprint, type RequestId} from '../../../ports/ids.js';
 import {type Account} from '../accounts/index.js';
-import {type DecidedRule} from './ended-request.js';
+import {type MatchedRule} from './ended-request.js';
 import {type Route} from './route.js';
 import {type ServeContext} from './serve-types.js';
 
 /** Kinds of problems that are this system's want and not the caller's mistake. */
-const lostKinds: ReadonlySet<ProblemKind> = new Set([
+const unavailabilityKinds: ReadonlySet<ProblemKind> = new Set([
 	'queue-full', 'answer-lost', 'backend-failed', 'claim-unavailable', 'no-capacity', 'no-configuration', 'stopping', 'target-missed', 'deadline-passed', 'internal',
 ]);
 
@@ -24,7 +24,7 @@
 };
 
 /** A rule for a request that none was found for; a refusal is bad whatever the target. */
-function toUnroutedRule(headers: RefusedRequest['headers']): DecidedRule {
+function toUnroutedRule(headers: RefusedRequest['headers']): MatchedRule {
 	return {
 		name: unrouted.rule,
 		then: {
@@ -41,16 +41,16 @@
  *
  * @param problem - What the caller is told.
  * @param request - The request, as far as it is known.
- * @param serve - The program.
+ * @param ctx - The program.
  */
-export function reportRefused({kind, outcome}: Problem, {requestId, account, route, headers, fingerprint}: RefusedRequest, serve: ServeContext): void {
+export function reportRefused({kind, outcome}: Problem, {requestId, account, route, headers, fingerprint}: RefusedRequest, ctx: ServeContext): void {
 	const rule = route?.rule ?? toUnroutedRule(headers);
 	account.addStage('refused', {kind, outcome});
-	serve.log.info('request refused', {
+	ctx.log.info('request refused', {
 		requestId, reason: kind, outcome, fingerprint, ...(route && {workspace: route.workspace, rule: rule.name, class: rule.then.class}),
 	});
-	if (lostKinds.has(kind)) {
-		serve.onEnded({
+	if (unavailabilityKinds.has(kind)) {
+		ctx.onEnded({
 			workspace: route?.workspace ?? unrouted.workspace, rule, end: 'refused', outcome, firstTokenMs: undefined, completeMs: 0, outputTokens: 0,
 		});
 	}
--- a/src/programs/entry/_lib/route.ts
+++ b/src/programs/entry/_lib/route.ts
@@ -77,8 +77,8 @@
 			const rule = matchRule(toCompiled(config), {
 				...input, workspace: workspace.value, class: serviceClass, zone,
 			});
-			const drawn = pickWeighted(rule?.then.relay?.split ?? [], input.random);
-			const pool = config.pools.find(entry => entry.name === (drawn?.pool ?? rule?.then.pool));
+			const pickedTarget = pickWeighted(rule?.then.relay?.split ?? [], input.random);
+			const pool = config.pools.find(entry => entry.name === (pickedTarget?.pool ?? rule?.then.pool));
 			return rule === undefined || pool === undefined
 				? err<Route, Problem>({kind: 'no-rule', detail: 'No rule covers this request. Ask the operators for one.', outcome: 'not-run'})
 				: ok({
--- a/src/programs/entry/_lib/step.ts
+++ b/src/programs/entry/_lib/step.ts
@@ -6,7 +6,7 @@
 /** Longest delay that a timer of the platform takes. */
 const maxTimerMs = 2_147_483_647;
 /** A timer that fires this much too late tells that the process was paused. */
-const pausedMs = 500;
+const pauseThresholdMs = 500;
 /** Time after a pause in which what arrived meanwhile is read. */
 const wakeGraceMs = 250;
 
@@ -41,22 +41,22 @@
 	const controller = new AbortController();
 	let isTimedOut = false;
 	let timer: NodeJS.Timeout | undefined;
-	let limit = 0;
+	let currentLimitMs = 0;
 	let dueAt = 0;
 	const onParent = () => {
 		controller.abort();
 	};
 
-	const start = (limitMs: Milliseconds) => {
+	const startTimer = (limitMs: Milliseconds) => {
 		clearTimeout(timer);
-		limit = Math.min(maxTimerMs, limitMs);
-		dueAt = now() + limit;
-		timer = setTimeout(onTime, limit);
+		currentLimitMs = Math.min(maxTimerMs, limitMs);
+		dueAt = now() + currentLimitMs;
+		timer = setTimeout(onTimeout, currentLimitMs);
 	};
 
-	function onTime(): void {
-		if (now() - dueAt > pausedMs) {
-			start(wakeGraceMs);
+	function onTimeout(): void {
+		if (now() - dueAt > pauseThresholdMs) {
+			startTimer(wakeGraceMs);
 			return;
 		}
 
@@ -73,14 +73,14 @@
 		signal: controller.signal,
 		arm(limitMs) {
 			if (limitMs > 0) {
-				start(limitMs);
+				startTimer(limitMs);
 			} else {
 				isTimedOut = true;
 				controller.abort();
 			}
 		},
 		refresh() {
-			dueAt = now() + limit;
+			dueAt = now() + currentLimitMs;
 			timer?.refresh();
 		},
 		disarm() {
--- a/src/programs/entry/_lib/to-keyed-options.test.ts
+++ b/src/programs/entry/_lib/to-keyed-options.test.ts
@@ -18,7 +18,7 @@
 	const logged: Array<{message: string; fields: Readonly<Record<string, unknown>>}> = [];
 	const stages: string[] = [];
 	let time = 1000;
-	const serve = {
+	const ctx = {
 		limits: {writeTimeoutMs: 1000},
 		services: {clock: {now: () => time}},
 		log: {
@@ -36,7 +36,7 @@
 		},
 	} as unknown as Account;
 	return {
-		serve, account, ended, logged, stages, setTime(next: number) {
+		ctx, account, ended, logged, stages, setTime(next: number) {
 			time = next;
 		},
 	};
@@ -48,9 +48,9 @@
 	];
 	for (const [kind, end] of rows) {
 		it(`logs and counts a joined run that ended as ${kind}, by the times of the call that joined`, () => {
-			const {serve, account, ended, logged, stages, setTime} = createFixture();
+			const {ctx, account, ended, logged, stages, setTime} = createFixture();
 			const exchange = {requestId: 'r', headers: {}} as unknown as CallerExchange;
-			const options = toKeyedOptions({exchange, account, route}, serve, async () => 'complete');
+			const options = toKeyedOptions({exchange, account, route}, ctx, async () => 'complete');
 			options.onJoin?.('dvorana-b-1');
 			setTime(4000);
 			options.onJoinEnded?.('dvorana-b-1', {kind, startedAt: 1500});
@@ -61,9 +61,9 @@
 	}
 
 	it('counts a key that could not be claimed as lost, for its rule', () => {
-		const {serve, account, ended} = createFixture();
+		const {ctx, account, ended} = createFixture();
 		const exchange = {requestId: 'r', headers: {}} as unknown as CallerExchange;
-		toKeyedOptions({exchange, account, route}, serve, async () => 'complete').onRefused?.({kind: 'claim-unavailable', detail: '', outcome: 'may-have-run'});
+		toKeyedOptions({exchange, account, route}, ctx, async () => 'complete').onRefused?.({kind: 'claim-unavailable', detail: '', outcome: 'may-have-run'});
 		assert.deepEqual(ended.map(one => [one.workspace, one.rule.name, one.end]), [['w', 'desk', 'refused']]);
 	});
 });
@@ -93,11 +93,11 @@
 			'internal',
 		];
 		for (const kind of kinds) {
-			const {serve, account, ended, logged} = createFixture();
+			const {ctx, account, ended, logged} = createFixture();
 			const problem = {kind, detail: '', outcome: 'not-run'} as const;
 			reportRefused(problem, {
 				requestId: 'r', account, route: undefined, headers: {},
-			}, serve);
+			}, ctx);
 			const {status} = toProblem(problem, 'r');
 			assert.equal(ended.length, status === 429 || status >= 500 ? 1 : 0, kind);
 			assert.equal(logged.length, 1);
@@ -105,10 +105,10 @@
 	});
 
 	it('counts a request without a rule under its class, and under names that callers cannot choose', () => {
-		const {serve, account, ended} = createFixture();
+		const {ctx, account, ended} = createFixture();
 		reportRefused({kind: 'no-configuration', detail: '', outcome: 'not-run'}, {
 			requestId: 'r', account, route: undefined, headers: {'x-service-class': 'batch', 'x-workspace': 'mine'},
-		}, serve);
+		}, ctx);
 		assert.deepEqual(ended.map(one => [one.workspace, one.rule.name, one.rule.then.class, one.end]), [['(not known)', '(before any rule)', 'batch', 'refused']]);
 	});
 });
--- a/src/programs/entry/_lib/to-keyed-options.ts
+++ b/src/programs/entry/_lib/to-keyed-options.ts
@@ -20,41 +20,41 @@
  * and counted here too, by its own times: this host's caller waited for it.
  *
  * @param call - The call and its account, and where it goes.
- * @param serve - The program.
+ * @param ctx - The program.
  * @param work - Does the work for whoever reads the answer.
  * @returns What the claims need.
  */
-export function toKeyedOptions(call: {exchange: CallerExchange; account: Account; route: Route}, serve: ServeContext, work: ServeKeyedOptions['serve']): ServeKeyedOptions {
+export function toKeyedOptions(call: {exchange: CallerExchange; account: Account; route: Route}, ctx: ServeContext, work: ServeKeyedOptions['serve']): ServeKeyedOptions {
 	const {exchange: {requestId, headers}, account, route} = call;
 	const {workspace, rule} = route;
-	const {now} = serve.services.clock;
+	const {now} = ctx.services.clock;
 	const receivedAt = now();
-	const about = {
+	const logFields = {
 		requestId, workspace, rule: rule.name, class: rule.then.class,
 	};
 	return {
-		writeTimeoutMs: serve.limits.writeTimeoutMs,
+		writeTimeoutMs: ctx.limits.writeTimeoutMs,
 		now,
 		serve: work,
 		onJoin(host) {
 			account.addStage('joined a run', {host});
-			serve.log.info('joined a run', {...about, peer: host});
+			ctx.log.info('joined a run', {...logFields, peer: host});
 		},
 		onJoinEnded(host, {kind, startedAt}) {
 			const completeMs = now() - receivedAt;
 			const {end, outcome} = joinEnds[kind];
 			account.addStage('ended', {outcome, reason: kind});
-			serve.log.info('request ended', {
-				...about, peer: host, outcome, reason: kind, durationMs: completeMs,
+			ctx.log.info('request ended', {
+				...logFields, peer: host, outcome, reason: kind, durationMs: completeMs,
 			});
-			serve.onEnded({
+			ctx.onEnded({
 				workspace, rule, end, outcome, firstTokenMs: startedAt === undefined ? undefined : startedAt - receivedAt, completeMs, outputTokens: 0,
 			});
 		},
 		onRefused(problem) {
 			reportRefused(problem, {
 				requestId, account, route, headers,
-			}, serve);
+			}, ctx);
 		},
 	};
 }
--- a/src/programs/entry/accounts/index.ts
+++ b/src/programs/entry/accounts/index.ts
@@ -26,12 +26,12 @@
 export type Account = {
 	addStage: (stage: string, details?: Details) => void;
 	/**
-	 * Notes a stage of which a part is dear. `toRest` is called when the account
+	 * Notes a stage of which a part is dear. `computeDetails` is called when the account
 	 * is read, or by {@link Account.resolveDetails}, and tells what is so at that moment;
 	 * it is let go with {@link maxUnresolvedStages} newer ones, and the stage then stays
 	 * without that part.
 	 */
-	addLazyStage: (stage: string, details: Details, toRest: () => Details) => void;
+	addLazyStage: (stage: string, details: Details, computeDetails: () => Details) => void;
 	/** Works out now what stages noted so far have left for a reader. */
 	resolveDetails: () => void;
 };
@@ -42,7 +42,7 @@
 	size: () => number;
 };
 
-type Entry = {
+type StoredAccount = {
 	receivedAt: Milliseconds;
 	stages: AccountStage[];
 	omitted: number;
@@ -69,16 +69,16 @@
  */
 export function createAccounts(options: AccountsOptions): Accounts {
 	const {limit, now, wallNow} = options;
-	const kept = new Map<RequestId, Entry>();
+	const entries = new Map<RequestId, StoredAccount>();
 	/** In the order in which they were noted. */
-	const lazy = new Map<AccountStage, () => Details>();
+	const unresolved = new Map<AccountStage, () => Details>();
 
-	function workOut(stages: readonly AccountStage[]): void {
+	function resolveDetails(stages: readonly AccountStage[]): void {
 		for (const stage of stages) {
-			const toRest = lazy.get(stage);
-			if (toRest !== undefined) {
-				lazy.delete(stage);
-				stage.details = {...stage.details, ...toRest()};
+			const computeDetails = unresolved.get(stage);
+			if (computeDetails !== undefined) {
+				unresolved.delete(stage);
+				stage.details = {...stage.details, ...computeDetails()};
 			}
 		}
 	}
@@ -86,10 +86,10 @@
 	return {
 		open(requestId) {
 			const start = now();
-			const entry: Entry = {receivedAt: wallNow(), stages: [], omitted: 0};
-			kept.set(requestId, entry);
-			if (kept.size > limit) {
-				kept.delete(kept.keys().next().value!);
+			const entry: StoredAccount = {receivedAt: wallNow(), stages: [], omitted: 0};
+			entries.set(requestId, entry);
+			if (entries.size > limit) {
+				entries.delete(entries.keys().next().value!);
 			}
 
 			const add = (stage: string, details?: Details): AccountStage | undefined => {
@@ -107,29 +107,29 @@
 				addStage(stage, details) {
 					add(stage, details);
 				},
-				addLazyStage(stage, details, toRest) {
+				addLazyStage(stage, details, computeDetails) {
 					const added = add(stage, details);
 					if (added === undefined) {
 						return;
 					}
 
-					lazy.set(added, toRest);
-					if (lazy.size > maxUnresolvedStages) {
-						lazy.delete(lazy.keys().next().value!);
+					unresolved.set(added, computeDetails);
+					if (unresolved.size > maxUnresolvedStages) {
+						unresolved.delete(unresolved.keys().next().value!);
 					}
 				},
 				resolveDetails() {
-					workOut(entry.stages);
+					resolveDetails(entry.stages);
 				},
 			};
 		},
 		findAccount(requestId) {
-			const entry = kept.get(requestId);
-			workOut(entry?.stages ?? []);
+			const entry = entries.get(requestId);
+			resolveDetails(entry?.stages ?? []);
 			return entry && {
 				requestId, receivedAt: new Date(entry.receivedAt).toISOString(), stages: entry.stages, omitted: entry.omitted,
 			};
 		},
-		size: () => kept.size,
+		size: () => entries.size,
 	};
 }
--- a/src/programs/entry/call-pair/_lib/is-in-service.ts
+++ b/src/programs/entry/call-pair/_lib/is-in-service.ts
@@ -12,5 +12,5 @@
  * @returns `true` if nothing says that it leaves or is gone.
  */
 export function isInService(run: PlainRun, {id}: ServerEntry): boolean {
-	return run.serve.services.toView()?.servers.get(id)?.leaving === false;
+	return run.ctx.services.toView()?.servers.get(id)?.leaving === false;
 }
--- a/src/programs/entry/call-pair/_lib/give-back.ts
+++ b/src/programs/entry/call-pair/_lib/release-held.ts
@@ -10,8 +10,8 @@
  * @param what - What is given back, for the log.
  * @param kept - The server, and the call that gives it back.
  */
-export function giveBack(run: PlainRun, what: string, {server, call}: {server: ServerEntry; call: () => ReturnType<CacheCalls['dropCache']>}): void {
-	const {services} = run.serve;
+export function releaseHeld(run: PlainRun, what: string, {server, call}: {server: ServerEntry; call: () => ReturnType<CacheCalls['dropCache']>}): void {
+	const {services} = run.ctx;
 	if (services.placement.isPaused(server.id, services.clock.now())) {
 		run.log.info('not given back while the server asks to back off', {step: what, server: server.id});
 		return;
--- a/src/programs/entry/call-pair/_lib/reserve-place.ts
+++ b/src/programs/entry/call-pair/_lib/reserve-decode-server.ts
@@ -11,12 +11,12 @@
 import {noteAnswered, toRemainingMs} from '../../call-plain/_lib/send-step.js';
 import {type PlainRun} from '../../call-plain/_lib/types.js';
 import {recordPlacement} from '../../_lib/record-placement.js';
-import {giveBack} from './give-back.js';
+import {releaseHeld} from './release-held.js';
 import {isInService} from './is-in-service.js';
 import {type PairAttempt} from './types.js';
 
 /** Limit of a call that takes a place: it does no work and takes a few milliseconds, so only a server that is lost takes longer. */
-const reserveLimitMs: Milliseconds = 300;
+const reserveTimeoutMs: Milliseconds = 300;
 
 /** Life asked for a reservation where servers tell no longest one; prefill and transfer take a fraction of it. */
 const defaultReservationMs: Milliseconds = 2000;
@@ -30,11 +30,11 @@
 }
 
 /** Reasons for which a request may wait: room comes back by itself. */
-const waitReasons: ReadonlySet<PlacementRefusalReason> = new Set(['no-memory', 'paused']);
+const retryableReasons: ReadonlySet<PlacementRefusalReason> = new Set(['no-memory', 'paused']);
 
 function pick(run: PlainRun, exclude: ReadonlySet<ServerId>) {
 	const {work} = run;
-	const {services} = run.serve;
+	const {services} = run.ctx;
 	const now = services.clock.now();
 	return services.placement.pick({
 		pool: run.route.pool.name,
@@ -46,14 +46,14 @@
 		class: run.route.rule.then.class,
 		firstTokenBudgetMs: run.deadline - now,
 		exclude,
-		isOneCall: run.isOneCall,
+		isOneCall: run.isDecodeOnly,
 	}, services.toView()!, now, services.random);
 }
 
 /** Asks one decode server for a place. One that announces with it that it leaves gets it back: the answer would break with its end. */
-async function askForPlace(run: PlainRun, caches: CacheCalls, decode: ServerEntry): Promise<Result<string, EngineFailure>> {
-	const {services} = run.serve;
-	const limit = createTimeoutSignal(Math.min(reserveLimitMs, toRemainingMs(run)), run.signal);
+async function requestReservation(run: PlainRun, caches: CacheCalls, decode: ServerEntry): Promise<Result<string, EngineFailure>> {
+	const {services} = run.ctx;
+	const limit = createTimeoutSignal(Math.min(reserveTimeoutMs, toRemainingMs(run)), run.signal);
 	const calledAt = services.clock.now();
 	const reserved = await caches.reserve(decode, {tokens: toReservedTokens(run.work), ttlMs: toReservationMs(run)}, limit);
 	if (reserved.isErr()) {
@@ -71,7 +71,7 @@
 		return ok(reservationId);
 	}
 
-	giveBack(run, 'reservation', {server: decode, call: () => caches.release(decode, reservationId)});
+	releaseHeld(run, 'reservation', {server: decode, call: () => caches.release(decode, reservationId)});
 	return err({
 		kind: 'refused', reason: 'leaving', server: decode.id, message: 'granted a place and announced that it leaves', retryAfterMs: undefined,
 	});
@@ -85,19 +85,19 @@
  * @param attempt - Number of the attempt, from 1.
  * @returns The place, or why there is none.
  */
-export async function reservePlace(run: PlainRun, caches: CacheCalls, attempt: number): Promise<Result<{placement: Placement; reservationId: string}, PairAttempt>> {
-	const {services} = run.serve;
+export async function reserveDecodeServer(run: PlainRun, caches: CacheCalls, attempt: number): Promise<Result<{placement: Placement; reservationId: string}, PairAttempt>> {
+	const {services} = run.ctx;
 	const asked = new Set(run.tried.map(({server}) => server));
 	let isFull = false;
 	for (;;) {
 		const picked = pick(run, asked);
 		if (picked.isErr()) {
-			return err({kind: isFull || waitReasons.has(picked.error.reason) ? 'bounced' : 'not-placed', refusal: picked.error});
+			return err({kind: isFull || retryableReasons.has(picked.error.reason) ? 'bounced' : 'not-placed', refusal: picked.error});
 		}
 
 		const {decode} = picked.value;
 		const placement = recordPlacement(run.account, picked.value, {attempt, pool: run.route.pool.name, chosen: [picked.value.prefill.id, decode.id]});
-		const reserved = await askForPlace(run, caches, decode);
+		const reserved = await requestReservation(run, caches, decode);
 		if (reserved.isOk()) {
 			return ok({placement, reservationId: reserved.value});
 		}
--- a/src/programs/entry/call-pair/index.ts
+++ b/src/programs/entry/call-pair/index.ts
@@ -17,9 +17,9 @@
 import {
 	isQuarantined, noteAnswered, sendRequest, handleAnswerNotice, toRemainingMs, toCallHeaders,
 } from '../call-plain/_lib/send-step.js';
-import {giveBack} from './_lib/give-back.js';
+import {releaseHeld} from './_lib/release-held.js';
 import {isInService} from './_lib/is-in-service.js';
-import {reservePlace, toReservationMs} from './_lib/reserve-place.js';
+import {reserveDecodeServer, toReservationMs} from './_lib/reserve-decode-server.js';
 import {type PairAttempt} from './_lib/types.js';
 
 export {type PairAttempt} from './_lib/types.js';
@@ -32,7 +32,7 @@
  * place may be gone, and a server behind a cut would hold the request for as
  * long as its caller waits, though another could still serve it.
  */
-const promptShare = 0.75;
+const prefillTimeShare = 0.75;
 
 /**
  * A prompt may take so many times what was predicted, and this long at least.
@@ -40,8 +40,8 @@
  * tenth of a second; one whose answer was lost held its request for the whole
  * share of the reservation, 1.5 s, and made it late for sure.
  */
-const promptFactor = 3;
-const leastPromptLimitMs: Milliseconds = 500;
+const prefillTimeoutFactor = 3;
+const minPrefillTimeoutMs: Milliseconds = 500;
 
 type Step = {
 	run: PlainRun;
@@ -55,9 +55,9 @@
 async function prefill({run, caches, placement}: Step): Promise<Result<PromptCache, PlainFault>> {
 	const server = placement.prefill;
 	const payload = run.body.open();
-	const calledAt = run.serve.services.clock.now();
-	const expectedMs = Math.max(leastPromptLimitMs, promptFactor * placement.predictedPrefillMs);
-	const limitMs = Math.min(toRemainingMs(run), promptShare * toReservationMs(run), expectedMs);
+	const calledAt = run.ctx.services.clock.now();
+	const expectedMs = Math.max(minPrefillTimeoutMs, prefillTimeoutFactor * placement.predictedPrefillMs);
+	const limitMs = Math.min(toRemainingMs(run), prefillTimeShare * toReservationMs(run), expectedMs);
 	const answer = await readAnswer({
 		dispatcher: run.clients.toDispatcher(server),
 		origin: server.url,
@@ -81,13 +81,13 @@
 
 	const {status, headers, text} = answer.value;
 	handleAnswerNotice(run, server, {status, headers});
-	const reason = run.serve.calls.toRefusal(status, headers);
+	const reason = run.ctx.calls.toRefusal(status, headers);
 	noteAnswered(run, {server: server.id, calledAt, refusal: reason});
 	if (reason !== undefined) {
 		return err({kind: 'refused', reason, message: `status ${status}`});
 	}
 
-	if (status !== 200 || !run.serve.calls.isAnswerTo(run.exchange.requestId, headers)) {
+	if (status !== 200 || !run.ctx.calls.isAnswerTo(run.exchange.requestId, headers)) {
 		return err({kind: 'invalid', message: `status ${status}, or the answer of another request`});
 	}
 
@@ -98,7 +98,7 @@
 /** Has the prompt computed where another server than the decode server does it. */
 async function computePrompt(step: Step): Promise<Result<PromptCache | undefined, PlainFault>> {
 	const {run, placement, work, attempt} = step;
-	const {services} = run.serve;
+	const {services} = run.ctx;
 	const {prefill: server, decode} = placement;
 	const startedAt = services.clock.now();
 	if (server.id === decode.id) {
@@ -118,49 +118,49 @@
 	return computed;
 }
 
-async function runPlaced(step: Step, reservationId: string): Promise<PairAttempt> {
+async function runReserved(step: Step, reservationId: string): Promise<PairAttempt> {
 	const {run, caches, placement} = step;
-	const {services} = run.serve;
+	const {services} = run.ctx;
 	const {decode} = placement;
 	const computed = await computePrompt(step);
 	if (computed.isErr()) {
-		giveBack(run, 'reservation', {server: decode, call: () => caches.release(decode, reservationId)});
+		releaseHeld(run, 'reservation', {server: decode, call: () => caches.release(decode, reservationId)});
 		return {
 			kind: 'called', server: placement.prefill, ended: {kind: 'failed', fault: computed.error}, hasRun: false,
 		};
 	}
 
 	const cache = computed.value;
-	const giveAllBack = () => {
-		giveBack(run, 'reservation', {server: decode, call: () => caches.release(decode, reservationId)});
+	const releaseAll = () => {
+		releaseHeld(run, 'reservation', {server: decode, call: () => caches.release(decode, reservationId)});
 		if (cache !== undefined) {
-			giveBack(run, 'cache', {server: cache.server, call: () => caches.dropCache(cache)});
+			releaseHeld(run, 'cache', {server: cache.server, call: () => caches.dropCache(cache)});
 		}
 	};
 
 	if (run.signal.aborted) {
-		giveAllBack();
+		releaseAll();
 		return {
 			kind: 'called', server: decode, ended: {kind: 'failed', fault: {kind: 'aborted', message: 'ended while its prompt was computed'}}, hasRun: false,
 		};
 	}
 
 	if (isQuarantined(run)) {
-		giveAllBack();
+		releaseAll();
 		return {
 			kind: 'called', server: decode, ended: {kind: 'failed', fault: {kind: 'refused', reason: 'other', message: 'quarantined while the prompt was computed'}}, hasRun: false,
 		};
 	}
 
 	if (services.placement.isPaused(decode.id, services.clock.now())) {
-		giveAllBack();
+		releaseAll();
 		return {
 			kind: 'called', server: decode, ended: {kind: 'failed', fault: {kind: 'refused', reason: 'full', message: 'asked to back off while the prompt was computed'}}, hasRun: false,
 		};
 	}
 
 	if (!isInService(run, decode)) {
-		giveAllBack();
+		releaseAll();
 		return {
 			kind: 'called', server: decode, ended: {kind: 'failed', fault: {kind: 'refused', reason: 'leaving', message: 'left while the prompt was computed'}}, hasRun: false,
 		};
@@ -174,7 +174,7 @@
 	});
 	if ((ended.kind === 'failed' || ended.kind === 'cut') && (ended.fault.kind === 'unreachable' || ended.fault.kind === 'refused')) {
 		run.ledger.noteNotStarted();
-		giveAllBack();
+		releaseAll();
 	}
 
 	return {
@@ -191,9 +191,9 @@
  * @returns What became of it.
  */
 export async function callPair(run: PlainRun, caches: CacheCalls, attempt: number): Promise<PairAttempt> {
-	const {services} = run.serve;
+	const {services} = run.ctx;
 	const {work} = run;
-	const reserved = await reservePlace(run, caches, attempt);
+	const reserved = await reserveDecodeServer(run, caches, attempt);
 	if (reserved.isErr()) {
 		return reserved.error;
 	}
@@ -202,7 +202,7 @@
 	services.placement.noteDispatched(placement, services.clock.now());
 	services.placement.noteReserved(placement, toReservedTokens(work), services.clock.now());
 	try {
-		return await runPlaced({
+		return await runReserved({
 			run, caches, work, placement, attempt,
 		}, reservationId);
 	} finally {
--- a/src/programs/entry/call-plain/_lib/decide-retry.ts
+++ b/src/programs/entry/call-plain/_lib/decide-retry.ts
@@ -21,7 +21,7 @@
 }
 
 /** Prompts that are sent to be computed before a request is given up: none of them runs the request. */
-const maxPromptTries = 3;
+const maxPrefillAttempts = 3;
 
 export type RetryDecision = {kind: 'give-up'} | {kind: 'retry'; delayMs: Milliseconds};
 
@@ -30,7 +30,7 @@
 	const {relay} = run.route.rule.then;
 	return {
 		attempt: hasRun ? sent : run.tried.length,
-		...(relay && {maxAttempts: hasRun ? relay.attempts : maxPromptTries}),
+		...(relay && {maxAttempts: hasRun ? relay.attempts : maxPrefillAttempts}),
 		tried: run.tried,
 		repeatable: isRepeatable(run),
 		bytesOffered: isOffered ? 1 : 0,
@@ -40,7 +40,7 @@
 	};
 }
 
-function canSendAgain({body}: PlainRun): boolean {
+function canResend({body}: PlainRun): boolean {
 	return !body.isTaken() && body.fault() === undefined;
 }
 
@@ -53,13 +53,13 @@
  * @returns The reason; `undefined` if the answer may be let go.
  */
 export function findNoRetryReason(run: PlainRun): NoRetryReason | 'own-answer' | undefined {
-	const {services} = run.serve;
+	const {services} = run.ctx;
 	// Own callers without relay terms get what their service answers.
 	if (run.route.rule.then.relay === undefined) {
 		return 'own-answer';
 	}
 
-	if (!isRepeatable(run) || !canSendAgain(run)) {
+	if (!isRepeatable(run) || !canResend(run)) {
 		return 'not-repeatable';
 	}
 
@@ -78,8 +78,8 @@
  * @returns Whether to call another server, and when.
  */
 export function decideRetry(run: PlainRun, fault: PlainFault, hasRun: boolean): RetryDecision {
-	const {services} = run.serve;
-	if (!canSendAgain(run)) {
+	const {services} = run.ctx;
+	if (!canResend(run)) {
 		return {kind: 'give-up'};
 	}
 
@@ -90,8 +90,8 @@
 	});
 	const budget = services.toRetryBudget(run.route.pool.name);
 	const answer = budget.takeRetry(failed, services.clock.now(), services.random);
-	const calls = answer.kind === 'retry' && hasRun ? payForPrompt(run, budget) : 0;
-	noteDecision(run, answer, budget, calls);
+	const calls = answer.kind === 'retry' && hasRun ? chargePrefill(run, budget) : 0;
+	reportDecision(run, answer, budget, calls);
 	return answer;
 }
 
@@ -102,21 +102,21 @@
  *
  * @returns What it cost.
  */
-function payForPrompt(run: PlainRun, budget: RetryBudget): number {
-	if (run.route.pool.kind !== 'model' || run.serve.calls.caches === undefined) {
+function chargePrefill(run: PlainRun, budget: RetryBudget): number {
+	if (run.route.pool.kind !== 'model' || run.ctx.calls.caches === undefined) {
 		return 0;
 	}
 
-	run.isOneCall = !budget.takeExtraCall(run.serve.services.clock.now());
-	return run.isOneCall ? 0 : 1;
+	run.isDecodeOnly = !budget.takeExtraCall(run.ctx.services.clock.now());
+	return run.isDecodeOnly ? 0 : 1;
 }
 
 /** What was decided, and by which state of the budget, of which each host has its own part. */
-function noteDecision({serve, route, log, tried}: PlainRun, answer: RetryAnswer, budget: RetryBudget, promptCost: number): void {
-	const {clock, runMetrics: tally} = serve.services;
+function reportDecision({ctx, route, log, tried}: PlainRun, answer: RetryAnswer, budget: RetryBudget, promptCost: number): void {
+	const {clock, runMetrics} = ctx.services;
 	const decision = answer.kind === 'retry' ? 'granted' : answer.reason;
 	const cost = promptCost + (answer.kind === 'retry' ? answer.cost : 0);
-	tally.countRetryDecision(decision, cost);
+	runMetrics.countRetryDecision(decision, cost);
 	log.info('retry decided', {
 		attempt: tried.length, pool: route.pool.name, reason: decision, cost, available: toHundredths(budget.available(clock.now())), limit: budget.capacity(),
 	});
--- a/src/programs/entry/call-plain/_lib/send-step.test.ts
+++ b/src/programs/entry/call-plain/_lib/send-step.test.ts
@@ -16,7 +16,7 @@
 		it(`takes a refusal as ${String(refusal)} for ${isAlive ? 'an answer of the server' : 'an answer of another one'}`, () => {
 			const suspects = createCrashSuspects({crashesToQuarantine: 1});
 			suspects.noteBroken('f', 'a', 10);
-			noteAnswered({serve: {suspects}} as unknown as PlainRun, {server: 'a', calledAt: 20, refusal});
+			noteAnswered({ctx: {suspects}} as unknown as PlainRun, {server: 'a', calledAt: 20, refusal});
 			assert.equal(suspects.isQuarantined('f', 30), !isAlive);
 		});
 	}
--- a/src/programs/entry/call-plain/_lib/send-step.ts
+++ b/src/programs/entry/call-plain/_lib/send-step.ts
@@ -9,17 +9,17 @@
 import {type PlainRun} from './types.js';
 
 /** Targets of silence after which another server is tried: three times as long as answers that are in time take at most. */
-const silentTargets = 3;
+const headTimeoutFactor = 3;
 
 /** Pauses on time of silence within a stream after which another server goes on; callers leave after eight. */
-const silentPauses = 5;
+const idleTimeoutFactor = 5;
 
 /** The least status by which a service says that it failed. */
-const firstServerFault = 500;
+const minServerErrorStatus = 500;
 
 /** Time left until nobody wants the answer, 1 ms at least. */
-export function toRemainingMs({deadline, serve}: PlainRun): Milliseconds {
-	return Math.max(1, deadline - serve.services.clock.now());
+export function toRemainingMs({deadline, ctx}: PlainRun): Milliseconds {
+	return Math.max(1, deadline - ctx.services.clock.now());
 }
 
 /**
@@ -29,8 +29,8 @@
  * @returns The headers of the call.
  */
 export function toCallHeaders(run: PlainRun, server: ServerEntry, step: CallStep): Record<string, string | string[]> {
-	const {exchange, serve} = run;
-	return serve.calls.toHeaders({
+	const {exchange, ctx} = run;
+	return ctx.calls.toHeaders({
 		headers: exchange.headers, workspace: run.route.workspace, requestId: exchange.requestId, server, step, deadlineInMs: toRemainingMs(run),
 	});
 }
@@ -42,7 +42,7 @@
  * answers twice or late: relayed, one caller would read what another asked for.
  */
 function findHeadFault(run: PlainRun, status: number, headers: AnswerHeaders): PlainFault | undefined {
-	const {calls} = run.serve;
+	const {calls} = run.ctx;
 	if (!calls.isAnswerTo(run.exchange.requestId, headers)) {
 		return {kind: 'invalid', message: `status ${status}, the answer of another request`};
 	}
@@ -54,16 +54,16 @@
 
 	// Another answer than a stream has no place behind the part that the caller has.
 	const isMisfit = run.events?.hasBegun === true && status !== 200;
-	if (!isMisfit && status < firstServerFault) {
+	if (!isMisfit && status < minServerErrorStatus) {
 		return undefined;
 	}
 
-	const noAgain = isMisfit ? undefined : findNoRetryReason(run);
-	if (noAgain === undefined) {
+	const noRetryReason = isMisfit ? undefined : findNoRetryReason(run);
+	if (noRetryReason === undefined) {
 		return {kind: 'failed-answer', message: `status ${status}`};
 	}
 
-	run.log.info('failed answer passed on', {status, attempt: run.tried.length + 1, reason: noAgain});
+	run.log.info('failed answer passed on', {status, attempt: run.tried.length + 1, reason: noRetryReason});
 	return undefined;
 }
 
@@ -74,9 +74,9 @@
  * @param run - The request.
  * @param answer - The server, when the call began, and why the server refused it if it did.
  */
-export function noteAnswered({serve}: PlainRun, {server, calledAt, refusal}: {server: ServerId; calledAt: Milliseconds; refusal: EngineRefusalReason | undefined}): void {
+export function noteAnswered({ctx}: PlainRun, {server, calledAt, refusal}: {server: ServerId; calledAt: Milliseconds; refusal: EngineRefusalReason | undefined}): void {
 	if (refusal !== 'wrong-model') {
-		serve.suspects.noteAnswered(server, calledAt);
+		ctx.suspects.noteAnswered(server, calledAt);
 	}
 }
 
@@ -87,10 +87,10 @@
  * @param server - The server that was called.
  * @param answer - Status and headers of its answer.
  */
-export function handleAnswerNotice({serve}: PlainRun, server: ServerEntry, {status, headers}: {status: number; headers: AnswerHeaders}): void {
-	const notice = serve.calls.readNotice?.(status, headers);
+export function handleAnswerNotice({ctx}: PlainRun, server: ServerEntry, {status, headers}: {status: number; headers: AnswerHeaders}): void {
+	const notice = ctx.calls.readNotice?.(status, headers);
 	if (notice !== undefined) {
-		serve.handleNotice(server, notice);
+		ctx.handleNotice(server, notice);
 	}
 }
 
@@ -100,8 +100,8 @@
  * @param run - The request.
  * @returns `true` from the crash that was one too many, at whichever host it was.
  */
-export function isQuarantined({fingerprint, serve}: PlainRun): boolean {
-	return fingerprint !== undefined && serve.suspects.isQuarantined(fingerprint, serve.services.clock.now());
+export function isQuarantined({fingerprint, ctx}: PlainRun): boolean {
+	return fingerprint !== undefined && ctx.suspects.isQuarantined(fingerprint, ctx.services.clock.now());
 }
 
 /**
@@ -114,9 +114,9 @@
  * @returns How it ended; after `failed` nothing has been relayed.
  */
 export async function sendRequest(run: PlainRun, server: ServerEntry, step: CallStep, onFirst: () => void): Promise<PlainEnd> {
-	const {exchange, serve, clients, body} = run;
-	const silence = createSilence(run);
-	const calledAt = serve.services.clock.now();
+	const {exchange, ctx, clients, body} = run;
+	const headTimeout = createHeadTimeout(run);
+	const calledAt = ctx.services.clock.now();
 	const ended = await sendPlain({
 		exchange,
 		dispatcher: clients.toDispatcher(server),
@@ -124,25 +124,25 @@
 		headers: toCallHeaders(run, server, step),
 		payload: body.open(),
 		events: run.events,
-		signal: silence.signal,
+		signal: headTimeout.signal,
 		headersTimeoutMs: toRemainingMs(run),
-		idleTimeoutMs: run.events === undefined ? serve.limits.writeTimeoutMs : run.route.rule.then.target.perTokenMs * silentPauses,
+		idleTimeoutMs: run.events === undefined ? ctx.limits.writeTimeoutMs : run.route.rule.then.target.perTokenMs * idleTimeoutFactor,
 		checkHead(status, headers) {
-			silence.end();
+			headTimeout.end();
 			handleAnswerNotice(run, server, {status, headers});
 			const fault = findHeadFault(run, status, headers);
 			noteAnswered(run, {server: server.id, calledAt, refusal: fault?.kind === 'refused' ? fault.reason : undefined});
 			return fault;
 		},
 		onStart(status) {
-			serve.services.gate.noteFirstToken(exchange.requestId);
-			run.firstByteAt ??= serve.services.clock.now();
-			if (status < firstServerFault) {
+			ctx.services.gate.noteFirstToken(exchange.requestId);
+			run.firstByteAt ??= ctx.services.clock.now();
+			if (status < minServerErrorStatus) {
 				onFirst();
 			}
 		},
 	});
-	silence.end();
+	headTimeout.end();
 	const isSilent = ended.kind === 'failed' && ended.fault.kind === 'aborted' && !run.signal.aborted;
 	return isSilent ? {kind: 'failed', fault: {kind: 'broken', message: 'the server was silent'}} : ended;
 }
@@ -152,7 +152,7 @@
  * request may go to another server. A server behind a cut, or a kept connection
  * that went dead, would hold it until its caller leaves.
  */
-function createSilence(run: PlainRun): {signal: AbortSignal; end: () => void} {
+function createHeadTimeout(run: PlainRun): {signal: AbortSignal; end: () => void} {
 	if (findNoRetryReason(run) !== undefined) {
 		return {signal: run.signal, end: () => undefined};
 	}
@@ -160,7 +160,7 @@
 	const silent = new AbortController();
 	const timer = setTimeout(() => {
 		silent.abort();
-	}, run.route.rule.then.target.firstTokenMs * silentTargets);
+	}, run.route.rule.then.target.firstTokenMs * headTimeoutFactor);
 	return {
 		signal: AbortSignal.any([run.signal, silent.signal]),
 		end() {
--- a/src/programs/entry/call-plain/_lib/to-plain-outcome.ts
+++ b/src/programs/entry/call-plain/_lib/to-plain-outcome.ts
@@ -11,7 +11,7 @@
 import {type PlainOutcome, type PlainRun} from './types.js';
 
 /** Half to one and a half times the delay: callers refused together don't come back together. */
-const spread = (run: PlainRun, ms: Milliseconds): Milliseconds => ms * (0.5 + run.serve.services.random());
+const addJitter = (run: PlainRun, ms: Milliseconds): Milliseconds => ms * (0.5 + run.ctx.services.random());
 
 const toEnd = (outcome: Outcome): PlainOutcome['end'] => outcome === 'not-run' ? 'refused' : 'failed';
 
@@ -48,7 +48,7 @@
 /** A request that found no room now. Servers that ask to back off say until when. */
 export function toBounced(run: PlainRun, {reason, retryAfterMs}: PlacementRefusal): PlainOutcome {
 	return {
-		end: 'bounced', outcome: run.ledger.outcome(), ...(reason === 'paused' && {roomAt: run.serve.services.clock.now() + retryAfterMs}),
+		end: 'bounced', outcome: run.ledger.outcome(), ...(reason === 'paused' && {capacityAt: run.ctx.services.clock.now() + retryAfterMs}),
 	};
 }
 
@@ -63,18 +63,18 @@
 	const bodyFault = run.body.fault();
 	const outcome = run.ledger.outcome();
 	if (bodyFault !== undefined) {
-		const {maxBodyBytes: limitBytes, bodyTimeoutMs: timeoutMs} = run.serve.limits;
+		const {maxBodyBytes: limitBytes, bodyTimeoutMs: timeoutMs} = run.ctx.limits;
 		return {end: 'failed', outcome, problem: {...toBodyProblem(bodyFault, {limitBytes, timeoutMs}), outcome}};
 	}
 
-	if (run.serve.services.clock.now() >= run.deadline) {
+	if (run.ctx.services.clock.now() >= run.deadline) {
 		return {end: 'failed', outcome, problem: {kind: 'deadline-passed', detail: `Server ${server.id} had not begun its answer at the deadline.`, outcome}};
 	}
 
 	if (fault.kind === 'refused' && outcome === 'not-run') {
 		return {
 			end: 'refused', outcome, problem: {
-				kind: 'no-capacity', detail: `Server ${server.id} refused the request: ${fault.reason}.`, outcome, retryAfterMs: spread(run, msPerSecond),
+				kind: 'no-capacity', detail: `Server ${server.id} refused the request: ${fault.reason}.`, outcome, retryAfterMs: addJitter(run, msPerSecond),
 			},
 		};
 	}
@@ -84,7 +84,7 @@
 		end: toEnd(outcome),
 		outcome,
 		problem: {
-			kind: 'backend-failed', detail: `Server ${server.id} failed: ${fault.kind}. ${again}`, outcome, ...(outcome === 'not-run' && {retryAfterMs: spread(run, msPerSecond)}),
+			kind: 'backend-failed', detail: `Server ${server.id} failed: ${fault.kind}. ${again}`, outcome, ...(outcome === 'not-run' && {retryAfterMs: addJitter(run, msPerSecond)}),
 		},
 	};
 }
--- a/src/programs/entry/call-plain/_lib/types.ts
+++ b/src/programs/entry/call-plain/_lib/types.ts
@@ -17,7 +17,7 @@
 export type PlainRun = {
 	exchange: CallerExchange;
 	route: Route;
-	serve: ServeContext;
+	ctx: ServeContext;
 	clients: PlainClients;
 	account: Account;
 	/** Carries the request's id. */
@@ -40,7 +40,7 @@
 	/** Servers to which the request itself was sent so far. */
 	sent: number;
 	/** The next attempt is to be one call, as the budget held no more; its decode server computes the prompt. */
-	isOneCall: boolean;
+	isDecodeOnly: boolean;
 	/** Times that it found every server full. */
 	bounces: number;
 	/** When the first byte of an answer came, monotonic. */
@@ -52,7 +52,7 @@
 	end: 'complete' | 'refused' | 'failed' | 'caller-gone' | 'bounced';
 	outcome: Outcome;
 	/** Before this time no server has room, monotonic; `undefined` where it may come any moment. */
-	roomAt?: Milliseconds;
+	capacityAt?: Milliseconds;
 	/** Sent to the caller unless its answer has begun. */
 	problem?: Problem;
 };
--- a/src/programs/entry/call-plain/index.ts
+++ b/src/programs/entry/call-plain/index.ts
@@ -24,25 +24,25 @@
 export {type PlainOutcome, type PlainRun} from './_lib/types.js';
 
 function pickServer(run: PlainRun, exclude: ReadonlySet<ServerId>) {
-	const {services} = run.serve;
+	const {services} = run.ctx;
 	return services.placement.pickPlain({pool: run.route.pool.name, exclude}, services.toView()!, services.clock.now(), services.random);
 }
 
 /** Where every server has failed this request once, one of them is asked again: the retry budget bounds it, its backoff spaces it. */
-function pickElsewhere(run: PlainRun) {
+function pickUntried(run: PlainRun) {
 	const picked = pickServer(run, new Set(run.tried.map(({server}) => server)));
 	return picked.isErr() && picked.error.reason === 'no-server' && run.tried.length > 0 ? pickServer(run, new Set()) : picked;
 }
 
-type Attempted =
+type AttemptResult =
 	| {kind: 'called'; server: ServerEntry; ended: PlainEnd; hasRun: boolean}
 	| {kind: 'bounced' | 'not-placed'; refusal: PlacementRefusal};
 
 /** One call of a plain service, with what it does to the account, the ledger and the server's standing. */
-async function callWhole(run: PlainRun, attempt: number): Promise<Attempted> {
+async function callPlainServer(run: PlainRun, attempt: number): Promise<AttemptResult> {
 	const {account, ledger, route} = run;
-	const {clock, placement} = run.serve.services;
-	const picked = pickElsewhere(run);
+	const {clock, placement} = run.ctx.services;
+	const picked = pickUntried(run);
 	if (picked.isErr()) {
 		return {kind: 'not-placed', refusal: picked.error};
 	}
@@ -65,10 +65,10 @@
 	};
 }
 
-async function callOnce(run: PlainRun): Promise<Attempted> {
-	const {caches} = run.serve.calls;
+async function runAttempt(run: PlainRun): Promise<AttemptResult> {
+	const {caches} = run.ctx.calls;
 	const attempt = run.tried.length + 1;
-	return run.route.pool.kind === 'model' && caches !== undefined ? callPair(run, caches, attempt) : callWhole(run, attempt);
+	return run.route.pool.kind === 'model' && caches !== undefined ? callPair(run, caches, attempt) : callPlainServer(run, attempt);
 }
 
 /**
@@ -78,13 +78,13 @@
  * @returns How it ended; a problem in it has not been sent.
  */
 export async function callServers(run: PlainRun): Promise<PlainOutcome> {
-	const {services} = run.serve;
+	const {services} = run.ctx;
 	for (;;) {
 		if (isQuarantined(run)) {
 			return toQuarantined(run);
 		}
 
-		const attempted = await callOnce(run);
+		const attempted = await runAttempt(run);
 		if (run.signal.aborted) {
 			return toAborted(run);
 		}
@@ -109,33 +109,33 @@
 			return {end: 'caller-gone', outcome: run.ledger.outcome()};
 		}
 
-		noteFailed(run, server, ended.fault);
+		reportFailure(run, server, ended.fault);
 		run.tried.push({server: server.id, zone: server.zone});
-		const again = decideRetry(run, ended.fault, hasRun);
-		if (ended.kind === 'cut' && (again.kind === 'give-up' || run.events === undefined)) {
+		const decision = decideRetry(run, ended.fault, hasRun);
+		if (ended.kind === 'cut' && (decision.kind === 'give-up' || run.events === undefined)) {
 			run.exchange.destroy();
 			return {end: 'failed', outcome: run.ledger.outcome()};
 		}
 
-		if (again.kind === 'give-up') {
+		if (decision.kind === 'give-up') {
 			return toGivenUp(run, server, ended.fault);
 		}
 
-		await waitUnlessAborted(run, again.delayMs);
+		await waitUnlessAborted(run, decision.delayMs);
 		if (run.signal.aborted) {
 			return toAborted(run);
 		}
 	}
 }
 
-function noteCompleted({fingerprint, serve}: PlainRun): void {
+function noteCompleted({fingerprint, ctx}: PlainRun): void {
 	if (fingerprint !== undefined) {
-		serve.suspects.noteCompleted(fingerprint, serve.services.clock.now());
+		ctx.suspects.noteCompleted(fingerprint, ctx.services.clock.now());
 	}
 }
 
 /** A request that waits asks fifty times a second; one line tells of the first time, and the account counts the others. */
-function logNoServer(run: PlainRun, {kind, refusal}: Extract<Attempted, {refusal: PlacementRefusal}>): void {
+function logNoServer(run: PlainRun, {kind, refusal}: Extract<AttemptResult, {refusal: PlacementRefusal}>): void {
 	if (kind === 'not-placed') {
 		run.log.info('not placed', {reason: refusal.reason});
 		return;
@@ -147,8 +147,8 @@
 	}
 }
 
-function noteFailed(run: PlainRun, server: ServerEntry, fault: PlainFault): void {
-	const {services} = run.serve;
+function reportFailure(run: PlainRun, server: ServerEntry, fault: PlainFault): void {
+	const {services} = run.ctx;
 	const attempt = run.tried.length + 1;
 	const reason = fault.kind === 'refused' ? fault.reason : undefined;
 	// An answer that says that the request failed is the application's word, and all servers of a service may give it alike.
@@ -160,7 +160,7 @@
 		attempt, server: server.id, failure: fault.kind, reason, message: fault.message,
 	});
 	if (fault.kind === 'broken') {
-		noteBrokenCall({fingerprint: run.fingerprint, server: server.id, fault}, run.serve);
+		noteBrokenCall({fingerprint: run.fingerprint, server: server.id, fault}, run.ctx);
 	}
 
 	run.log.info('attempt failed', {
--- a/src/programs/entry/cancel-queue/index.ts
+++ b/src/programs/entry/cancel-queue/index.ts
@@ -34,7 +34,7 @@
 
 type PendingCancel = {
 	key: AttemptKey;
-	since: Milliseconds;
+	addedAt: Milliseconds;
 };
 
 const firstBackoffMs = 50;
@@ -60,7 +60,7 @@
 	const stopping = new AbortController();
 
 	function settleOne(server: ServerId, item: PendingCancel, end: CancelEnd): void {
-		onSettled?.(server, item.key, end, now() - item.since);
+		onSettled?.(server, item.key, end, now() - item.addedAt);
 	}
 
 	/** Sends some cancels at once and returns those that have to be sent again. */
@@ -72,7 +72,7 @@
 				return false;
 			}
 
-			const end = isGone(server) ? 'server-gone' : (now() - item.since > maxAgeMs ? 'too-old' : undefined);
+			const end = isGone(server) ? 'server-gone' : (now() - item.addedAt > maxAgeMs ? 'too-old' : undefined);
 			if (end !== undefined) {
 				settleOne(server, item, end);
 			}
@@ -112,7 +112,7 @@
 
 	return {
 		add(server, key) {
-			const item = {key, since: now()};
+			const item = {key, addedAt: now()};
 			const items = byServer.get(server);
 			if (items === undefined) {
 				const first = [item];
--- a/src/programs/entry/gate/index.ts
+++ b/src/programs/entry/gate/index.ts
@@ -51,7 +51,7 @@
 		waiter?.(result);
 	}
 
-	function start(ids: readonly RequestId[]): void {
+	function admit(ids: readonly RequestId[]): void {
 		for (const id of ids) {
 			settle(id, ok());
 		}
@@ -62,7 +62,7 @@
 	 * wait until its target had passed. Asked again with each view, since a pool
 	 * that still has requests running goes only when they have ended.
 	 */
-	function dropPools({accepted}: FleetView): void {
+	function removeMissingPools({accepted}: FleetView): void {
 		if (accepted === undefined) {
 			return;
 		}
@@ -80,9 +80,9 @@
 			return;
 		}
 
-		dropPools(view);
+		removeMissingPools(view);
 		for (const {pool, ...capacity} of toPoolCapacity(view, zone)) {
-			start(admission.setCapacity(pool, capacity, now()));
+			admit(admission.setCapacity(pool, capacity, now()));
 		}
 
 		view = undefined;
@@ -90,16 +90,16 @@
 
 	async function wait(id: RequestId, signal: AbortSignal): Promise<Result<void, GateRefusal>> {
 		return new Promise(resolve => {
-			const onGone = () => {
-				start(admission.cancel(id, now()));
+			const onAbort = () => {
+				admit(admission.cancel(id, now()));
 				settle(id, err({reason: 'gone'}));
 			};
 
 			waiters.set(id, result => {
-				signal.removeEventListener('abort', onGone);
+				signal.removeEventListener('abort', onAbort);
 				resolve(result);
 			});
-			signal.addEventListener('abort', onGone, {once: true});
+			signal.addEventListener('abort', onAbort, {once: true});
 		});
 	}
 
@@ -121,7 +121,7 @@
 			admission.noteFirstToken(id, now());
 		},
 		leave(id, end) {
-			start(end === 'gone' ? admission.cancel(id, now()) : admission.finish(id, now(), {outcome: end}));
+			admit(end === 'gone' ? admission.cancel(id, now()) : admission.finish(id, now(), {outcome: end}));
 		},
 		setView(next) {
 			view = next;
@@ -129,7 +129,7 @@
 		tick() {
 			applyView();
 			const {admitted, refused} = admission.tick(now());
-			start(admitted);
+			admit(admitted);
 			for (const {id, ...refusal} of refused) {
 				settle(id, err(refusal));
 			}
--- a/src/programs/entry/outcome-ledger/index.ts
+++ b/src/programs/entry/outcome-ledger/index.ts
@@ -27,20 +27,20 @@
  * @returns The ledger.
  */
 export function createOutcomeLedger(): OutcomeLedger {
-	let taken = 0;
+	let openOffers = 0;
 	let firstTokenAt: Milliseconds | undefined;
 	return {
 		noteOffered() {
-			taken++;
+			openOffers++;
 		},
 		noteNotStarted() {
-			taken--;
+			openOffers--;
 		},
 		noteRan(now) {
 			firstTokenAt ??= now;
 		},
 		firstTokenAt: () => firstTokenAt,
-		outcome: () => firstTokenAt === undefined ? (taken > 0 ? 'may-have-run' : 'not-run') : 'ran',
-		isOffered: () => taken > 0,
+		outcome: () => firstTokenAt === undefined ? (openOffers > 0 ? 'may-have-run' : 'not-run') : 'ran',
+		isOffered: () => openOffers > 0,
 	};
 }
--- a/src/programs/entry/relay-stream/_lib/create-pace-meter.ts
+++ b/src/programs/entry/relay-stream/_lib/create-pace-meter.ts
@@ -2,23 +2,23 @@
 import {type Milliseconds} from '../../../../ports/clock.js';
 
 /** How often a stream tells of its tokens, milliseconds: soon enough to turn the next requests away, and seldom against the cost of a token. */
-const noteEveryMs = 500;
+const sampleIntervalMs = 500;
 
 /**
  * Measures how the tokens of one stream come, in samples.
  *
  * @param now - Monotonic milliseconds.
- * @param note - Gets each sample at its end.
+ * @param onSample - Gets each sample at its end.
  * @returns Functions to call at each piece, and where the time that passes is not the server's.
  */
-export function createPaceMeter(now: () => Milliseconds, note: (seen: SeenTokens) => void) {
+export function createPaceMeter(now: () => Milliseconds, onSample: (seen: SeenTokens) => void) {
 	let startedAt: Milliseconds | undefined;
 	let lastAt = 0;
 	let tokens = 0;
 
-	function end(): void {
+	function endSample(): void {
 		if (startedAt !== undefined && tokens > 0) {
-			note({tokens, tookMs: lastAt - startedAt});
+			onSample({tokens, tookMs: lastAt - startedAt});
 		}
 
 		tokens = 0;
@@ -34,14 +34,14 @@
 			}
 
 			tokens += count;
-			if (lastAt - startedAt >= noteEveryMs) {
-				end();
+			if (lastAt - startedAt >= sampleIntervalMs) {
+				endSample();
 				startedAt = lastAt;
 			}
 		},
 		/** Ends the sample: the stream has ended or broken, or its reader was kept waiting by the caller. */
 		stop(): void {
-			end();
+			endSample();
 			startedAt = undefined;
 		},
 	};
--- a/src/programs/entry/relay-stream/index.ts
+++ b/src/programs/entry/relay-stream/index.ts
@@ -20,7 +20,7 @@
 const stallFactor = 40;
 const minStallMs = 2 * msPerSecond;
 /** Resumes in a row that bring no token. */
-const maxIdleResumes = 2;
+const maxFruitlessResumes = 2;
 const resumeTimeoutMs = 2 * msPerSecond;
 
 /**
@@ -59,29 +59,29 @@
 	try {
 		for await (const chunk of stream) {
 			step.refresh();
-			const taken = buffer.accept(chunk);
-			if (taken.kind === 'gap') {
-				return toBroken(reader.server, `tokens from ${taken.offset} on are missing`);
+			const accepted = buffer.accept(chunk);
+			if (accepted.kind === 'gap') {
+				return toBroken(reader.server, `tokens from ${accepted.offset} on are missing`);
 			}
 
-			if (taken.kind === 'dropped') {
-				services.runMetrics.countDroppedChunk(taken.cause);
+			if (accepted.kind === 'dropped') {
+				services.runMetrics.countDroppedChunk(accepted.cause);
 				continue;
 			}
 
-			if (taken.tokens > 0) {
-				meter.add(taken.tokens);
+			if (accepted.tokens > 0) {
+				meter.add(accepted.tokens);
 			}
 
-			if (taken.tokens > 0 && buffer.offset() === taken.tokens) {
+			if (accepted.tokens > 0 && buffer.offset() === accepted.tokens) {
 				noteFirstToken(run, services);
 			}
 
-			if (!delivery.relay(taken.text) && !await waitForCaller(reader)) {
+			if (!delivery.relay(accepted.text) && !await waitForCaller(reader)) {
 				return {...toBroken(reader.server, 'the caller stopped reading'), kind: 'aborted'};
 			}
 
-			if (taken.finish !== undefined) {
+			if (accepted.finish !== undefined) {
 				return undefined;
 			}
 		}
@@ -137,7 +137,7 @@
 	} = options;
 	let {stream, step} = options;
 	const meter = createPaceMeter(services.clock.now, noteTokens);
-	let idle = 0;
+	let fruitlessResumes = 0;
 	for (;;) {
 		const before = run.buffer.offset();
 		step.arm(toStallTimeoutMs(run));
@@ -154,8 +154,8 @@
 			return {kind: 'gone'};
 		}
 
-		idle = run.buffer.offset() > before ? 0 : idle + 1;
-		if (idle > maxIdleResumes || failure.kind === 'gone') {
+		fruitlessResumes = run.buffer.offset() > before ? 0 : fruitlessResumes + 1;
+		if (fruitlessResumes > maxFruitlessResumes || failure.kind === 'gone') {
 			return {kind: 'failed', failure};
 		}
 
--- a/src/programs/entry/run-attempt/_lib/attempt.ts
+++ b/src/programs/entry/run-attempt/_lib/attempt.ts
@@ -31,14 +31,14 @@
 	key: AttemptKey;
 	step: StepSignal;
 	/** Servers that may hold something of it. */
-	touched: Set<ServerEntry>;
-	timeLeft: () => Milliseconds;
+	serversToRelease: Set<ServerEntry>;
+	toRemainingMs: () => Milliseconds;
 	/** No attempt of the request has failed yet. */
 	isFirst: boolean;
 };
 
 /** A caller that already has a part of the answer waits for the rest also past the deadline. */
-export function toTimeLeft(run: Run, now: Milliseconds): Milliseconds {
+export function toRemainingMs(run: Run, now: Milliseconds): Milliseconds {
 	const left = run.deadline - now;
 	return run.buffer.offset() > 0 ? Math.max(left, run.rule.then.target.completeMs) : left;
 }
@@ -48,7 +48,7 @@
  * refuses a duplicate has the first copy: to call that "not run" would let the
  * caller pay twice.
  */
-export function holdsNothing(failure: StepFailure): boolean {
+export function isWithoutServerState(failure: StepFailure): boolean {
 	return failure.isUnsent || failure.kind === 'unreachable' || (failure.kind === 'refused' && failure.reason !== 'duplicate');
 }
 
@@ -58,13 +58,13 @@
 	}
 
 	// A time-out is this host's own signal, but it says something about the server.
-	const told: EngineFailure = failure.isTimedOut && !failure.isUnsent ? {...failure, kind: 'broken', message: `no answer in time: ${failure.message}`} : failure;
-	attempt.services.placement.noteFailure(server, told, attempt.services.clock.now());
-	if (told.reason === 'leaving') {
+	const reported: EngineFailure = failure.isTimedOut && !failure.isUnsent ? {...failure, kind: 'broken', message: `no answer in time: ${failure.message}`} : failure;
+	attempt.services.placement.noteFailure(server, reported, attempt.services.clock.now());
+	if (reported.reason === 'leaving') {
 		attempt.services.reportLeaving(server.id);
 	}
 
 	return {
-		kind: 'failed', step, server, failure: told, hasOffered: attempt.run.ledger.isOffered(), isTimedOut: failure.isTimedOut,
+		kind: 'failed', step, server, failure: reported, hasOffered: attempt.run.ledger.isOffered(), isTimedOut: failure.isTimedOut,
 	};
 }
--- a/src/programs/entry/run-attempt/_lib/call-engines.ts
+++ b/src/programs/entry/run-attempt/_lib/call-engines.ts
@@ -5,7 +5,7 @@
 import {msPerSecond} from '../../../../ports/units.js';
 import {runStep, type StepFailure} from '../../_lib/step.js';
 import {toStallTimeoutMs} from '../../relay-stream/index.js';
-import {holdsNothing, type Attempt} from './attempt.js';
+import {isWithoutServerState, type Attempt} from './attempt.js';
 
 const reserveTimeoutMs = 2 * msPerSecond;
 
@@ -13,14 +13,14 @@
 export async function reserve(attempt: Attempt) {
 	const {run, services, placement, key} = attempt;
 	const {decode} = placement;
-	attempt.touched.add(decode);
+	attempt.serversToRelease.add(decode);
 	const ttlMs = Math.max(services.reservationTtlMs, placement.reservationTtlMs);
-	const result = await runStep(attempt.step, {limitMs: Math.min(reserveTimeoutMs, attempt.timeLeft()), server: decode.id}, signal =>
+	const result = await runStep(attempt.step, {limitMs: Math.min(reserveTimeoutMs, attempt.toRemainingMs()), server: decode.id}, signal =>
 		services.toEngine(decode).reserve(key, {
 			promptTokens: run.promptTokens + run.buffer.offset(), maxTokens: run.request.maxTokens - run.buffer.offset(), ttlMs, class: run.rule.then.class,
 		}, {signal}));
-	if (result.isErr() && holdsNothing(result.error)) {
-		attempt.touched.delete(decode);
+	if (result.isErr() && isWithoutServerState(result.error)) {
+		attempt.serversToRelease.delete(decode);
 	}
 
 	return result;
@@ -35,7 +35,7 @@
 export async function prefill(attempt: Attempt, limitMs: Milliseconds): Promise<Result<PrefillResult, StepFailure>> {
 	const {run, services, placement, key} = attempt;
 	const server = placement.prefill;
-	attempt.touched.add(server);
+	attempt.serversToRelease.add(server);
 	run.ledger.noteOffered();
 	const answered = run.buffer.tokens();
 	const result = await runStep(attempt.step, {limitMs, server: server.id}, signal =>
@@ -49,8 +49,8 @@
 			class: run.rule.then.class,
 			deadlineInMs: limitMs,
 		}, {signal}));
-	if (result.isErr() && holdsNothing(result.error)) {
-		attempt.touched.delete(server);
+	if (result.isErr() && isWithoutServerState(result.error)) {
+		attempt.serversToRelease.delete(server);
 		run.ledger.noteNotStarted();
 	}
 
--- a/src/programs/entry/run-attempt/_lib/transfer-cache.ts
+++ b/src/programs/entry/run-attempt/_lib/transfer-cache.ts
@@ -9,7 +9,7 @@
 	kvId: string;
 	bytes: number;
 	/** Time until the reserved slot, or the request, is over. */
-	slotLeftMs: Milliseconds;
+	slotRemainingMs: Milliseconds;
 };
 
 /**
@@ -19,7 +19,7 @@
  * follow: of a request of which an attempt failed already, or whose rule allows
  * no second run, the transfer may take what time the slot has.
  */
-function toStallLimitMs({isFirst, run, services, placement}: Attempt, bytes: number): Milliseconds {
+function toTransferTimeoutMs({isFirst, run, services, placement}: Attempt, bytes: number): Milliseconds {
 	const {prefill, decode} = placement;
 	const mayRunAgain = isFirst && run.rule.then.repeatable;
 	return mayRunAgain ? services.transferLimits.toTimeoutMs({from: prefill.zone, to: decode.zone}, bytes) : Infinity;
@@ -36,24 +36,24 @@
 	const {run, services, placement, key} = attempt;
 	const {prefill: from, decode: to} = placement;
 	const {transferLimits, clock} = services;
-	const {reservationId, kvId, bytes, slotLeftMs} = transfer;
+	const {reservationId, kvId, bytes, slotRemainingMs} = transfer;
 	const link = {from: from.zone, to: to.zone};
 	const startedAt = clock.now();
-	const stallMs = toStallLimitMs(attempt, bytes);
-	const imported = await runStep(attempt.step, {limitMs: Math.min(slotLeftMs, stallMs), server: to.id}, signal =>
+	const timeoutMs = toTransferTimeoutMs(attempt, bytes);
+	const transferred = await runStep(attempt.step, {limitMs: Math.min(slotRemainingMs, timeoutMs), server: to.id}, signal =>
 		services.toEngine(to).importKv({
 			key, reservationId, fromUrl: from.url, kvId,
 		}, {signal}));
-	if (imported.isOk()) {
+	if (transferred.isOk()) {
 		transferLimits.noteDone(link, bytes, clock.now() - startedAt);
-	} else if (imported.error.isTimedOut && stallMs < slotLeftMs) {
+	} else if (transferred.error.isTimedOut && timeoutMs < slotRemainingMs) {
 		transferLimits.noteTimedOut(link, bytes, clock.now() - startedAt);
-		run.account.addStage('transfer given up', {from: from.id, to: to.id, limitMs: Math.round(stallMs)});
+		run.account.addStage('transfer given up', {from: from.id, to: to.id, limitMs: Math.round(timeoutMs)});
 		// The request's own time is not over: what follows must not say that a deadline passed.
 		return err({
-			...imported.error, kind: 'broken', message: `the transfer from ${from.id} had not ended after ${Math.round(stallMs)} ms`, isTimedOut: false,
+			...transferred.error, kind: 'broken', message: `the transfer from ${from.id} had not ended after ${Math.round(timeoutMs)} ms`, isTimedOut: false,
 		});
 	}
 
-	return imported;
+	return transferred;
 }
--- a/src/programs/entry/run-attempt/index.ts
+++ b/src/programs/entry/run-attempt/index.ts
@@ -9,7 +9,7 @@
 } from '../_lib/types.js';
 import {relayStream, type RelayEnd} from '../relay-stream/index.js';
 import {
-	toFailed, toTimeLeft, type Attempt, type AttemptEnd,
+	toFailed, toRemainingMs, type Attempt, type AttemptEnd,
 } from './_lib/attempt.js';
 import {openStream, prefill, reserve} from './_lib/call-engines.js';
 import {transferCache} from './_lib/transfer-cache.js';
@@ -46,10 +46,10 @@
 
 	const {reservationId, expiresInMs} = reservation.value;
 	// A prefill that ends after its slot has expired has nowhere to go.
-	const toSlotLeft = () => Math.min(attempt.timeLeft(), reservedAt + expiresInMs - now());
+	const toSlotRemainingMs = () => Math.min(attempt.toRemainingMs(), reservedAt + expiresInMs - now());
 	services.placement.noteReserved(placement, placement.promptTokens + placement.maxTokens, now());
 	run.account.addStage('reserved', {server: decodeServer.id, expiresInMs});
-	const prefilled = await prefill(attempt, toSlotLeft());
+	const prefilled = await prefill(attempt, toSlotRemainingMs());
 	if (prefilled.isErr()) {
 		return toFailed(attempt, 'prefill', prefillServer, prefilled.error);
 	}
@@ -61,7 +61,7 @@
 		server: prefillServer.id, promptTokens, cachedTokens, bytes,
 	});
 	const imported = await transferCache(attempt, {
-		reservationId, kvId, bytes, slotLeftMs: toSlotLeft(),
+		reservationId, kvId, bytes, slotRemainingMs: toSlotRemainingMs(),
 	});
 	if (imported.isErr()) {
 		const isSource = imported.error.reason === 'source-failed' || imported.error.kind === 'gone';
@@ -107,10 +107,10 @@
  */
 export async function runAttempt(run: Run, services: RunServices, placement: Placement, options: {attempt: number; isFirst: boolean}): Promise<AttemptEnd> {
 	const {attempt: attemptNumber, isFirst} = options;
-	const {clock, cancels, runMetrics: tally} = services;
+	const {clock, cancels, runMetrics} = services;
 	const key = {requestId: run.id, attempt: attemptNumber, owner: services.toOwner()};
 	const attempt: Attempt = {
-		run, services, placement, key, step: createStepSignal(run.signal, clock.now), touched: new Set(), timeLeft: () => toTimeLeft(run, clock.now()), isFirst,
+		run, services, placement, key, step: createStepSignal(run.signal, clock.now), serversToRelease: new Set(), toRemainingMs: () => toRemainingMs(run, clock.now()), isFirst,
 	};
 	const tokensBefore = run.buffer.offset();
 	let prefilled: PrefillResult | undefined;
@@ -121,16 +121,16 @@
 			prefilled = result;
 		});
 		if (end.kind === 'complete') {
-			attempt.touched.clear();
+			attempt.serversToRelease.clear();
 		} else if (prefilled !== undefined && run.buffer.offset() === tokensBefore) {
-			tally.countWastedPrefill(toWasteCause(end, run), prefilled.promptTokens - prefilled.cachedTokens);
+			runMetrics.countWastedPrefill(toWasteCause(end, run), prefilled.promptTokens - prefilled.cachedTokens);
 		}
 
 		return end;
 	} finally {
 		attempt.step.close();
 		services.placement.noteFinished(placement, clock.now());
-		for (const server of attempt.touched) {
+		for (const server of attempt.serversToRelease) {
 			cancels.add(server.id, key);
 		}
 	}
--- a/src/programs/entry/run-request/_lib/place.ts
+++ b/src/programs/entry/run-request/_lib/place.ts
@@ -9,7 +9,7 @@
 import {type RunEnd, toNotPlaced} from './to-run-end.js';
 
 /** What became of a request's earlier attempts. */
-export type History = {
+export type AttemptHistory = {
 	/** Servers that failed it and are left alone for the next attempt. */
 	failed: ReadonlySet<ServerId>;
 	/** Decode servers that had no room for it. */
@@ -50,7 +50,7 @@
  * spaces them, so asking one of them again can't become a storm. Full servers
  * are not asked again: nothing bounds those but that each is asked once.
  */
-function pickElsewhere(run: Run, services: RunServices, {failed, full}: History) {
+function pickUntried(run: Run, services: RunServices, {failed, full}: AttemptHistory) {
 	const hasFailed = failed.size > 0;
 	const picked = pick(run, services, {exclude: new Set([...failed, ...full]), hasFailed});
 	return picked?.isErr() && picked.error.reason === 'no-server' && hasFailed
@@ -67,8 +67,8 @@
  * @param attempt - Number of the attempt, from 1.
  * @returns The pair, or the request's end.
  */
-export function place(run: Run, services: RunServices, history: History, attempt: number): Result<Placement, RunEnd> {
-	const picked = pickElsewhere(run, services, history);
+export function place(run: Run, services: RunServices, history: AttemptHistory, attempt: number): Result<Placement, RunEnd> {
+	const picked = pickUntried(run, services, history);
 	if (picked === undefined) {
 		return err({kind: 'failed', problem: {...noConfiguration, outcome: run.ledger.outcome()}});
 	}
--- a/src/programs/entry/run-request/index.ts
+++ b/src/programs/entry/run-request/index.ts
@@ -11,7 +11,7 @@
 
 export {type RunEnd, toEnded} from './_lib/to-run-end.js';
 
-type Tried = {
+type TriedServer = {
 	server: ServerId;
 	zone: ZoneId;
 };
@@ -21,12 +21,12 @@
 	return step === 'reserve' && failure.kind === 'refused' && failure.reason === 'full';
 }
 
-function noteFull(run: Run, attempt: number, server: ServerId): void {
+function reportFull(run: Run, attempt: number, server: ServerId): void {
 	run.account.addStage('server full', {attempt, server});
 	run.log.info('decode server full, asking the next', {attempt, server});
 }
 
-function logFailure(run: Run, attempt: number, failed: AttemptFailure): void {
+function reportFailure(run: Run, attempt: number, failed: AttemptFailure): void {
 	const {step, server, failure} = failed;
 	run.account.resolveDetails();
 	run.account.addStage('attempt failed', {
@@ -51,7 +51,7 @@
 export async function runRequest(run: Run, services: RunServices, firstAttempt: number): Promise<{end: RunEnd; nextAttempt: number}> {
 	const {clock} = services;
 	const budget = services.toRetryBudget(run.rule.then.pool);
-	const tried: Tried[] = [];
+	const tried: TriedServer[] = [];
 	const full = new Set<ServerId>();
 	let failed: ReadonlySet<ServerId> = new Set();
 	for (let attempt = firstAttempt; ; attempt++) {
@@ -83,13 +83,13 @@
 		if (isFull(ended)) {
 			// Paid from the retry budget, a busy hour's full servers would use up what is meant for failures.
 			full.add(ended.server.id);
-			noteFull(run, attempt, ended.server.id);
+			reportFull(run, attempt, ended.server.id);
 			continue;
 		}
 
-		logFailure(run, attempt, ended);
+		reportFailure(run, attempt, ended);
 		tried.push({server: ended.server.id, zone: ended.server.zone});
-		const again = budget.takeRetry({
+		const decision = budget.takeRetry({
 			repeatable: run.rule.then.repeatable,
 			bytesOffered: ended.hasOffered ? run.request.prompt.length : 0,
 			outcome: ended.hasOffered ? 'may-have-run' : 'not-run',
@@ -98,8 +98,8 @@
 			expectedMs: placement.predictedFirstTokenMs,
 			tried,
 		}, clock.now(), services.random);
-		if (again.kind === 'give-up') {
-			run.account.addStage('given up', {reason: again.reason});
+		if (decision.kind === 'give-up') {
+			run.account.addStage('given up', {reason: decision.reason});
 			return {end: toGivenUp(run, ended), nextAttempt: attempt + 1};
 		}
 
@@ -107,8 +107,8 @@
 			services.runMetrics.countRerun();
 		}
 
-		failed = new Set(again.avoidServers);
-		await waitUnlessAborted(run, again.delayMs);
+		failed = new Set(decision.avoidServers);
+		await waitUnlessAborted(run, decision.delayMs);
 	}
 }
 
--- a/src/programs/entry/send-plain/_lib/create-event-relay.ts
+++ b/src/programs/entry/send-plain/_lib/create-event-relay.ts
@@ -22,7 +22,7 @@
 const idLine = /^id:[ ]?(?<id>.*)$/gmv;
 
 /** Length up to the last event's end; 0 when none has ended. */
-function toEndOf(bytes: Buffer, end: Buffer): number {
+function findLastEnd(bytes: Buffer, end: Buffer): number {
 	const at = bytes.lastIndexOf(end);
 	return at === -1 ? 0 : at + end.length;
 }
@@ -41,7 +41,7 @@
 export function createEventRelay(options: {exchange: CallerExchange; idleTimeoutMs: Milliseconds; events: RelayedEvents}): Relay {
 	const {exchange, events} = options;
 	const writer = createFlowWriter(options);
-	let rest: Buffer = Buffer.alloc(0);
+	let incomplete: Buffer = Buffer.alloc(0);
 
 	return {
 		start(status, headers, flow: CallFlow) {
@@ -52,9 +52,9 @@
 			}
 		},
 		write(bytes) {
-			const all = rest.length === 0 ? bytes : Buffer.concat([rest, bytes]);
-			const length = Math.max(...eventEnds.map(end => toEndOf(all, end)));
-			rest = all.subarray(length);
+			const all = incomplete.length === 0 ? bytes : Buffer.concat([incomplete, bytes]);
+			const length = Math.max(...eventEnds.map(end => findLastEnd(all, end)));
+			incomplete = all.subarray(length);
 			if (length > 0) {
 				const whole = all.subarray(0, length);
 				events.lastId = findLastId(whole.toString('utf8')) ?? events.lastId;
@@ -62,8 +62,8 @@
 			}
 		},
 		end() {
-			if (rest.length > 0) {
-				writer.pass(rest);
+			if (incomplete.length > 0) {
+				writer.pass(incomplete);
 			}
 
 			exchange.end();
--- a/src/programs/entry/send-plain/_lib/create-relay.ts
+++ b/src/programs/entry/send-plain/_lib/create-relay.ts
@@ -11,7 +11,7 @@
  * caller with a cut connection and no word; held, the call can be sent elsewhere
  * where that is allowed, and is ended by a problem document where it is not.
  */
-const heldBytes = 64 * bytesPerKibibyte;
+const maxHeldBytes = 64 * bytesPerKibibyte;
 
 type Headers = Parameters<CallerExchange['startStream']>[1];
 
@@ -25,7 +25,7 @@
 
 function isShort(headers: Headers): boolean {
 	const length = Number(headers['content-length'] ?? Number.NaN);
-	return length >= 0 && length <= heldBytes;
+	return length >= 0 && length <= maxHeldBytes;
 }
 
 /** A caller that reads nothing for too long is cut off, and its going ends the call. */
@@ -66,7 +66,7 @@
 export function createRelay(options: {exchange: CallerExchange; idleTimeoutMs: Milliseconds}): Relay {
 	const {exchange} = options;
 	const writer = createFlowWriter(options);
-	const held: Buffer[] = [];
+	const heldChunks: Buffer[] = [];
 	let begin: (() => void) | undefined;
 	let hasBegun = false;
 
@@ -87,12 +87,12 @@
 			if (begin === undefined) {
 				writer.pass(bytes);
 			} else {
-				held.push(bytes);
+				heldChunks.push(bytes);
 			}
 		},
 		end() {
 			begin?.();
-			for (const bytes of held) {
+			for (const bytes of heldChunks) {
 				exchange.write(bytes);
 			}
 
--- a/src/programs/entry/send-plain/index.ts
+++ b/src/programs/entry/send-plain/index.ts
@@ -32,7 +32,7 @@
 	| {kind: 'cut'; fault: PlainFault}
 	| {kind: 'caller-gone'};
 
-export type PlainSend = {
+export type PlainCall = {
 	exchange: CallerExchange;
 	dispatcher: Dispatcher;
 	server: ServerEntry;
@@ -55,7 +55,7 @@
  * A refusal is short and its connection goes on to serve; an answer that belongs
  * to another request says that the connection can't be trusted any more.
  */
-function endUnread(fault: PlainFault, flow: CallFlow, resolve: (end: PlainEnd) => void): void {
+function rejectAnswer(fault: PlainFault, flow: CallFlow, resolve: (end: PlainEnd) => void): void {
 	if (fault.kind === 'invalid') {
 		flow.abandon();
 	} else {
@@ -68,35 +68,35 @@
 /**
  * Sends the call and relays the answer.
  *
- * @param send - Where, what, and the limits.
+ * @param call - Where, what, and the limits.
  * @returns How it ended. After `failed` nothing was sent to the caller.
  */
-export async function sendPlain(send: PlainSend): Promise<PlainEnd> {
-	const {exchange, server, signal} = send;
+export async function sendPlain(call: PlainCall): Promise<PlainEnd> {
+	const {exchange, server, signal} = call;
 	return new Promise(resolve => {
 		let status = 0;
-		const {events} = send;
-		const relay = events === undefined ? createRelay(send) : createEventRelay({...send, events});
+		const {events} = call;
+		const relay = events === undefined ? createRelay(call) : createEventRelay({...call, events});
 		dispatchCall({
-			dispatcher: send.dispatcher,
+			dispatcher: call.dispatcher,
 			origin: server.url,
 			method: exchange.method,
 			path: exchange.target,
-			headers: send.headers,
-			...(send.payload !== undefined && {payload: send.payload}),
-			headersTimeoutMs: send.headersTimeoutMs,
-			idleTimeoutMs: send.idleTimeoutMs,
+			headers: call.headers,
+			...(call.payload !== undefined && {payload: call.payload}),
+			headersTimeoutMs: call.headersTimeoutMs,
+			idleTimeoutMs: call.idleTimeoutMs,
 			signal,
 		}, {
 			onStart(answerStatus, headers, flow) {
-				const fault = send.checkHead?.(answerStatus, headers);
+				const fault = call.checkHead?.(answerStatus, headers);
 				if (fault !== undefined) {
-					endUnread(fault, flow, resolve);
+					rejectAnswer(fault, flow, resolve);
 					return;
 				}
 
 				status = answerStatus;
-				send.onStart(status);
+				call.onStart(status);
 				relay.start(status, toForwardHeaders(headers, {drop: ['x-request-id']}), flow);
 			},
 			onData: relay.write,
--- a/src/programs/entry/serve-completion/_lib/read-request.ts
+++ b/src/programs/entry/serve-completion/_lib/read-request.ts
@@ -26,11 +26,11 @@
  *
  * @param kind - The endpoint.
  * @param exchange - The caller's request.
- * @param serve - The program around it, for its limits.
+ * @param ctx - The program around it, for its limits.
  * @returns The request, or the problem to answer with; `gone` when the caller left before its body was whole.
  */
-export async function readRequest(kind: AnswerKind, exchange: CallerExchange, serve: ServeContext): Promise<Result<ReadRequest, Problem | 'gone'>> {
-	const {limits} = serve;
+export async function readRequest(kind: AnswerKind, exchange: CallerExchange, ctx: ServeContext): Promise<Result<ReadRequest, Problem | 'gone'>> {
+	const {limits} = ctx;
 	const bodyLimits = {limitBytes: limits.maxBodyBytes, timeoutMs: limits.bodyTimeoutMs};
 	const type = exchange.headers['content-type'] ?? 'application/json';
 	if (!/^application\/(?:[\w.+\-]+\+)?json\b/iv.test(type) || exchange.headers['content-encoding'] !== undefined) {
--- a/src/programs/entry/serve-completion/_lib/report-end.ts
+++ b/src/programs/entry/serve-completion/_lib/report-end.ts
@@ -23,10 +23,10 @@
  *
  * @param run - The run.
  * @param end - How it ended.
- * @param serve - The program around it.
+ * @param ctx - The program around it.
  */
-export function reportEnd(run: Run, end: RunEnd, serve: ServeContext): void {
-	const completeMs = serve.services.clock.now() - run.receivedAt;
+export function reportEnd(run: Run, end: RunEnd, ctx: ServeContext): void {
+	const completeMs = ctx.services.clock.now() - run.receivedAt;
 	const {reason, ...report} = toEndReport(run, end);
 	const outputTokens = run.buffer.offset();
 	run.account.addStage('ended', {outcome: report.outcome, reason, outputTokens});
@@ -34,7 +34,7 @@
 		outcome: report.outcome, reason, outputTokens, durationMs: completeMs,
 	});
 	const firstTokenAt = run.ledger.firstTokenAt();
-	serve.onEnded({
+	ctx.onEnded({
 		workspace: run.workspace, rule: run.rule, ...report, completeMs, outputTokens, firstTokenMs: firstTokenAt === undefined ? undefined : firstTokenAt - run.receivedAt,
 	});
 }
--- a/src/programs/entry/serve-completion/index.ts
+++ b/src/programs/entry/serve-completion/index.ts
@@ -25,14 +25,14 @@
 import {readRequest, type ParsedRequest} from './_lib/read-request.js';
 import {reportEnd, toVerdict} from './_lib/report-end.js';
 
-function createDeliveryFor(exchange: CallerExchange, request: CompletionRequest, serve: ServeContext): Delivery {
+function createDeliveryFor(exchange: CallerExchange, request: CompletionRequest, ctx: ServeContext): Delivery {
 	const head: AnswerHead = {
 		kind: request.kind,
 		id: `${request.kind === 'chat' ? 'chatcmpl' : 'cmpl'}-${exchange.requestId}`,
-		created: Math.floor(serve.services.clock.wallNow() / msPerSecond),
+		created: Math.floor(ctx.services.clock.wallNow() / msPerSecond),
 		model: request.model,
 	};
-	const options: DeliveryOptions = {head, includesUsage: request.includesUsage, writeTimeoutMs: serve.limits.writeTimeoutMs};
+	const options: DeliveryOptions = {head, includesUsage: request.includesUsage, writeTimeoutMs: ctx.limits.writeTimeoutMs};
 	return request.stream ? createSseDelivery(exchange, options) : createJsonDelivery(exchange, options);
 }
 
@@ -44,9 +44,9 @@
 	account: Account;
 };
 
-function createRun(input: RunInput, serve: ServeContext): Run {
+function createRun(input: RunInput, ctx: ServeContext): Run {
 	const {exchange, route, request, promptTokens} = input;
-	const {clock, random} = serve.services;
+	const {clock, random} = ctx.services;
 	const {then, name} = route.rule;
 	const receivedAt = clock.now();
 	return {
@@ -64,16 +64,16 @@
 		signal: input.signal,
 		buffer: createAnswerBuffer({requestId: exchange.requestId, keepsTokens: then.repeatable || !request.stream}),
 		ledger: createOutcomeLedger(),
-		delivery: createDeliveryFor(exchange, request, serve),
+		delivery: createDeliveryFor(exchange, request, ctx),
 		account: input.account,
-		log: serve.log.with({
+		log: ctx.log.with({
 			requestId: exchange.requestId, workspace: route.workspace, rule: name, class: then.class, edition: route.edition,
 		}),
 	};
 }
 
-async function waitForRoom(run: Run, serve: ServeContext): Promise<RunEnd | undefined> {
-	const {gate, clock} = serve.services;
+async function waitForRoom(run: Run, ctx: ServeContext): Promise<RunEnd | undefined> {
+	const {gate, clock} = ctx.services;
 	const {then} = run.rule;
 	const enteredAt = clock.now();
 	// A caller that already has a part of the answer waits for the rest also past the targets.
@@ -100,11 +100,11 @@
 }
 
 /** Runs an admitted request, and gives its place back whatever way it ends. */
-async function runAdmitted(run: Run, serve: ServeContext, attempt: number): ReturnType<typeof runRequest> {
-	const {gate} = serve.services;
+async function runAdmitted(run: Run, ctx: ServeContext, attempt: number): ReturnType<typeof runRequest> {
+	const {gate} = ctx.services;
 	let outcome: Parameters<typeof gate.leave>[1] = 'failed';
 	try {
-		const ended = await runRequest(run, serve.services, attempt);
+		const ended = await runRequest(run, ctx.services, attempt);
 		outcome = ended.end.kind === 'complete' ? 'completed' : ended.end.kind;
 		return ended;
 	} finally {
@@ -118,16 +118,16 @@
  * request where nobody looks at its target: its caller would hear of the miss
  * when the delay is over, up to twice the target late.
  */
-async function runToEnd(run: Run, serve: ServeContext): Promise<RunEnd> {
-	const {clock} = serve.services;
+async function runToEnd(run: Run, ctx: ServeContext): Promise<RunEnd> {
+	const {clock} = ctx.services;
 	let attempt = 1;
 	for (;;) {
-		const refused = await waitForRoom(run, serve);
+		const refused = await waitForRoom(run, ctx);
 		if (refused !== undefined) {
 			return refused;
 		}
 
-		const {end, nextAttempt} = await runAdmitted(run, serve, attempt);
+		const {end, nextAttempt} = await runAdmitted(run, ctx, attempt);
 		attempt = nextAttempt;
 		if (end.kind !== 'bounced' || clock.now() > run.deadline) {
 			return end;
@@ -145,17 +145,17 @@
 	}
 }
 
-async function runRouted(input: Omit<RunInput, 'signal'>, serve: ServeContext): Promise<KeyedVerdict> {
-	const control = openRunControl(serve.registry, input.exchange, now => now > run.deadline && run.buffer.offset() === 0);
-	const run = createRun({...input, signal: control.signal}, serve);
+async function runRouted(input: Omit<RunInput, 'signal'>, ctx: ServeContext): Promise<KeyedVerdict> {
+	const control = openRunControl(ctx.registry, input.exchange, now => now > run.deadline && run.buffer.offset() === 0);
+	const run = createRun({...input, signal: control.signal}, ctx);
 	run.account.addStage('routed', {
 		workspace: run.workspace, rule: run.rule.name, pool: run.rule.then.pool, class: run.rule.then.class, promptTokens: run.promptTokens, version: run.version,
 	});
 	run.log.info('request received', {pool: run.rule.then.pool, promptTokens: run.promptTokens});
 	try {
-		const end = await runToEnd(run, serve);
+		const end = await runToEnd(run, ctx);
 		deliver(run, end);
-		reportEnd(run, end, serve);
+		reportEnd(run, end, ctx);
 		return toVerdict(run, end);
 	} finally {
 		control.close();
@@ -167,24 +167,24 @@
  *
  * @param kind - The endpoint.
  * @param exchange - The caller's request.
- * @param serve - The program around it.
+ * @param ctx - The program around it.
  */
-export async function serveCompletion(kind: AnswerKind, exchange: CallerExchange, serve: ServeContext): Promise<void> {
-	const account = serve.accounts.open(exchange.requestId);
+export async function serveCompletion(kind: AnswerKind, exchange: CallerExchange, ctx: ServeContext): Promise<void> {
+	const account = ctx.accounts.open(exchange.requestId);
 	const refuse = (problem: Problem) => {
 		reportRefused(problem, {
 			requestId: exchange.requestId, account, route: undefined, headers: exchange.headers,
-		}, serve);
+		}, ctx);
 		exchange.sendProblem(problem);
 	};
 
-	const overload = findOverload(serve);
+	const overload = findOverload(ctx);
 	if (overload !== undefined) {
 		refuse(toUnclaimedProblem(overload, exchange.headers));
 		return;
 	}
 
-	const parsed = await readRequest(kind, exchange, serve);
+	const parsed = await readRequest(kind, exchange, ctx);
 	if (parsed.isErr()) {
 		if (parsed.error !== 'gone') {
 			refuse(parsed.error);
@@ -194,9 +194,9 @@
 	}
 
 	const {request, promptTokens, digest} = parsed.value;
-	const routed = serve.route({
-		headers: exchange.headers, path: exchange.path, model: request.model, promptTokens, host: toHostName(exchange.headers.host), random: serve.services.random,
-	}, serve.services.toView());
+	const routed = ctx.route({
+		headers: exchange.headers, path: exchange.path, model: request.model, promptTokens, host: toHostName(exchange.headers.host), random: ctx.services.random,
+	}, ctx.services.toView());
 	const served = routed.andThen(route => toServedModel(request.model, route).map(model => ({route, model})));
 	const ready = served
 		.mapErr(problem => toUnclaimedProblem(problem, exchange.headers))
@@ -209,10 +209,10 @@
 	const {route, model, key} = ready.value;
 	const work = async (target: CallerExchange) => runRouted({
 		exchange: target, account, request, promptTokens, route, model,
-	}, serve);
-	await (key === undefined || serve.claims === undefined
+	}, ctx);
+	await (key === undefined || ctx.claims === undefined
 		? work(exchange)
-		: serveKeyed(serve.claims, exchange, {
+		: serveKeyed(ctx.claims, exchange, {
 			workspace: route.workspace, key, digest, isRepeatable: route.rule.then.repeatable,
-		}, toKeyedOptions({exchange, account, route}, serve, work)));
+		}, toKeyedOptions({exchange, account, route}, ctx, work)));
 }
--- a/src/programs/entry/serve-plain/index.ts
+++ b/src/programs/entry/serve-plain/index.ts
@@ -40,8 +40,8 @@
  * A body that a key names is read whole, because its digest must be known before
  * the work is claimed; one that is relayed, because it goes to several servers.
  */
-async function takeBody(exchange: CallerExchange, serve: ServeContext, isWhole: boolean): Promise<Result<PlainBody, Problem | 'gone'>> {
-	const {maxBodyBytes: limitBytes, bodyTimeoutMs: timeoutMs} = serve.limits;
+async function readOrStreamBody(exchange: CallerExchange, ctx: ServeContext, isWhole: boolean): Promise<Result<PlainBody, Problem | 'gone'>> {
+	const {maxBodyBytes: limitBytes, bodyTimeoutMs: timeoutMs} = ctx.limits;
 	const length = exchange.headers['content-length'];
 	const hasBody = exchange.headers['transfer-encoding'] !== undefined || Number(length ?? 0) > 0;
 	if (Number(length ?? 0) > limitBytes) {
@@ -64,7 +64,7 @@
 
 /** Waits and calls; again, and at once, when every server turned out to be full. The gate spaces the tries. */
 async function waitAndCall(run: PlainRun): Promise<FinalOutcome> {
-	const {clock} = run.serve.services;
+	const {clock} = run.ctx.services;
 	for (;;) {
 		const wait = toWaitPolicy(toWaitInput(run), clock.now());
 		const ended = await enterAndCall(run, wait);
@@ -74,13 +74,13 @@
 		}
 
 		run.account.addStage('bounced');
-		if (wait.isSingleTry || (ended.roomAt ?? -Infinity) > wait.latestStart) {
-			return toNoRoom(run, ended.roomAt);
+		if (wait.isSingleTry || (ended.capacityAt ?? -Infinity) > wait.latestStart) {
+			return toNoCapacity(run, ended.capacityAt);
 		}
 	}
 }
 
-function toWaitInput({route, receivedAt, deadline, work, events, serve: {services}}: PlainRun): WaitPolicyInput {
+function toWaitInput({route, receivedAt, deadline, work, events, ctx: {services}}: PlainRun): WaitPolicyInput {
 	return {
 		then: route.rule.then,
 		poolKind: route.pool.kind,
@@ -93,25 +93,25 @@
 }
 
 /** When a caller may come back to a pool whose memory is full. */
-function toReturnMs({route, serve: {services}}: PlainRun): Milliseconds {
+function toRetryAfterMs({route, ctx: {services}}: PlainRun): Milliseconds {
 	return toFullPoolRetryAfter(services.gate.meanHoldMs(route.pool.name), services.random);
 }
 
-function toNoRoom(run: PlainRun, roomAt = -Infinity): FinalOutcome {
+function toNoCapacity(run: PlainRun, capacityAt = -Infinity): FinalOutcome {
 	const outcome = run.ledger.outcome();
-	const waitMs = roomAt - run.serve.services.clock.now();
+	const waitMs = capacityAt - run.ctx.services.clock.now();
 	return {
 		end: outcome === 'not-run' ? 'refused' : 'failed',
 		outcome,
 		problem: {
-			kind: 'no-capacity', detail: 'Every server that would do is full.', outcome, retryAfterMs: Math.max(waitMs, toReturnMs(run)),
+			kind: 'no-capacity', detail: 'Every server that would do is full.', outcome, retryAfterMs: Math.max(waitMs, toRetryAfterMs(run)),
 		},
 	};
 }
 
 async function enter(run: PlainRun, wait: WaitPolicy): Promise<Result<void, GateRefusal>> {
-	const {exchange, route, serve} = run;
-	return serve.services.gate.enter({
+	const {exchange, route, ctx} = run;
+	return ctx.services.gate.enter({
 		id: exchange.requestId,
 		pool: route.pool.name,
 		class: wait.class,
@@ -127,12 +127,12 @@
 /** The pace at which this host's requests end tells when a plain service has room; of memory that other hosts fill as well it says too little. */
 function toWaitProblem(run: PlainRun, refusal: Exclude<GateRefusal, {reason: 'gone'}>, outcome: Problem['outcome']): Problem {
 	const problem = toGateProblem(refusal, outcome);
-	return run.route.pool.kind === 'model' ? {...problem, retryAfterMs: toReturnMs(run)} : problem;
+	return run.route.pool.kind === 'model' ? {...problem, retryAfterMs: toRetryAfterMs(run)} : problem;
 }
 
 async function enterAndCall(run: PlainRun, wait: WaitPolicy): Promise<PlainOutcome> {
-	const {exchange, route, serve, account} = run;
-	const {gate} = serve.services;
+	const {exchange, route, ctx, account} = run;
+	const {gate} = ctx.services;
 	const entered = await enter(run, wait);
 	if (entered.isErr()) {
 		account.addStage('not admitted', {reason: entered.error.reason});
@@ -157,7 +157,7 @@
 } as const satisfies Record<PlainOutcome['end'], Parameters<Gate['leave']>[1]>;
 
 /** An answer that has begun can't become a problem document; left open, its caller would wait for the rest for ever. */
-function sendEnd(exchange: CallerExchange, problem: Problem): void {
+function sendFailure(exchange: CallerExchange, problem: Problem): void {
 	if (exchange.isStarted()) {
 		exchange.destroy();
 	} else {
@@ -166,19 +166,19 @@
 }
 
 function finish(run: PlainRun, ended: FinalOutcome): void {
-	const {exchange, serve, route, account} = run;
-	const completeMs = serve.services.clock.now() - run.receivedAt;
+	const {exchange, ctx, route, account} = run;
+	const completeMs = ctx.services.clock.now() - run.receivedAt;
 	if (ended.problem !== undefined) {
-		sendEnd(exchange, ended.problem);
+		sendFailure(exchange, ended.problem);
 	}
 
 	const reason = ended.problem?.kind ?? ended.end;
 	const firstTokenMs = run.firstByteAt === undefined ? undefined : run.firstByteAt - run.receivedAt;
 	account.addStage('ended', {outcome: ended.outcome, reason});
-	serve.log.info('request ended', {
+	ctx.log.info('request ended', {
 		requestId: exchange.requestId, workspace: route.workspace, rule: route.rule.name, class: route.rule.then.class, edition: route.edition, outcome: ended.outcome, reason, durationMs: Math.round(completeMs), firstTokenMs: firstTokenMs && Math.round(firstTokenMs), count: run.bounces, ageMs: toEarlierWaitMs(toWaitInput(run)),
 	});
-	serve.onEnded({
+	ctx.onEnded({
 		workspace: route.workspace, rule: route.rule, end: ended.end, outcome: ended.outcome, firstTokenMs, completeMs, outputTokens: 0,
 	});
 }
@@ -187,57 +187,57 @@
  * Serves one request to a plain service.
  *
  * @param exchange - The caller's request.
- * @param serve - The program around it.
+ * @param ctx - The program around it.
  * @param clients - Connections to plain services.
  */
-export async function servePlain(exchange: CallerExchange, serve: ServeContext, clients: PlainClients): Promise<void> {
-	const {services} = serve;
+export async function servePlain(exchange: CallerExchange, ctx: ServeContext, clients: PlainClients): Promise<void> {
+	const {services} = ctx;
 	const receivedAt = services.clock.now();
-	const account = serve.accounts.open(exchange.requestId);
-	const work = serve.calls.parseHints(exchange.headers);
-	const routed = serve.route({
+	const account = ctx.accounts.open(exchange.requestId);
+	const work = ctx.calls.parseHints(exchange.headers);
+	const routed = ctx.route({
 		headers: exchange.headers, host: toHostName(exchange.headers.host), path: exchange.path, model: work.model, promptTokens: work.promptTokens, random: services.random,
 	}, services.toView());
-	const early = findOverload(serve) ?? (routed.isErr() ? routed.error : findNotPlain(routed.value));
+	const refusal = findOverload(ctx) ?? (routed.isErr() ? routed.error : findNotPlain(routed.value));
 	const refuse = (problem: Problem | 'gone' | undefined, fingerprint?: Fingerprint) => {
 		if (problem !== undefined && problem !== 'gone') {
 			reportRefused(problem, {
 				requestId: exchange.requestId, account, route: routed.unwrapOr(undefined), headers: exchange.headers, fingerprint,
-			}, serve);
+			}, ctx);
 			exchange.sendProblem(problem);
 		}
 	};
 
-	if (early !== undefined || routed.isErr()) {
-		refuse(early && toUnclaimedProblem(early, exchange.headers));
+	if (refusal !== undefined || routed.isErr()) {
+		refuse(refusal && toUnclaimedProblem(refusal, exchange.headers));
 		return;
 	}
 
 	const route = routed.value;
 	const {relay, target} = route.rule.then;
 	const key = relay === undefined ? findIdempotencyKey(exchange, isRepeatable({exchange, route})) : ok<string | undefined, Problem>(undefined);
-	const body = key.isErr() ? err(key.error) : await takeBody(exchange, serve, relay !== undefined || key.value !== undefined);
+	const body = key.isErr() ? err(key.error) : await readOrStreamBody(exchange, ctx, relay !== undefined || key.value !== undefined);
 	if (body.isErr() || key.isErr()) {
 		refuse(body.isErr() ? body.error : undefined);
 		return;
 	}
 
 	const fingerprint = toFingerprintOf(exchange, route, body.value);
-	if (fingerprint !== undefined && serve.suspects.isQuarantined(fingerprint, services.clock.now())) {
-		serve.suspects.noteRefused(fingerprint, services.clock.now());
+	if (fingerprint !== undefined && ctx.suspects.isQuarantined(fingerprint, services.clock.now())) {
+		ctx.suspects.noteRefused(fingerprint, services.clock.now());
 		refuse(toUnclaimedProblem(toQuarantineProblem('not-run'), exchange.headers), fingerprint);
 		return;
 	}
 
 	const deadline = receivedAt + Math.min(target.completeMs, work.timeoutMs ?? Infinity);
 	const serveOne = async (caller: CallerExchange) => runRouted({
-		exchange: caller, route, serve, clients, account, receivedAt, work, body: body.value, deadline, fingerprint,
+		exchange: caller, route, ctx, clients, account, receivedAt, work, body: body.value, deadline, fingerprint,
 	});
-	await (key.value === undefined || serve.claims === undefined
+	await (key.value === undefined || ctx.claims === undefined
 		? serveOne(exchange)
-		: serveKeyed(serve.claims, exchange, {
+		: serveKeyed(ctx.claims, exchange, {
 			workspace: route.workspace, key: key.value, digest: toRequestDigest(exchange, body.value.bytes() ?? new Uint8Array()), isRepeatable: isRepeatable({exchange, route}),
-		}, toKeyedOptions({exchange, account, route}, serve, serveOne)));
+		}, toKeyedOptions({exchange, account, route}, ctx, serveOne)));
 }
 
 /** A body that goes through unread names nothing. */
@@ -248,21 +248,21 @@
 	});
 }
 
-async function runRouted(input: Omit<PlainRun, 'signal' | 'ledger' | 'log' | 'events' | 'tried' | 'sent' | 'isOneCall' | 'bounces'>): Promise<KeyedVerdict> {
+async function runRouted(input: Omit<PlainRun, 'signal' | 'ledger' | 'log' | 'events' | 'tried' | 'sent' | 'isDecodeOnly' | 'bounces'>): Promise<KeyedVerdict> {
 	const {
-		exchange, route, serve, account, deadline, fingerprint,
+		exchange, route, ctx, account, deadline, fingerprint,
 	} = input;
-	const control = openRunControl(serve.registry, exchange, now => now > deadline && !exchange.isStarted());
-	const timer = route.rule.then.relay === undefined ? undefined : endAt(control, deadline - serve.services.clock.now());
+	const control = openRunControl(ctx.registry, exchange, now => now > deadline && !exchange.isStarted());
+	const timer = route.rule.then.relay === undefined ? undefined : abortAfter(control, deadline - ctx.services.clock.now());
 	account.addStage('routed', {
 		workspace: route.workspace, rule: route.rule.name, pool: route.pool.name, class: route.rule.then.class,
 	});
-	serve.log.info('request received', {
+	ctx.log.info('request received', {
 		requestId: exchange.requestId, workspace: route.workspace, rule: route.rule.name, class: route.rule.then.class, edition: route.edition, pool: route.pool.name, fingerprint,
 	});
 	try {
 		const run: PlainRun = {
-			...input, log: serve.log.with({requestId: exchange.requestId}), signal: control.signal, ledger: createOutcomeLedger(), events: route.rule.then.relay?.isResumable === true ? {hasBegun: false, lastId: undefined} : undefined, tried: [], sent: 0, isOneCall: false, bounces: 0,
+			...input, log: ctx.log.with({requestId: exchange.requestId}), signal: control.signal, ledger: createOutcomeLedger(), events: route.rule.then.relay?.isResumable === true ? {hasBegun: false, lastId: undefined} : undefined, tried: [], sent: 0, isDecodeOnly: false, bounces: 0,
 		};
 		const ended = await waitAndCall(run);
 		finish(run, ended);
@@ -274,7 +274,7 @@
 }
 
 /** The clients of servers look at their limits every half second or so, too coarsely for a caller who is owed the end at its deadline. */
-function endAt(control: RunControl, delayMs: Milliseconds): NodeJS.Timeout {
+function abortAfter(control: RunControl, delayMs: Milliseconds): NodeJS.Timeout {
 	return setTimeout(() => {
 		control.abort('deadline-passed');
 	}, delayMs);
--- a/src/programs/entry/start-entry/_lib/create-handlers.ts
+++ b/src/programs/entry/start-entry/_lib/create-handlers.ts
@@ -8,28 +8,28 @@
 import {type Ticker} from '../../start-ticker/index.js';
 
 /**
- * @param serve - What serving a request needs.
+ * @param ctx - What serving a request needs.
  * @param clients - Connections to plain services.
  * @param ticker - Woken by each request.
  * @returns What serves the requests of callers.
  */
-export function createHandlers(serve: ServeContext, clients: PlainClients, ticker: Ticker): CallerHandlers {
+export function createHandlers(ctx: ServeContext, clients: PlainClients, ticker: Ticker): CallerHandlers {
 	/** What the request begins, before it waits for anything, is what the next tick is for. */
-	async function awake(serving: Promise<void>): Promise<void> {
+	async function wakeTicker(serving: Promise<void>): Promise<void> {
 		ticker.wake();
 		return serving;
 	}
 
 	return {
-		completion: async exchange => awake(serveCompletion('completion', exchange, serve)),
-		chat: async exchange => awake(serveCompletion('chat', exchange, serve)),
+		completion: async exchange => wakeTicker(serveCompletion('completion', exchange, ctx)),
+		chat: async exchange => wakeTicker(serveCompletion('chat', exchange, ctx)),
 		async models(exchange) {
-			serveModels(exchange, serve.services.toView());
+			serveModels(exchange, ctx.services.toView());
 		},
-		plain: async exchange => awake(servePlain(exchange, serve, clients)),
+		plain: async exchange => wakeTicker(servePlain(exchange, ctx, clients)),
 		onFault(error, exchange) {
 			const reason = error instanceof Error ? error.stack ?? error.message : String(error);
-			serve.log.error('request broken off by a fault of the program', {requestId: exchange.requestId, reason});
+			ctx.log.error('request broken off by a fault of the program', {requestId: exchange.requestId, reason});
 		},
 	};
 }
--- a/src/programs/entry/start-entry/_lib/drain.ts
+++ b/src/programs/entry/start-entry/_lib/drain.ts
@@ -12,7 +12,7 @@
  * Waits, for a bounded time, until runs that were told to end have cancelled on
  * their engines.
  *
- * @param serve - Runs in progress, and the queue of cancels.
+ * @param ctx - Runs in progress, and the queue of cancels.
  */
 export async function settle({registry, services}: ServeContext): Promise<void> {
 	for (let waitedMs = 0; registry.size() > 0 && waitedMs < cancelSettleMs; waitedMs += settlePollMs) {
@@ -29,7 +29,7 @@
  * @param parts - The callers' port and the runs behind it.
  * @param timeoutMs - Limit of the drain, milliseconds.
  */
-export async function drain({callers, serve}: {callers: CallerServer; serve: ServeContext}, timeoutMs: Milliseconds): Promise<void> {
+export async function drain({callers, ctx}: {callers: CallerServer; ctx: ServeContext}, timeoutMs: Milliseconds): Promise<void> {
 	const closed = callers.close();
 	const limit = new AbortController();
 	const isDrained = await Promise.race([
@@ -41,10 +41,10 @@
 		return;
 	}
 
-	for (const requestId of serve.registry.abandon()) {
-		serve.log.error('abandoned at the limit of the drain', {requestId});
+	for (const requestId of ctx.registry.abandon()) {
+		ctx.log.error('abandoned at the limit of the drain', {requestId});
 	}
 
-	await settle(serve);
+	await settle(ctx);
 	callers.destroy();
 }
--- a/src/programs/entry/start-entry/index.ts
+++ b/src/programs/entry/start-entry/index.ts
@@ -45,9 +45,9 @@
 const gateTickMs = 20;
 /** Without requests only the own word to other hosts and changes of the platform are due; they count in half seconds. */
 const idleTickMs = 250;
-const pauseLimitMs = 2000;
-const accountLimit = 2000;
-const operatorCloseMs = 500;
+const pauseThresholdMs = 2000;
+const maxAccounts = 2000;
+const operatorCloseTimeoutMs = 500;
 
 export type LoadSharing = Pick<SharedLoads, 'read' | 'isZoneSilent'> & {
 	/** Whether hosts of other zones were heard before, and none is any more. */
@@ -136,7 +136,7 @@
 type EntryParts = {
 	options: EntryOptions;
 	link: FleetLink;
-	serve: ServeContext;
+	ctx: ServeContext;
 	callers: CallerServer;
 	counters: ReturnType<typeof createEntryMetrics>;
 	toIsStopping: () => boolean;
@@ -144,11 +144,11 @@
 
 async function listenForOperators(parts: EntryParts, burn: ReturnType<typeof reportSlo>) {
 	const {
-		options, link, serve, callers, counters, toIsStopping,
+		options, link, ctx, callers, counters, toIsStopping,
 	} = parts;
-	const {services, registry, accounts} = serve;
+	const {services, registry, accounts} = ctx;
 	counters.sample({
-		inProgress: registry.size, waiting: services.gate.waiting, openAnswers: callers.openExchanges, cancelsPending: services.cancels.pending, quarantined: () => serve.suspects.count(options.clock.now()).quarantined,
+		inProgress: registry.size, waiting: services.gate.waiting, openAnswers: callers.openExchanges, cancelsPending: services.cancels.pending, quarantined: () => ctx.suspects.count(options.clock.now()).quarantined,
 	});
 	const started = await startOperations({
 		settings: options.settings,
@@ -184,10 +184,10 @@
 	let isStopping = false;
 	const counters = createEntryMetrics(metrics);
 	const ledger = createSloLedger({host: settings.hostId});
-	const engines = createEngines(server => options.createEngine(server, {onDropped: counters.noteDropped}));
+	const engines = createEngines(server => options.createEngine(server, {onDropped: counters.countDroppedTokens}));
 	const clients = createPlainClients({connectTimeoutMs: settings.engineConnectTimeout, ...(options.serverIdleMs !== undefined && {idleMs: options.serverIdleMs})});
 	const registry = createRunRegistry();
-	const accounts = createAccounts({limit: accountLimit, now: clock.now, wallNow: clock.wallNow});
+	const accounts = createAccounts({limit: maxAccounts, now: clock.now, wallNow: clock.wallNow});
 	const run = createRunServices({
 		clock,
 		random,
@@ -218,7 +218,7 @@
 		onView(view) {
 			run.services.gate.setView(view);
 			if (view.accepted !== undefined) {
-				run.noteConfig(view.accepted.config);
+				run.applyConfig(view.accepted.config);
 				clients.keepOnly(new Set(view.accepted.config.servers.map(server => server.id)));
 				if (view.accepted.config.callers !== undefined) {
 					applyBounds(view.accepted.config.callers);
@@ -226,26 +226,26 @@
 			}
 		},
 	});
-	const noteNotice = createNoticeHandler({
+	const handleNotice = createNoticeHandler({
 		log,
 		reportLeaving(server) {
 			link.reportLeaving(server);
 		},
 		notePause: (server, pauseMs) => run.services.placement.notePause(server, pauseMs, clock.now()),
 	});
-	const serve: ServeContext = {
+	const ctx: ServeContext = {
 		services: run.services,
 		limits,
 		route: createRouter(settings.zone),
 		accounts,
 		registry,
 		claims: link.claims,
-		calls: options.createCalls?.(clients.toDispatcher, {onNotice: noteNotice}) ?? createNativeCalls({toView: () => link.toView()}),
-		handleNotice: noteNotice,
+		calls: options.createCalls?.(clients.toDispatcher, {onNotice: handleNotice}) ?? createNativeCalls({toView: () => link.toView()}),
+		handleNotice,
 		suspects,
 		log,
 		onEnded(ended) {
-			counters.noteEnded(ended);
+			counters.recordEndedRequest(ended);
 			ledger.addSample(toSloSample(ended), clock.now());
 		},
 	};
@@ -258,7 +258,7 @@
 		busyMs: gateTickMs,
 		idleMs: idleTickMs,
 	});
-	const callers = await listenForCallers(options, createHandlers(serve, clients, ticker));
+	const callers = await listenForCallers(options, createHandlers(ctx, clients, ticker));
 	opened.callers = callers;
 	const bounds = link.toView()?.accepted?.config.callers;
 	if (bounds !== undefined) {
@@ -266,12 +266,12 @@
 	}
 
 	const parts: EntryParts = {
-		options, link, serve, callers, counters, toIsStopping: () => isStopping,
+		options, link, ctx, callers, counters, toIsStopping: () => isStopping,
 	};
 	const operators = await listenForOperators(parts, reportSlo(ledger, clock, metrics));
-	const endPauseWatch = watchPauses({
+	const stopPauseWatch = watchPauses({
 		now: clock.now,
-		limitMs: pauseLimitMs,
+		limitMs: pauseThresholdMs,
 		onWake(gapMs) {
 			counters.pauses.add({});
 			log.warn('woke up after a pause', {durationMs: gapMs, count: registry.endOverdue(clock.now())});
@@ -285,7 +285,7 @@
 		view: link.toView,
 		accounts,
 		toPrefillShare: run.services.placement.toPrefillShare,
-		handleNotice: noteNotice,
+		handleNotice,
 		async stop() {
 			isStopping = true;
 			callers.startStopping();
@@ -296,12 +296,12 @@
 			run.services.cancels.stop();
 			await link.leave();
 			ticker.stop();
-			endPauseWatch();
-			await Promise.all([engines.close(), clients.close(), operators.close(operatorCloseMs)]);
+			stopPauseWatch();
+			await Promise.all([engines.close(), clients.close(), operators.close(operatorCloseTimeoutMs)]);
 		},
 		async abandon() {
 			const left = registry.abandon();
-			await settle(serve);
+			await settle(ctx);
 			return left;
 		},
 	};
--- a/src/programs/entry/start-ticker/index.ts
+++ b/src/programs/entry/start-ticker/index.ts
@@ -26,11 +26,11 @@
  */
 export function startTicker({tick, isBusy, busyMs, idleMs}: TickerOptions): Ticker {
 	let timer: NodeJS.Timeout | undefined;
-	let isResting = false;
+	let isIdle = false;
 
 	function schedule(): void {
-		isResting = !isBusy();
-		timer = setTimeout(run, isResting ? idleMs : busyMs);
+		isIdle = !isBusy();
+		timer = setTimeout(run, isIdle ? idleMs : busyMs);
 	}
 
 	function run(): void {
@@ -41,16 +41,16 @@
 	schedule();
 	return {
 		wake() {
-			if (!isResting) {
+			if (!isIdle) {
 				return;
 			}
 
-			isResting = false;
+			isIdle = false;
 			clearTimeout(timer);
 			timer = setTimeout(run, busyMs);
 		},
 		stop() {
-			isResting = false;
+			isIdle = false;
 			clearTimeout(timer);
 		},
 	};
