--- a/src/programs/entry/_lib/create-entry-metrics.ts
+++ b/src/programs/entry/_lib/create-entry-metrics.ts
@@ -1,4 +1,4 @@
-/** The entry's metrics. */
+/** Metrics of the entry. */
 import {latencyBoundsMs, type Metrics} from '../../../adapters/metrics/index.js';
 import {type EndedRequest} from './ended-request.js';
 import {type RunMetrics} from './types.js';
@@ -15,7 +15,7 @@
  * Creates the entry's metrics.
  *
  * @param metrics - Registry of the process.
- * @returns What a run counts, and the counters that the program itself uses.
+ * @returns Metrics that runs record, and those that the program records itself.
  */
 export function createEntryMetrics(metrics: Metrics) {
 	const scale = 0.001;
@@ -63,11 +63,11 @@
 
 	return {
 		runMetrics,
-		/** Tokens that a client of an engine dropped before they reached a run. */
+		/** Counts tokens that an engine client dropped before they reached a run. */
 		countDroppedTokens(cause: 'crossed' | 'repeated') {
 			dropped.add({cause: cause === 'crossed' ? 'other-request' : 'repeated'});
 		},
-		/** Adds gauges whose values are asked for at each exposure. */
+		/** Registers the gauges that are sampled at each scrape. */
 		sample(samples: Readonly<Record<'inProgress' | 'waiting' | 'openAnswers' | 'cancelsPending' | 'quarantined', () => number>>) {
 			metrics.createSampledGauge({name: 'requests_in_progress', help: 'Requests that a rule decided about and that have not ended.', sample: samples.inProgress});
 			metrics.createSampledGauge({name: 'requests_waiting', help: 'Requests that wait for room.', sample: samples.waiting});
--- a/src/programs/entry/_lib/create-notice-handler.ts
+++ b/src/programs/entry/_lib/create-notice-handler.ts
@@ -1,26 +1,26 @@
-/** What servers say of themselves in their answers. */
+/** Handles notices that servers send about themselves in their answers. */
 import {type Log} from '../../../adapters/log/index.js';
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type ServerEntry} from '../../../ports/config.js';
 import {type ServerId} from '../../../ports/ids.js';
 import {type ServerNotice} from '../../../ports/server-calls.js';
 
-/** Servers whose leaving was logged, so that it is logged once. */
+/** Bound of the set of servers whose leaving was logged already; the set keeps each from being logged again. */
 const maxLoggedServers = 1024;
 
 export type NoticeHandlerOptions = {
 	log: Log;
-	/** Takes a server's own notice that it leaves. */
+	/** Tells the fleet that a server announced that it leaves. */
 	reportLeaving: (server: ServerId) => void;
-	/** Takes the time for which a server asks this host to back off; tells whether it did not do so already. */
+	/** Records for how long a server asks this host to back off; `true` if no earlier request to back off is still in force. */
 	notePause: (server: ServerId, pauseMs: Milliseconds) => boolean;
 };
 
 /**
- * Creates the function that takes notices.
+ * Creates the handler of server notices.
  *
- * @param options - What to do with them.
- * @returns The function.
+ * @param options - Log, and where notices are passed on to.
+ * @returns Function that handles one notice of one server.
  */
 export function createNoticeHandler({log, reportLeaving, notePause}: NoticeHandlerOptions): (server: ServerEntry, notice: ServerNotice) => void {
 	const loggedServers = new Set<ServerId>();
--- a/src/programs/entry/_lib/create-pool-budgets/index.ts
+++ b/src/programs/entry/_lib/create-pool-budgets/index.ts
@@ -4,24 +4,24 @@
 import {msPerMinute} from '../../../../ports/units.js';
 
 export type PoolBudgets = {
-	/** The budget of a pool; a full one where the pool is new. */
+	/** Returns the budget of a pool, a full one if the pool is new. */
 	toRetryBudget: (pool: string) => RetryBudget;
-	/** Notes which pools the configuration has, and forgets those that it has not had for long. */
+	/** Sets the pools of the configuration, and evicts budgets of pools that were removed at least ten minutes ago. */
 	setPools: (pools: ReadonlySet<string>, now: Milliseconds) => void;
 };
 
 /**
- * Time for which a pool that left the configuration keeps its budget. Forgotten at
- * once, a pool that comes back with the next configuration would be sent all the
- * retries again that every host has just made.
+ * Time for which the budget of a removed pool is kept. Were it evicted at once,
+ * a pool that comes back with the next configuration would get a full budget on
+ * every host, and would be sent as many retries again as it has just received.
  */
 const retentionMs: Milliseconds = 10 * msPerMinute;
 
 /**
- * Creates the budgets of no pool yet.
+ * Creates an empty set of retry budgets, one for each pool.
  *
  * @param options - Bounds of each pool's retries.
- * @returns Functions that give and forget budgets.
+ * @returns Functions that return and evict budgets.
  */
 export function createPoolBudgets(options: RetryBudgetOptions): PoolBudgets {
 	const budgets = new Map<string, RetryBudget>();
--- a/src/programs/entry/_lib/create-pool-budgets/test.ts
+++ b/src/programs/entry/_lib/create-pool-budgets/test.ts
@@ -25,8 +25,8 @@
 		assert.equal(spend(budgets.toRetryBudget('letters'), 0), 0);
 	});
 
-	/* Guards against configurations in quick succession, one of them without a pool, that give every host its whole budget again. */
-	it('keeps what a pool has spent while a configuration leaves it out', () => {
+	/* Two configurations follow each other quickly and the first lacks a pool: its budget must not be full again on every host. */
+	it('keeps the spent budget of a pool that one configuration leaves out', () => {
 		const budgets = createPoolBudgets({capacity, perSecond: 0});
 		spend(budgets.toRetryBudget('letters'), 0);
 		budgets.setPools(new Set(['desk']), 100);
@@ -34,7 +34,7 @@
 		assert.equal(spend(budgets.toRetryBudget('letters'), 2000), 0);
 	});
 
-	it('counts the time without a pool from when it left, however often other pools change', () => {
+	it('measures retention from the time of removal, however often other pools change', () => {
 		const budgets = createPoolBudgets({capacity, perSecond: 0});
 		spend(budgets.toRetryBudget('letters'), 0);
 		for (let now = 0; now <= 11 * 60_000; now += 60_000) {
@@ -44,7 +44,7 @@
 		assert.equal(spend(budgets.toRetryBudget('letters'), 11 * 60_000), capacity);
 	});
 
-	it('keeps it for ten minutes, and no longer', () => {
+	it('keeps the budget of a removed pool for ten minutes, and no longer', () => {
 		for (const [afterMs, granted] of [[(10 * 60_000) - 1, 0], [10 * 60_000, capacity]] as const) {
 			const budgets = createPoolBudgets({capacity, perSecond: 0});
 			spend(budgets.toRetryBudget('letters'), 0);
@@ -54,7 +54,7 @@
 		}
 	});
 
-	it('counts it anew when a pool leaves again', () => {
+	it('restarts retention when a pool is removed again', () => {
 		const budgets = createPoolBudgets({capacity, perSecond: 0});
 		spend(budgets.toRetryBudget('letters'), 0);
 		budgets.setPools(new Set(['desk']), 0);
--- a/src/programs/entry/_lib/create-run-services.ts
+++ b/src/programs/entry/_lib/create-run-services.ts
@@ -1,4 +1,4 @@
-/** Wires the decisions to what a run needs of the program. */
+/** Builds the services that runs share: placement, admission, cancels, budgets and metrics. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {errAsync} from 'neverthrow';
 import {type Log} from '../../../adapters/log/index.js';
@@ -35,14 +35,14 @@
 	/** Bounds of each pool's retries. */
 	retryBudget: RetryBudgetOptions;
 	health?: ServerHealthOptions | undefined;
-	/** What other hosts say, where hosts talk to each other. */
+	/** Load and zone reports of other hosts, where hosts exchange them. */
 	shared?: Pick<SharedLoads, 'read' | 'isZoneSilent'> | undefined;
 	toView: () => FleetView | undefined;
 	toOwner: () => Owner;
 	reportLeaving: (server: ServerId) => void;
 };
 
-/** A cancel that could not be sent must not count as confirmed. */
+/** Failure of a cancel to a server without a client; a success here would count a cancel as confirmed that was never sent. */
 function toUnknownServerFailure(server: ServerId): EngineFailure {
 	return {
 		kind: 'unreachable', reason: undefined, server, message: 'the server is no longer in the configuration', retryAfterMs: undefined,
@@ -50,10 +50,10 @@
 }
 
 /**
- * Creates what runs need.
+ * Creates the services that runs share.
  *
- * @param options - Clocks, clients, counters, and what the entry knows.
- * @returns The services, and a function to call with each configuration.
+ * @param options - Clocks, clients, counters, and access to the entry's view and owner.
+ * @returns The services, and a function to call with each configuration that comes into force.
  */
 export function createRunServices(options: RunServicesOptions): {services: RunServices; applyConfig: (config: Config) => void} {
 	const {
--- a/src/programs/entry/_lib/ended-request.ts
+++ b/src/programs/entry/_lib/ended-request.ts
@@ -3,22 +3,22 @@
 import {type Rule} from '../../../ports/config.js';
 import {type WorkspaceId} from '../../../ports/ids.js';
 
-/** What is counted of a rule. */
+/** Fields of the matched rule that metrics use. */
 export type MatchedRule = {
 	name: string;
 	then: Pick<Rule['then'], 'class' | 'target'>;
 };
 
-/** What metrics and the service-level report are told of each request but those that are the caller's mistake. */
+/** Report of an ended request to metrics and the service-level ledger; none is made of requests refused for a mistake of the caller. */
 export type EndedRequest = {
 	workspace: WorkspaceId;
 	rule: MatchedRule;
-	/** How it ended for the caller. */
+	/** How the request ended for the caller. */
 	end: 'complete' | 'refused' | 'failed' | 'caller-gone';
 	outcome: Outcome;
-	/** Time from its arrival to its first token; `undefined` when there was none. */
+	/** Time from arrival to first token; `undefined` if there was none. */
 	firstTokenMs: Milliseconds | undefined;
-	/** Time from its arrival to its end. */
+	/** Time from arrival to end. */
 	completeMs: Milliseconds;
 	outputTokens: number;
 };
--- a/src/programs/entry/_lib/find-idempotency-key.ts
+++ b/src/programs/entry/_lib/find-idempotency-key.ts
@@ -5,13 +5,13 @@
 import {type Problem} from '../../../domain/to-problem/index.js';
 
 /**
- * Finds the key that names a request. Work that may not be repeated needs one;
- * for other work a key of another kind, such as client libraries send by
- * themselves, is passed over.
+ * Finds the idempotency key of a request. A request that must not be repeated
+ * needs a valid key. For a repeatable request, a key of another format, such as
+ * client libraries add by themselves, is ignored.
  *
  * @param exchange - The caller's request.
- * @param isRepeatable - Whether the work may run again.
- * @returns The key, `undefined` for a request without one, or why it can't be served.
+ * @param isRepeatable - Whether the request may run more than once.
+ * @returns The key, `undefined` for a request without one, or the problem with a missing or invalid key.
  */
 export function findIdempotencyKey(exchange: CallerExchange, isRepeatable: boolean): Result<string | undefined, Problem> {
 	const parsed = parseIdempotencyKey(exchange.headers['idempotency-key']);
@@ -25,26 +25,27 @@
 }
 
 /**
- * Names what a key stands for, so that a key used for other work is noticed.
+ * Computes the digest of a keyed request, which shows when a key is reused for
+ * another request.
  *
  * @param exchange - The caller's request.
- * @param body - Its body.
- * @returns SHA-256 over method, path and body, hex.
+ * @param body - Body of the request.
+ * @returns SHA-256 over method, path and body, in hex.
  */
 export function toRequestDigest(exchange: CallerExchange, body: Uint8Array): string {
 	return createHash('sha256').update(`${exchange.method} ${exchange.target}\n`).update(body).digest('hex');
 }
 
 /**
- * Says what is true of a request that is refused before its key was claimed,
- * for a cause that is this host's alone (no configuration yet, no room, another
- * edition of the rules). Another host may have run the work of the key; a caller
- * that was told `not-run` could send it again under a new key, and it would run
- * twice. Without a claim nothing is known, and that is what is said.
+ * Changes the outcome `not-run` to `may-have-run` for a keyed request that this
+ * host refuses before it has claimed the key, for a reason that concerns this host
+ * alone (no configuration yet, overload, another edition of the rules). Another
+ * host may have run the request under the same key: a caller that is told
+ * `not-run` could send it again under a new key, and it would run twice.
  *
- * @param problem - Why this host refuses.
- * @param headers - The caller's.
- * @returns The problem, with an outcome that claims no more than is known.
+ * @param problem - Why this host refuses the request.
+ * @param headers - Headers of the caller's request.
+ * @returns The problem, with the outcome changed if the request has a valid key.
  */
 export function toUnclaimedProblem(problem: Problem, headers: CallerExchange['headers']): Problem {
 	return problem.outcome === 'not-run' && parseIdempotencyKey(headers['idempotency-key']).isOk()
--- a/src/programs/entry/_lib/join-fleet.ts
+++ b/src/programs/entry/_lib/join-fleet.ts
@@ -1,4 +1,4 @@
-/** What ties the entry to its agent and to the entries of other hosts. */
+/** Connects the entry to its agent and to the entries of other hosts. */
 import {type Log} from '../../../adapters/log/index.js';
 import {listenPeers, type PeerHello, type PeerListener} from '../../../adapters/peer-tcp/index.js';
 import {connectViewFeed, type ViewFeed, type ViewFeedOptions} from '../../../adapters/view-feed/index.js';
@@ -9,7 +9,7 @@
 import {type EntrySettings} from '../../_settings/index.js';
 import {createClaims, type Claims} from '../claims/index.js';
 
-/** A caller's going is noticed by the claims at this interval, after their own second of patience. */
+/** Interval at which the claims look for answers that nobody reads any more; they wait one second more before they act. */
 const claimsTickMs = 250;
 
 export type JoinFleetOptions = {
@@ -23,29 +23,29 @@
 } & JoinOptions;
 
 export type JoinOptions = {
-	/** Told of each new view. */
+	/** Called with each new view. */
 	onView: (view: FleetView) => void;
 };
 
 export type FleetLink = {
-	/** Port for entries of other hosts; 0 where the entry takes no calls of theirs. */
+	/** Port for entries of other hosts; 0 if the entry accepts no calls from them. */
 	peerPort: number;
-	/** Absent where requests have no keys. */
+	/** Absent where idempotency keys are not supported. */
 	claims?: Claims;
 	toView: () => FleetView | undefined;
 	toOwner: () => Owner;
 	isConnected: () => boolean;
 	reportLeaving: ViewFeed['reportLeaving'];
 	reportStopping: ViewFeed['reportStopping'];
-	/** Hands the claims to a peer and closes everything; when all requests have ended. */
+	/** Hands the claims over to a peer and closes all connections; to be called when all requests have ended. */
 	leave: () => Promise<void>;
 };
 
 /**
  * Opens the peer port and connects to the agent.
  *
- * @param options - Settings, clocks, keys, and what to do with each view.
- * @returns The link once the peer port listens.
+ * @param options - Settings, clocks, keys, and the callback for views.
+ * @returns The link, once the peer port listens.
  */
 export async function joinFleet(options: JoinFleetOptions): Promise<FleetLink> {
 	const {
@@ -81,8 +81,9 @@
 		now: clock.now,
 		random,
 		onIncarnationSeen(minIncarnation) {
-			// A clock that was set back would give this process the stamp of one that died before it, and the agent
-			// would release its memory as that one's. The agent names a stamp that is above all earlier entries'.
+			// If the clock was set back, this process may start with the incarnation of an earlier, dead process. The agent
+			// would take this entry's reservations for those of the dead one and release them. It therefore sends an
+			// incarnation that is higher than all earlier ones.
 			incarnation = Math.max(incarnation, minIncarnation);
 		},
 		onState(state, reason) {
--- a/src/programs/entry/_lib/plain-clients.ts
+++ b/src/programs/entry/_lib/plain-clients.ts
@@ -14,10 +14,10 @@
 const connectionsPerServer = 512;
 
 /**
- * Keeps one pool of connections for each plain service.
+ * Creates the HTTP clients of plain services, one connection pool for each server.
  *
- * @param options - Time to connect.
- * @returns The pools.
+ * @param options - Timeout of connecting and of idle connections, milliseconds.
+ * @returns The clients.
  */
 export function createPlainClients(options: {connectTimeoutMs: Milliseconds; idleMs?: Milliseconds}): PlainClients {
 	const agents = new Map<ServerId, Agent>();
--- a/src/programs/entry/_lib/problems.ts
+++ b/src/programs/entry/_lib/problems.ts
@@ -1,4 +1,4 @@
-/** Problems that several kinds of requests are refused with. */
+/** Problems shared by the handlers of all kinds of requests. */
 import {type BodyFault} from '../../../adapters/caller-http/index.js';
 import {type Problem} from '../../../domain/to-problem/index.js';
 import {msPerSecond} from '../../../ports/units.js';
@@ -7,9 +7,9 @@
 import {type EndCause} from './types.js';
 
 /**
- * @param fault - Why a body was not taken.
- * @param limits - Bytes and milliseconds that were allowed.
- * @returns The problem.
+ * @param fault - Why a body was refused.
+ * @param limits - Limits of the body, bytes and milliseconds.
+ * @returns The problem to answer with.
  */
 export function toBodyProblem(fault: BodyFault, limits: {limitBytes: number; timeoutMs: number}): Problem {
 	return fault === 'body-too-large'
@@ -17,7 +17,7 @@
 		: {kind: 'slow-request', detail: `The body did not arrive within ${limits.timeoutMs / msPerSecond} s. Send it faster.`, outcome: 'not-run'};
 }
 
-/** Before the first view with a configuration, nothing can be decided. */
+/** Answer to all requests before the first view with a configuration, as no rule can be matched. */
 export const noConfiguration: Problem = {
 	kind: 'no-configuration', detail: 'This host has no configuration yet.', outcome: 'not-run', retryAfterMs: msPerSecond,
 };
@@ -28,9 +28,9 @@
 } as const satisfies Readonly<Partial<Record<EndCause, string>>>;
 
 /**
- * @param cause - Why a request was told to end, its caller still there.
- * @param outcome - What is known of it.
- * @returns The problem.
+ * @param cause - Why a request was aborted while its caller was still connected.
+ * @param outcome - Outcome of the request.
+ * @returns The problem to answer with.
  */
 export function toEndProblem(cause: keyof typeof endDetails, outcome: Problem['outcome']): Problem {
 	return {
@@ -39,17 +39,17 @@
 }
 
 const gateProblems: Readonly<Record<GateRefusal['reason'], Pick<Problem, 'kind' | 'detail'>>> = {
-	'no-capacity': {kind: 'no-capacity', detail: 'No server of the pool is known to serve.'},
-	'queue-full': {kind: 'queue-full', detail: 'As much as the rule lets wait is waiting.'},
-	'too-late': {kind: 'target-missed', detail: 'By what is ahead of it, the request would miss its target.'},
+	'no-capacity': {kind: 'no-capacity', detail: 'No server of the pool is known to be in service.'},
+	'queue-full': {kind: 'queue-full', detail: 'The queue of the rule is full.'},
+	'too-late': {kind: 'target-missed', detail: 'With the requests queued ahead of it, the request would miss its target.'},
 	duplicate: {kind: 'internal', detail: 'The request is already waiting.'},
 	gone: {kind: 'deadline-passed', detail: 'The request was ended while it waited.'},
 };
 
 /**
- * @param refusal - Why a request may not start.
- * @param outcome - What is known of it.
- * @returns The problem, which is the final answer and is given at once.
+ * @param refusal - Why a request was not admitted.
+ * @param outcome - Outcome of the request.
+ * @returns The problem, which is the final answer.
  */
 export function toGateProblem(refusal: GateRefusal, outcome: Problem['outcome']): Problem {
 	const retryAfterMs = 'retryAfterMs' in refusal ? refusal.retryAfterMs : undefined;
@@ -57,18 +57,18 @@
 }
 
 /**
- * Looks at the bounds over all rules, so that no rule's own bounds add up to
- * more than the process can hold.
+ * Checks the limits of the whole process. Each rule has limits of its own, whose
+ * sum may be more than the process can hold.
  *
- * @param ctx - The program.
- * @returns The problem when there is no room.
+ * @param ctx - Services of the entry.
+ * @returns The problem if a limit is reached.
  */
 export function findOverload(ctx: ServeContext): Problem | undefined {
 	const {limits, registry, services} = ctx;
 	const isFull = registry.size() >= limits.maxInFlight || services.gate.waiting() >= limits.maxQueued;
 	return isFull
 		? {
-			kind: 'queue-full', detail: 'This host has as many requests as it takes.', outcome: 'not-run', retryAfterMs: msPerSecond,
+			kind: 'queue-full', detail: 'This host has reached its limit of requests.', outcome: 'not-run', retryAfterMs: msPerSecond,
 		}
 		: undefined;
 }
--- a/src/programs/entry/_lib/quarantine.test.ts
+++ b/src/programs/entry/_lib/quarantine.test.ts
@@ -17,7 +17,7 @@
 }
 
 describe('noteBrokenCall', () => {
-	it('tells once, with all that is needed to find the requests and the servers', () => {
+	it('logs once, with the fingerprint of the request and the crashed servers', () => {
 		const {ctx, lines} = createServe();
 		for (const server of ['a', 'b', 'c', 'd']) {
 			noteBrokenCall({fingerprint: 'f', server, fault: {isClosed: true}}, ctx);
@@ -31,8 +31,8 @@
 		}]);
 	});
 
-	/* Guards against quarantine for silent servers and for answers that made no sense. */
-	it('counts only connections that the server closed, and requests that can be told again', () => {
+	/* Guards against quarantine because of servers that did not answer or sent an invalid answer. */
+	it('counts only connections that the server closed, and only requests with a fingerprint', () => {
 		const {ctx, suspects} = createServe();
 		for (const server of ['a', 'b', 'c']) {
 			noteBrokenCall({fingerprint: 'f', server, fault: {}}, ctx);
--- a/src/programs/entry/_lib/quarantine.ts
+++ b/src/programs/entry/_lib/quarantine.ts
@@ -1,4 +1,4 @@
-/** What becomes of requests that crash the servers that run them. */
+/** Handles requests that crash the servers that run them. */
 import {type CallFault} from '../../../adapters/_lib/dispatch-call/index.js';
 import {type Log} from '../../../adapters/log/index.js';
 import {type CrashSuspects} from '../../../domain/create-crash-suspects/index.js';
@@ -9,8 +9,8 @@
 import {type ServeContext} from './serve-types.js';
 
 /**
- * @param outcome - What is known of the request's earlier calls.
- * @returns The problem with which a quarantined request ends.
+ * @param outcome - Outcome of the request's earlier calls.
+ * @returns The problem to answer a quarantined request with.
  */
 export function toQuarantineProblem(outcome: Outcome): Problem {
 	return {
@@ -19,11 +19,11 @@
 }
 
 /**
- * Tells on-call of a request that is quarantined from now on.
+ * Logs that a request is quarantined from now on.
  *
- * @param log - Where to.
- * @param suspects - What is known of it.
- * @param event - The request, the time, and the host that told of it unless it was seen here.
+ * @param log - The log.
+ * @param suspects - Crashes by request.
+ * @param event - Fingerprint of the request, monotonic time, and the reporting host unless this host saw the crash itself.
  */
 export function logQuarantined(log: Log, suspects: CrashSuspects, {fingerprint, now, peer}: {fingerprint: Fingerprint; now: Milliseconds; peer?: string}): void {
 	const crashed = suspects.crashedServers(fingerprint, now);
@@ -32,7 +32,7 @@
 	});
 }
 
-/** A call of a request that broke. */
+/** A call whose connection broke. */
 export type BrokenCall = {
 	fingerprint: Fingerprint | undefined;
 	server: ServerId;
@@ -40,10 +40,11 @@
 };
 
 /**
- * Notes a call whose connection the server closed: it may have crashed under the request.
+ * Counts a call whose connection the server closed, because the request may have
+ * crashed the server.
  *
  * @param call - The request, the server, and how the call ended.
- * @param ctx - The program around it.
+ * @param ctx - Services of the entry.
  */
 export function noteBrokenCall({fingerprint, server, fault}: BrokenCall, {suspects, services, log}: Pick<ServeContext, 'suspects' | 'services' | 'log'>): void {
 	if (fingerprint === undefined || fault.isClosed !== true) {
--- a/src/programs/entry/_lib/record-placement.ts
+++ b/src/programs/entry/_lib/record-placement.ts
@@ -2,18 +2,19 @@
 import {type ServerId} from '../../../ports/ids.js';
 import {type Account} from '../accounts/index.js';
 
-/** Servers passed over that an account keeps by name; the counts hold them all. */
+/** Number of passed-over servers that an account lists by name; its counts include all of them. */
 const maxPassedOverRows = 16;
 
 /**
- * Notes a placement in a request's account. Why servers were passed over is left
- * to a reader of the account, because working it out costs more than the pick
- * itself. The placement handed back holds no view: kept for the life of a
- * stream, each open stream would hold a view of the whole fleet of its own.
+ * Records a placement in a request's account. The reasons why servers were passed
+ * over are computed when the account is read, because they cost more than the
+ * pick itself. The returned placement holds no reference to the fleet view: a
+ * stream keeps its placement until its end, and each open stream would otherwise
+ * keep a view of the whole fleet in memory.
  *
  * @param account - Account of the request.
- * @param placement - What was picked.
- * @param details - Pool and chosen servers, and what else the account keeps.
+ * @param placement - The picked servers.
+ * @param details - Pool, chosen servers, and other details for the account.
  * @returns The placement to use from here on.
  */
 export function recordPlacement<T extends Placement | PlainPlacement>(account: Account, placement: T, details: {pool: string; chosen: readonly ServerId[]} & Readonly<Record<string, unknown>>): T {
--- a/src/programs/entry/_lib/report-refused.ts
+++ b/src/programs/entry/_lib/report-refused.ts
@@ -5,25 +5,25 @@
 import {type Route} from './route.js';
 import {type ServeContext} from './serve-types.js';
 
-/** Kinds of problems that are this system's want and not the caller's mistake. */
+/** Kinds of problems that this system causes, not a mistake of the caller; they count as lost availability. */
 const unavailabilityKinds: ReadonlySet<ProblemKind> = new Set([
 	'queue-full', 'answer-lost', 'backend-failed', 'claim-unavailable', 'no-capacity', 'no-configuration', 'stopping', 'target-missed', 'deadline-passed', 'internal',
 ]);
 
-/** Names in the burn report of requests that were refused before a rule was known; callers can't make more of them. */
+/** Names in the service-level report for requests refused before a rule was matched. Constants, so that callers can't add rows to the report. */
 const unrouted = {workspace: '(not known)', rule: '(before any rule)'};
 
 export type RefusedRequest = {
 	requestId: RequestId;
 	account: Account;
-	/** Where it would have gone, once that is known. */
+	/** Route of the request, if it was found before the refusal. */
 	route: Route | undefined;
 	headers: Readonly<Record<string, string>>;
-	/** Where the refusal is of the request itself, whatever id it has. */
+	/** Present if the refusal concerns the content of the request, under whichever id it is sent. */
 	fingerprint?: Fingerprint | undefined;
 };
 
-/** A rule for a request that none was found for; a refusal is bad whatever the target. */
+/** Stand-in rule for a request that matched none. Its targets are never compared, as a refusal counts as bad whatever the target. */
 function toUnroutedRule(headers: RefusedRequest['headers']): MatchedRule {
 	return {
 		name: unrouted.rule,
@@ -36,12 +36,13 @@
 
 /**
  * Reports a request that is refused without a run: in its account, in the log,
- * and, where it is this system that could not, as lost availability. Uncounted,
- * a host without a configuration would refuse everything and show no burn.
+ * and as lost availability if this system is the cause. Were it not counted, a
+ * host without a configuration would refuse all requests and show no burn of its
+ * error budget.
  *
- * @param problem - What the caller is told.
- * @param request - The request, as far as it is known.
- * @param ctx - The program.
+ * @param problem - The answer to the caller.
+ * @param request - What is known of the request.
+ * @param ctx - Services of the entry.
  */
 export function reportRefused({kind, outcome}: Problem, {requestId, account, route, headers, fingerprint}: RefusedRequest, ctx: ServeContext): void {
 	const rule = route?.rule ?? toUnroutedRule(headers);
--- a/src/programs/entry/_lib/route.ts
+++ b/src/programs/entry/_lib/route.ts
@@ -1,4 +1,4 @@
-/** Which rule decides about a request. */
+/** Matches requests to rules and pools. */
 import {err, ok, type Result} from 'neverthrow';
 import {pickWeighted} from '../../../_lib/pick-weighted/index.js';
 import {compileRules, type CompiledRules} from '../../../domain/compile-rules/index.js';
@@ -19,7 +19,7 @@
 	promptTokens: number;
 	/** Value of the `Host` header. */
 	host?: string | undefined;
-	/** Draws the pool where a rule shares its requests among several. */
+	/** Picks the pool if the rule splits its traffic among several. */
 	random: Random;
 };
 
@@ -45,8 +45,8 @@
  * Creates the router of one host. Rules are compiled once for each accepted
  * configuration, at the first request after it came into force.
  *
- * @param zone - Zone of the host, which rules may look at.
- * @returns A function that finds the workspace, the deciding rule and its pool.
+ * @param zone - Zone of the host, which rules may match.
+ * @returns A function that finds the workspace, the matching rule and its pool.
  */
 export function createRouter(zone: ZoneId): Router {
 	let compiled: CompiledRules | undefined;
@@ -80,7 +80,7 @@
 			const pickedTarget = pickWeighted(rule?.then.relay?.split ?? [], input.random);
 			const pool = config.pools.find(entry => entry.name === (pickedTarget?.pool ?? rule?.then.pool));
 			return rule === undefined || pool === undefined
-				? err<Route, Problem>({kind: 'no-rule', detail: 'No rule covers this request. Ask the operators for one.', outcome: 'not-run'})
+				? err<Route, Problem>({kind: 'no-rule', detail: 'No rule matches this request. Ask the operators to add one.', outcome: 'not-run'})
 				: ok({
 					workspace: workspace.value, rule, pool, edition: version.edition,
 				});
@@ -89,12 +89,12 @@
 }
 
 /**
- * Finds the model to run. A rule that lists the name asked for may map it to
- * its pool's model; any other difference would answer with a model that nobody
- * asked for.
+ * Finds the model to run. A rule that lists the requested name may map it to the
+ * model of its pool. Any other mismatch is refused, as the caller would get the
+ * answer of a model that was not requested.
  *
  * @param asked - Model named in the request.
- * @param route - The deciding rule and its pool.
+ * @param route - The matching rule and its pool.
  * @returns The pool's model, or a problem.
  */
 export function toServedModel(asked: string, route: Route): Result<string, Problem> {
@@ -104,12 +104,12 @@
 		return ok(served);
 	}
 
-	return err({kind: 'unknown-model', detail: `Rule "${rule.name}" decides, and its pool does not serve this model. GET /v1/models lists the models.`, outcome: 'not-run'});
+	return err({kind: 'unknown-model', detail: `Rule "${rule.name}" matches this request, but its pool does not serve the model. GET /v1/models lists the models.`, outcome: 'not-run'});
 }
 
 /**
  * @param header - Value of the `Host` header.
- * @returns The host's name without its port and in lower case, as rules have it.
+ * @returns The host's name in lower case and without its port, the form that rules use.
  */
 export function toHostName(header: string | undefined): string | undefined {
 	return header?.toLowerCase().replace(/:\d+$/v, '');
--- a/src/programs/entry/_lib/run-registry.ts
+++ b/src/programs/entry/_lib/run-registry.ts
@@ -1,4 +1,4 @@
-/** The requests in progress, for what concerns all of them: waking up, and stopping. */
+/** Registry of the requests in progress, to end them after a pause of the process or at its stop. */
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type CallerExchange} from '../../../adapters/caller-http/index.js';
 import {type EndCause} from './types.js';
@@ -7,7 +7,7 @@
 	id: string;
 	/** Tells the run to end. */
 	abort: (cause: EndCause) => void;
-	/** Whether its time has passed and its answer has not begun. */
+	/** Whether the deadline has passed and the answer has not begun. */
 	isOverdue: (now: Milliseconds) => boolean;
 };
 
@@ -15,9 +15,9 @@
 	add: (run: RegisteredRun) => void;
 	remove: (run: RegisteredRun) => void;
 	size: () => number;
-	/** Ends what can no longer be in time; returns how many. */
+	/** Aborts all overdue runs, and returns their number. */
 	endOverdue: (now: Milliseconds) => number;
-	/** Ends everything; returns the ids of what is abandoned. */
+	/** Aborts all runs, and returns their ids. */
 	abandon: () => string[];
 };
 
@@ -61,12 +61,12 @@
 };
 
 /**
- * Registers a run, and ends it when its caller is gone.
+ * Registers a run, and aborts it when its caller disconnects.
  *
  * @param registry - The requests in progress.
  * @param exchange - The caller's request.
- * @param isOverdue - Whether its time has passed and its answer has not begun.
- * @returns The run's signal.
+ * @param isOverdue - Whether the deadline has passed and the answer has not begun.
+ * @returns The run's signal and its controls.
  */
 export function openRunControl(registry: RunRegistry, exchange: CallerExchange, isOverdue: RegisteredRun['isOverdue']): RunControl {
 	const controller = new AbortController();
--- a/src/programs/entry/_lib/serve-types.ts
+++ b/src/programs/entry/_lib/serve-types.ts
@@ -1,4 +1,4 @@
-/** What the handlers of callers' requests share. */
+/** Types shared by the handlers of callers' requests. */
 import {type Log} from '../../../adapters/log/index.js';
 import {type CrashSuspects} from '../../../domain/create-crash-suspects/index.js';
 import {type Milliseconds} from '../../../ports/clock.js';
@@ -27,13 +27,13 @@
 	route: Router;
 	accounts: Accounts;
 	registry: RunRegistry;
-	/** Claims of keyed requests; absent where requests have no keys. */
+	/** Claims of keyed requests; absent where idempotency keys are not supported. */
 	claims: Claims | undefined;
-	/** How passed-on requests are dressed for backend servers. */
+	/** Builds and parses the headers of calls to backend servers. */
 	calls: ServerCalls;
-	/** Takes what a server said of itself in an answer. */
+	/** Handles a notice that a server sent about itself in an answer. */
 	handleNotice: (server: ServerEntry, notice: ServerNotice) => void;
-	/** Requests under which servers crashed. */
+	/** Tracks requests under which servers crashed. */
 	suspects: CrashSuspects;
 	log: Log;
 	onEnded: (ended: EndedRequest) => void;
--- a/src/programs/entry/_lib/step.test.ts
+++ b/src/programs/entry/_lib/step.test.ts
@@ -8,20 +8,20 @@
 const never = () => new AbortController().signal;
 
 describe('createStepSignal', () => {
-	it('fires when the time of a step is over', async () => {
+	it('aborts when a step times out', async () => {
 		const step = createStepSignal(never(), () => performance.now());
 		step.arm(5);
 		await once(step.signal, 'abort', {signal: AbortSignal.timeout(10_000)});
 		assert.equal(step.isTimedOut(), true);
 	});
 
-	it('fires at once when there is no time', () => {
+	it('aborts at once when no time is left', () => {
 		const step = createStepSignal(never(), () => 0);
 		step.arm(0);
 		assert.equal(step.isTimedOut() && step.signal.aborted, true);
 	});
 
-	it('fires with its parent, which is no time-out', () => {
+	it('aborts with its parent, which is not a timeout', () => {
 		const parent = new AbortController();
 		const step = createStepSignal(parent.signal, () => 0);
 		step.arm(1000);
@@ -30,7 +30,7 @@
 		step.close();
 	});
 
-	it('lets sockets be read before it gives a step up after a pause', async () => {
+	it('leaves time to read sockets before a step times out after a pause', async () => {
 		let time = 0;
 		const step = createStepSignal(never(), () => time);
 		const startedAt = performance.now();
@@ -44,7 +44,7 @@
 describe('runStep', () => {
 	const options = {limitMs: 1000, server: 's'};
 
-	it('sends nothing once the time is over', async () => {
+	it('sends nothing if no time is left', async () => {
 		let calls = 0;
 		const result = await runStep(createStepSignal(never(), () => 0), {...options, limitMs: -1}, () => {
 			calls++;
@@ -54,7 +54,7 @@
 		assert.deepEqual([result._unsafeUnwrapErr().isUnsent, result._unsafeUnwrapErr().isTimedOut], [true, true]);
 	});
 
-	it('passes a failure on', async () => {
+	it('returns the failure of the call', async () => {
 		const step = createStepSignal(never(), () => 0);
 		const result = await runStep(step, options, () => errAsync({
 			kind: 'refused', reason: 'full', server: 's', message: 'full', retryAfterMs: undefined,
--- a/src/programs/entry/_lib/step.ts
+++ b/src/programs/entry/_lib/step.ts
@@ -1,40 +1,40 @@
-/** Bounds of time on the steps of an attempt. */
+/** Timeouts of the steps of an attempt. */
 import {err, type Result, type ResultAsync} from 'neverthrow';
 import {type EngineFailure} from '../../../ports/engine.js';
 import {type Milliseconds} from '../../../ports/clock.js';
 
-/** Longest delay that a timer of the platform takes. */
+/** Longest delay that `setTimeout` accepts. */
 const maxTimerMs = 2_147_483_647;
-/** A timer that fires this much too late tells that the process was paused. */
+/** Delay of a timer beyond its due time that shows that the process was paused. */
 const pauseThresholdMs = 500;
-/** Time after a pause in which what arrived meanwhile is read. */
+/** Time after a pause in which data that arrived during the pause is read. */
 const wakeGraceMs = 250;
 
 export type StepSignal = {
 	signal: AbortSignal;
-	/** Gives the next step its time; a step whose time is over before it starts fires at once. */
+	/** Starts the timeout of the next step; a limit of 0 or less fires at once. */
 	arm: (limitMs: Milliseconds) => void;
-	/** Starts the time of the present step again. */
+	/** Restarts the timeout of the current step. */
 	refresh: () => void;
-	/** Ends the time of the present step. */
+	/** Clears the timeout of the current step. */
 	disarm: () => void;
 	isTimedOut: () => boolean;
-	/** Must be called when the last step is over, or the parent keeps the signal. */
+	/** Removes the listener from the parent signal; to be called after the last step, or the listener leaks. */
 	close: () => void;
 };
 
 /**
- * Creates a signal that fires with its parent, or when the time of a step is
- * over. One signal serves all steps of an attempt, because a step that is out
- * of time ends the attempt.
+ * Creates a signal that aborts with its parent, or when a step times out. All
+ * steps of an attempt share one signal, because a step that times out ends the
+ * attempt.
  *
- * After a pause of this process timers fire before sockets are read. The silence
- * was then this process's own: giving the stream up would throw away an answer
- * that waits in the socket, and that its engine has already let go of. So a late
- * timer gives the sockets a moment first.
+ * After a pause of this process, timers fire before sockets are read. To time
+ * out then would lose an answer that is already in the socket, and that its
+ * engine no longer holds. A timer that fires late therefore waits a short grace
+ * period, in which the sockets are read, before the step times out.
  *
  * @param parent - Signal of the whole request.
- * @param now - Monotonic clock.
+ * @param now - Monotonic clock, milliseconds.
  * @returns The signal and its controls.
  */
 export function createStepSignal(parent: AbortSignal, now: () => Milliseconds): StepSignal {
@@ -96,20 +96,20 @@
 }
 
 export type StepFailure = EngineFailure & {
-	/** The step's own time ran out. */
+	/** Whether the step timed out. */
 	isTimedOut: boolean;
-	/** No byte was sent: the step's time was over before it began. */
+	/** Whether no byte was sent, because no time was left when the step began. */
 	isUnsent: boolean;
 };
 
 /**
- * Runs one call to an engine within a time. Nothing is sent when the time is
- * already over, as it is after a pause of the process.
+ * Runs one call to an engine with a timeout. Nothing is sent if no time is left,
+ * for example after a pause of the process.
  *
  * @param step - Signal of the attempt.
- * @param options - Time for the call, and the server's name for the failure.
- * @param call - The call; it gets the signal.
- * @returns What the call returned, or its failure.
+ * @param options - Timeout of the call in milliseconds, and the server to name in a failure.
+ * @param call - Makes the call with the given signal.
+ * @returns Result of the call, or its failure.
  */
 export async function runStep<T>(
 	step: StepSignal,
@@ -128,6 +128,6 @@
 
 function toUnsent<T>(server: string, isTimedOut: boolean): Result<T, StepFailure> {
 	return err({
-		kind: 'aborted', reason: undefined, server, message: 'the time for this step was over before it began', retryAfterMs: undefined, isTimedOut, isUnsent: true,
+		kind: 'aborted', reason: undefined, server, message: 'no time was left when this step began', retryAfterMs: undefined, isTimedOut, isUnsent: true,
 	});
 }
--- a/src/programs/entry/_lib/to-entry-status.test.ts
+++ b/src/programs/entry/_lib/to-entry-status.test.ts
@@ -8,12 +8,12 @@
 
 describe('findNotReady', () => {
 	const rows: ReadonlyArray<[when: string, view: FleetView | undefined, change: Partial<typeof ready>, reason: RegExp | undefined]> = [
-		['takes requests with a configuration and its claims sought', served, {}, undefined],
+		['is ready with a configuration and its claims fetched', served, {}, undefined],
 		['waits for a view', undefined, {}, /no configuration/],
 		['waits for a configuration', {} as unknown as FleetView, {}, /no configuration/],
-		['waits for the claims of the process before it', served, {areClaimsSettled: false}, /claims/],
-		['leaves its callers to others while it is cut off', served, {isCutOff: true}, /reaches no server/],
-		['takes none while it stops, whatever else', undefined, {isStopping: true, areClaimsSettled: false}, /stopping/],
+		['waits for the claims of the previous process', served, {areClaimsSettled: false}, /claims/],
+		['is not ready while it is cut off', served, {isCutOff: true}, /reaches no server/],
+		['is not ready while it stops, whatever the other states', undefined, {isStopping: true, areClaimsSettled: false}, /stopping/],
 	];
 	for (const [when, view, change, reason] of rows) {
 		it(when, () => {
--- a/src/programs/entry/_lib/to-entry-status.ts
+++ b/src/programs/entry/_lib/to-entry-status.ts
@@ -1,4 +1,4 @@
-/** What operators see of an entry's state. */
+/** Readiness and status document of an entry, for operators. */
 import {toAge} from '../../../_lib/to-age/index.js';
 import {type ReadinessReason} from '../../../adapters/operator-http/index.js';
 import {type Milliseconds} from '../../../ports/clock.js';
@@ -7,7 +7,7 @@
 import {type RunRegistry} from './run-registry.js';
 import {type RunServices} from './types.js';
 
-/** A view of this age is no longer what the fleet looks like; requests are still served by it. */
+/** Age from which the status calls a view stale; requests are still served by a stale view. */
 const staleViewMs = 10_000;
 
 export type EntryStatusInput = {
@@ -19,11 +19,11 @@
 };
 
 /**
- * Tells why the entry takes no requests.
+ * Finds the reasons why the entry is not ready for requests.
  *
- * @param view - The fleet as it knows it.
- * @param states - Whether a planned stop has begun, whether this host is cut off from what its callers need, and whether the claims of this slot's last process were sought.
- * @returns Reasons with remedies; empty when it takes requests.
+ * @param view - The entry's view of the fleet.
+ * @param states - Whether a planned stop has begun, whether this host is partitioned from servers that its callers need, and whether fetching the claims of the previous process has ended.
+ * @returns Reasons with remedies; empty if the entry is ready.
  */
 export function findNotReady(view: FleetView | undefined, {isStopping, isCutOff, areClaimsSettled}: {isStopping: boolean; isCutOff: boolean; areClaimsSettled: boolean}): ReadinessReason[] {
 	if (isStopping) {
@@ -31,23 +31,23 @@
 	}
 
 	if (view?.accepted === undefined) {
-		return [{reason: 'no configuration is in force', remedy: 'see whether this host\'s agent runs and reaches the platform or a peer'}];
+		return [{reason: 'no configuration is in force', remedy: 'check whether this host\'s agent runs and reaches the platform or a peer'}];
 	}
 
-	// Its callers are served by hosts of other zones, which reach what it does not; while it called itself ready, each was refused.
+	// A host that is cut off refuses all requests. Not ready, it leaves its callers to hosts of other zones, which still reach servers.
 	if (isCutOff) {
-		return [{reason: 'this host hears neither the platform nor a host of another zone, and reaches no server of some pool', remedy: 'see to the links of its zone'}];
+		return [{reason: 'this host hears neither the platform nor a host of another zone, and reaches no server of some pool', remedy: 'check the network links of its zone'}];
 	}
 
 	return areClaimsSettled
 		? []
-		: [{reason: 'the claims of this host\'s last process are being fetched from its peers', remedy: 'wait: it takes requests after five seconds at the latest'}];
+		: [{reason: 'the claims of this host\'s previous process are being fetched from its peers', remedy: 'wait; the host is ready after five seconds at the latest'}];
 }
 
 /**
- * Writes the status document.
+ * Creates the status document.
  *
- * @param input - The parts of the entry.
+ * @param input - The parts of the entry that the document describes.
  * @param now - Monotonic milliseconds.
  * @returns A document for JSON.
  */
--- a/src/programs/entry/_lib/to-keyed-options.test.ts
+++ b/src/programs/entry/_lib/to-keyed-options.test.ts
@@ -60,7 +60,7 @@
 		});
 	}
 
-	it('counts a key that could not be claimed as lost, for its rule', () => {
+	it('counts a key that could not be claimed as lost availability of its rule', () => {
 		const {ctx, account, ended} = createFixture();
 		const exchange = {requestId: 'r', headers: {}} as unknown as CallerExchange;
 		toKeyedOptions({exchange, account, route}, ctx, async () => 'complete').onRefused?.({kind: 'claim-unavailable', detail: '', outcome: 'may-have-run'});
@@ -69,7 +69,7 @@
 });
 
 describe('reportRefused', () => {
-	it('counts what this system could not do, and nothing that is the caller\'s mistake', () => {
+	it('counts refusals that this system causes, and none for a mistake of the caller', () => {
 		const kinds: ProblemKind[] = [
 			'bad-request',
 			'bad-json',
--- a/src/programs/entry/_lib/to-keyed-options.ts
+++ b/src/programs/entry/_lib/to-keyed-options.ts
@@ -6,7 +6,7 @@
 import {type Route} from './route.js';
 import {type ServeContext} from './serve-types.js';
 
-/** What a joined call's end means in the log and the burn report; its caller went to another connection when it was taken over. */
+/** End and outcome to report for a call that joined a run. When another connection takes the answer over, the caller has left this one. */
 const joinEnds: Readonly<Record<JoinEnd['kind'], Pick<EndedRequest, 'end' | 'outcome'>>> = {
 	complete: {end: 'complete', outcome: 'ran'},
 	refused: {end: 'refused', outcome: 'may-have-run'},
@@ -16,13 +16,14 @@
 };
 
 /**
- * Options of a keyed request. A call that joins an earlier one's run is logged
- * and counted here too, by its own times: this host's caller waited for it.
+ * Creates the options to serve a keyed request. A call that joins the run of an
+ * earlier call is logged and counted as a request of its own, by its own times,
+ * because a caller of this host waited for it.
  *
- * @param call - The call and its account, and where it goes.
- * @param ctx - The program.
- * @param work - Does the work for whoever reads the answer.
- * @returns What the claims need.
+ * @param call - The call, its account and its route.
+ * @param ctx - Services of the entry.
+ * @param work - Runs the request; its answer is recorded for all readers.
+ * @returns Options for the claims.
  */
 export function toKeyedOptions(call: {exchange: CallerExchange; account: Account; route: Route}, ctx: ServeContext, work: ServeKeyedOptions['serve']): ServeKeyedOptions {
 	const {exchange: {requestId, headers}, account, route} = call;
--- a/src/programs/entry/_lib/types.ts
+++ b/src/programs/entry/_lib/types.ts
@@ -1,4 +1,4 @@
-/** What the parts of a request's task share. */
+/** Types shared by the modules that run a request. */
 import {type AnswerBuffer, type DropCause} from '../../../domain/create-answer-buffer/index.js';
 import {type createPlacement} from '../../../domain/create-placement/index.js';
 import {type NoRetryReason, type RetryBudget} from '../../../domain/create-retry-budget/index.js';
@@ -19,35 +19,35 @@
 import {type Gate} from '../gate/index.js';
 import {type OutcomeLedger} from '../outcome-ledger/index.js';
 
-/** Why a run was told to end. */
+/** Why a run was aborted. */
 export type EndCause = 'caller-gone' | 'deadline-passed' | 'stopping';
 
-/** A whole answer's end. */
+/** End of a complete answer. */
 export type AnswerEnd = {
 	finish: FinishReason;
 	usage: Usage;
 };
 
-/** The way back to the caller, or to whichever caller has the delivery now. */
+/** Sends an answer to its caller. */
 export type Delivery = {
-	/** Relays tokens; `false` asks to wait for `drained`. */
+	/** Relays text of the answer; `false` means back-pressure: wait for `drained` before the next call. */
 	relay: (text: string) => boolean;
-	/** `false` when the caller read nothing for too long. */
+	/** Resolves when the caller has read what was written; `false` if the caller read nothing for too long. */
 	drained: () => Promise<boolean>;
 	complete: (end: AnswerEnd, tokens: readonly string[]) => void;
 	fail: (problem: Problem) => void;
 };
 
-/** One request on its way, from rule to end. */
+/** One request, from its matched rule to its end. */
 export type Run = {
 	id: RequestId;
 	workspace: WorkspaceId;
 	rule: Rule;
 	request: CompletionRequest;
-	/** Model that the pool serves; the rule may map other names to it. */
+	/** Model of the pool; the rule may map other names to it. */
 	model: string;
 	version: string | undefined;
-	/** Estimated. */
+	/** An estimate. */
 	promptTokens: number;
 	prefixBlocks: readonly string[];
 	receivedAt: Milliseconds;
@@ -62,21 +62,21 @@
 	log: Log;
 };
 
-/** Work done for nothing, by what made it so. */
+/** Why the result of a prefill was not used. */
 export type WasteCause = 'caller-gone' | 'deadline-passed' | 'expired' | 'transfer' | 'server-lost' | 'stopping';
 
-/** Counts of what happened, for metrics. */
+/** Metrics that a run records. */
 export type RunMetrics = {
 	firstToken: (run: Run, ms: Milliseconds) => void;
 	countDroppedChunk: (cause: DropCause) => void;
 	countResume: () => void;
 	countRerun: () => void;
-	/** A call failed, and another attempt was granted or, for the reason named, not. */
+	/** Counts a failed call by whether a retry was granted, or why not, and the cost charged to the retry budget. */
 	countRetryDecision: (decision: 'granted' | NoRetryReason, cost: number) => void;
 	countWastedPrefill: (cause: WasteCause, promptTokens: number) => void;
 };
 
-/** What a run needs of the program around it. */
+/** Services of the entry that runs share. */
 export type RunServices = {
 	clock: Clock;
 	random: Random;
@@ -86,7 +86,7 @@
 	placement: ReturnType<typeof createPlacement>;
 	gate: Gate;
 	cancels: CancelQueue;
-	/** Tells the fleet that a server refused because it leaves. */
+	/** Tells the fleet that a server refused a call because it is leaving. */
 	reportLeaving: (server: ServerId) => void;
 	toRetryBudget: (pool: string) => RetryBudget;
 	transferLimits: TransferTimeouts;
--- a/src/programs/entry/_lib/wait-unless-aborted.ts
+++ b/src/programs/entry/_lib/wait-unless-aborted.ts
@@ -3,15 +3,15 @@
 import {type Run} from './types.js';
 
 /**
- * Waits, but no longer than the run is wanted.
+ * Waits for a time, or until the run is aborted.
  *
- * @param run - The request.
- * @param ms - How long.
+ * @param run - The run, for its signal.
+ * @param ms - Time to wait, milliseconds.
  */
 export async function waitUnlessAborted(run: Pick<Run, 'signal'>, ms: Milliseconds): Promise<void> {
 	try {
 		await sleep(ms, undefined, {signal: run.signal});
 	} catch {
-		// The run was told to end, which whoever waits here looks at next.
+		// The run was aborted; callers check its signal after the wait.
 	}
 }
