--- a/src/programs/entry/gate/index.ts
+++ b/src/programs/entry/gate/index.ts
@@ -1,6 +1,6 @@
 /**
- * Where requests wait: turns the admission's decisions into promises, one for
- * each request's task.
+ * Lets requests wait for admission: turns the decisions of the admission into one
+ * promise for each request.
  */
 import {err, ok, type Result} from 'neverthrow';
 import {type Milliseconds} from '../../../ports/clock.js';
@@ -12,19 +12,19 @@
 } from '../../../domain/create-admission/index.js';
 import {toPoolCapacity} from '../../../domain/to-pool-capacity/index.js';
 
-/** Why a request may not start: refused by the admission, or ended while it waited. */
+/** Why a request was not admitted: refused by the admission, or aborted while it waited. */
 export type GateRefusal = Refusal | {reason: 'gone'};
 
 export type Gate = {
-	/** Waits until the request may start. */
+	/** Resolves when the request is admitted or refused. */
 	enter: (request: AdmissionRequest, signal: AbortSignal) => Promise<Result<void, GateRefusal>>;
 	noteFirstToken: (id: RequestId) => void;
-	/** Ends an admitted request; `gone` forgets it, whatever it was doing. */
+	/** Ends an admitted request; `gone` removes it in whatever state it is. */
 	leave: (id: RequestId, end: FinishOutcome | 'gone') => void;
 	setView: (view: FleetView) => void;
-	/** Looks at all that wait; the program calls it several times a second. */
+	/** Admits and refuses waiting requests; to be called several times a second. */
 	tick: () => void;
-	/** Mean time for which requests of a pool keep their places; `undefined` while none has ended. */
+	/** Mean time for which requests of a pool occupy their slots, milliseconds; `undefined` before the first has ended. */
 	meanHoldMs: (pool: string) => Milliseconds | undefined;
 	waiting: () => number;
 	status: () => PoolStatus[];
@@ -35,7 +35,7 @@
 /**
  * Creates the gate of one entry process.
  *
- * @param options - The admission that decides, the zone, and the clock.
+ * @param options - The admission that decides, the zone of this host, and the monotonic clock.
  * @returns The gate.
  */
 export function createGate(options: {admission: Admission; zone: ZoneId; now: () => Milliseconds}): Gate {
@@ -58,9 +58,10 @@
 	}
 
 	/**
-	 * A pool that left the configuration keeps no places: what waits for it would
-	 * wait until its target had passed. Asked again with each view, since a pool
-	 * that still has requests running goes only when they have ended.
+	 * Removes pools that are no longer in the configuration. Requests that wait for
+	 * such a pool are refused at once; otherwise they would wait until they miss
+	 * their targets. Repeated with each view, because a pool with running requests is
+	 * removed only after they have ended.
 	 */
 	function removeMissingPools({accepted}: FleetView): void {
 		if (accepted === undefined) {
--- a/src/programs/entry/gate/test.ts
+++ b/src/programs/entry/gate/test.ts
@@ -9,7 +9,7 @@
 	id, pool: 'p', class: 'quick', workspace: 'w', promptTokens: 10, maxTokens: 10, firstTokenDeadline: deadline, deadline, queueLimit: 10,
 });
 
-/** A gate with one place, on a clock that the test sets. */
+/** A gate of a pool with one slot, on a clock that the test sets. */
 function createFixture() {
 	let time = 0;
 	const gate = createGate({admission: createAdmission(), zone: 'a', now: () => time});
@@ -36,7 +36,7 @@
 const never = () => new AbortController().signal;
 
 describe('createGate', () => {
-	it('lets the next one in when a place is freed', async () => {
+	it('admits the next request when a slot is freed', async () => {
 		const {gate} = createFixture();
 		await gate.enter(toRequest('r1'), never());
 		const second = gate.enter(toRequest('r2'), never());
@@ -46,7 +46,7 @@
 		assert.ok(entered.isOk());
 	});
 
-	it('forgets a waiting request whose caller is gone, and gives its turn away', async () => {
+	it('removes a waiting request whose caller is gone, and admits the next one instead', async () => {
 		const {gate} = createFixture();
 		await gate.enter(toRequest('r1'), never());
 		const caller = new AbortController();
@@ -60,7 +60,7 @@
 		assert.ok(entered.isOk());
 	});
 
-	it('answers a waiting request at once when its time has passed', async () => {
+	it('refuses a waiting request at once when its deadline has passed', async () => {
 		const {gate, setTime} = createFixture();
 		await gate.enter(toRequest('r1'), never());
 		const second = gate.enter(toRequest('r2', 1000), never());
@@ -71,7 +71,7 @@
 		assert.equal(gate.waiting(), 0);
 	});
 
-	it('answers who waits at once when the pool leaves the configuration, and forgets the pool when it is empty', async () => {
+	it('refuses waiting requests at once when their pool is removed from the configuration, and removes the pool when it is empty', async () => {
 		const {gate, setPools} = createFixture();
 		await gate.enter(toRequest('r1'), never());
 		const second = gate.enter(toRequest('r2'), never());
@@ -85,7 +85,7 @@
 		assert.deepEqual(gate.status(), []);
 	});
 
-	it('takes nobody whose caller is already gone', async () => {
+	it('refuses a request whose caller is already gone', async () => {
 		const {gate} = createFixture();
 		const gone = await gate.enter(toRequest('r1'), AbortSignal.abort());
 		assert.deepEqual(gone._unsafeUnwrapErr(), {reason: 'gone'});
--- a/src/programs/entry/run-attempt/_lib/attempt.ts
+++ b/src/programs/entry/run-attempt/_lib/attempt.ts
@@ -1,4 +1,4 @@
-/** An attempt while it goes on, how it ends, and what its failures mean. */
+/** State of a running attempt, and its ends. */
 import {type Placement} from '../../../../domain/create-placement/index.js';
 import {type Milliseconds} from '../../../../ports/clock.js';
 import {type ServerEntry} from '../../../../ports/config.js';
@@ -13,7 +13,7 @@
 	step: AttemptStep;
 	server: ServerEntry;
 	failure: EngineFailure;
-	/** Whether the server may have done work for it. */
+	/** Whether a server may have run the request. */
 	hasOffered: boolean;
 	isTimedOut: boolean;
 };
@@ -23,30 +23,31 @@
 	| {kind: 'gone'}
 	| AttemptFailure;
 
-/** What an attempt holds on servers while it goes on. */
+/** A running attempt. */
 export type Attempt = {
 	run: Run;
 	services: RunServices;
 	placement: Placement;
 	key: AttemptKey;
 	step: StepSignal;
-	/** Servers that may hold something of it. */
+	/** Servers that may hold a slot, a cache or a stream of the attempt. */
 	serversToRelease: Set<ServerEntry>;
 	toRemainingMs: () => Milliseconds;
-	/** No attempt of the request has failed yet. */
+	/** Whether no attempt of the request has failed yet. */
 	isFirst: boolean;
 };
 
-/** A caller that already has a part of the answer waits for the rest also past the deadline. */
+/** Time left for the request, milliseconds. A caller that already has part of the answer waits for the rest even past the deadline. */
 export function toRemainingMs(run: Run, now: Milliseconds): Milliseconds {
 	const left = run.deadline - now;
 	return run.buffer.offset() > 0 ? Math.max(left, run.rule.then.target.completeMs) : left;
 }
 
 /**
- * A server that refused, or that no byte reached, holds nothing. One that
- * refuses a duplicate has the first copy: to call that "not run" would let the
- * caller pay twice.
+ * Whether a failed call left nothing on its server: the server refused it, or
+ * received no byte of it. A server that refuses a duplicate holds the first copy;
+ * if that counted as "not run", the caller would send the request again and pay
+ * twice.
  */
 export function isWithoutServerState(failure: StepFailure): boolean {
 	return failure.isUnsent || failure.kind === 'unreachable' || (failure.kind === 'refused' && failure.reason !== 'duplicate');
@@ -57,8 +58,8 @@
 		return {kind: 'gone'};
 	}
 
-	// A time-out is this host's own signal, but it says something about the server.
-	const reported: EngineFailure = failure.isTimedOut && !failure.isUnsent ? {...failure, kind: 'broken', message: `no answer in time: ${failure.message}`} : failure;
+	// A timeout is raised by this host, but counts as a failure of the server that did not answer.
+	const reported: EngineFailure = failure.isTimedOut && !failure.isUnsent ? {...failure, kind: 'broken', message: `timed out: ${failure.message}`} : failure;
 	attempt.services.placement.noteFailure(server, reported, attempt.services.clock.now());
 	if (reported.reason === 'leaving') {
 		attempt.services.reportLeaving(server.id);
--- a/src/programs/entry/run-attempt/_lib/call-engines.ts
+++ b/src/programs/entry/run-attempt/_lib/call-engines.ts
@@ -1,4 +1,4 @@
-/** The calls of an attempt that concern one engine alone. */
+/** Calls of an attempt to a single engine. */
 import {type Result} from 'neverthrow';
 import {type Milliseconds} from '../../../../ports/clock.js';
 import {type DecodeChunk, type PrefillResult} from '../../../../ports/engine.js';
@@ -9,7 +9,7 @@
 
 const reserveTimeoutMs = 2 * msPerSecond;
 
-/** Reserves a slot of the decode engine. */
+/** Reserves a slot at the decode engine. */
 export async function reserve(attempt: Attempt) {
 	const {run, services, placement, key} = attempt;
 	const {decode} = placement;
@@ -27,10 +27,10 @@
 }
 
 /**
- * Has the prompt, and what is answered already, prefilled.
+ * Prefills the prompt, and the part of the answer that earlier attempts produced.
  *
- * @param attempt - The attempt; its ledger holds the work as offered from here on.
- * @param limitMs - Time until the reserved slot, or the request, is over.
+ * @param attempt - The attempt; its ledger counts the request as offered from here on.
+ * @param limitMs - Time until the reserved slot expires or the request's time is up, milliseconds.
  */
 export async function prefill(attempt: Attempt, limitMs: Milliseconds): Promise<Result<PrefillResult, StepFailure>> {
 	const {run, services, placement, key} = attempt;
@@ -57,7 +57,7 @@
 	return result;
 }
 
-/** Starts the answer, from the first token that the caller does not have. */
+/** Opens the stream of the answer, starting at the first token that the caller does not have. */
 export async function openStream(attempt: Attempt, reservationId: string): Promise<Result<AsyncIterable<DecodeChunk>, StepFailure>> {
 	const {run, services, placement, key} = attempt;
 	const answerOffset = run.buffer.offset();
--- a/src/programs/entry/run-attempt/_lib/transfer-cache.ts
+++ b/src/programs/entry/run-attempt/_lib/transfer-cache.ts
@@ -5,19 +5,19 @@
 
 export type Transfer = {
 	reservationId: string;
-	/** KV cache that the prefill engine holds. */
+	/** Id of the KV cache at the prefill engine. */
 	kvId: string;
 	bytes: number;
-	/** Time until the reserved slot, or the request, is over. */
+	/** Time until the reserved slot expires or the request's time is up. */
 	slotRemainingMs: Milliseconds;
 };
 
 /**
- * How long a transfer may take before it is given up. One that stalls would
- * hold the request until its slot expires, past any first-token target; given
- * up in time, the work still begins elsewhere. Only where another attempt may
- * follow: of a request of which an attempt failed already, or whose rule allows
- * no second run, the transfer may take what time the slot has.
+ * Timeout of a transfer, milliseconds. A stalled transfer would hold the request
+ * until its slot expires, past any first-token target; after a timeout the
+ * request can still start on other servers. There is no timeout besides the slot's
+ * expiry if an attempt of the request has failed already, or if its rule allows no
+ * second run.
  */
 function toTransferTimeoutMs({isFirst, run, services, placement}: Attempt, bytes: number): Milliseconds {
 	const {prefill, decode} = placement;
@@ -26,11 +26,12 @@
 }
 
 /**
- * Moves the KV cache from the prefill to the decode engine, and learns from the time that it took.
+ * Transfers the KV cache from the prefill to the decode engine, and feeds the
+ * duration into the timeouts of later transfers.
  *
  * @param attempt - The attempt.
  * @param transfer - See {@link Transfer}.
- * @returns Bytes moved; `broken` if it was given up, as the request's own time is not over then.
+ * @returns Bytes transferred; a transfer that timed out fails as `broken`, because the request itself still has time.
  */
 export async function transferCache(attempt: Attempt, transfer: Transfer): Promise<Result<{bytes: number}, StepFailure>> {
 	const {run, services, placement, key} = attempt;
@@ -49,9 +50,9 @@
 	} else if (transferred.error.isTimedOut && timeoutMs < slotRemainingMs) {
 		transferLimits.noteTimedOut(link, bytes, clock.now() - startedAt);
 		run.account.addStage('transfer given up', {from: from.id, to: to.id, limitMs: Math.round(timeoutMs)});
-		// The request's own time is not over: what follows must not say that a deadline passed.
+		// Not reported as a timeout: the request itself still has time, and its caller must not be told that the deadline passed.
 		return err({
-			...transferred.error, kind: 'broken', message: `the transfer from ${from.id} had not ended after ${Math.round(timeoutMs)} ms`, isTimedOut: false,
+			...transferred.error, kind: 'broken', message: `the transfer from ${from.id} did not end within ${Math.round(timeoutMs)} ms`, isTimedOut: false,
 		});
 	}
 
--- a/src/programs/entry/run-attempt/index.ts
+++ b/src/programs/entry/run-attempt/index.ts
@@ -16,7 +16,7 @@
 
 export {type AttemptEnd, type AttemptFailure, type AttemptStep} from './_lib/attempt.js';
 
-/** Relays the open stream to its end. */
+/** Relays the open stream to the caller. */
 async function relay({run, services, placement, key, step}: Attempt, stream: AsyncIterable<DecodeChunk>): Promise<RelayEnd> {
 	const {decode} = placement;
 	return relayStream({
@@ -33,7 +33,7 @@
 	});
 }
 
-/** The attempt's steps, straight down. */
+/** Runs the steps of an attempt in order. */
 async function runSteps(attempt: Attempt, notePrefilled: (result: PrefillResult) => void): Promise<AttemptEnd> {
 	const {run, services, placement} = attempt;
 	const {now} = services.clock;
@@ -45,7 +45,7 @@
 	}
 
 	const {reservationId, expiresInMs} = reservation.value;
-	// A prefill that ends after its slot has expired has nowhere to go.
+	// The result of a prefill that ends after its slot has expired could not be used.
 	const toSlotRemainingMs = () => Math.min(attempt.toRemainingMs(), reservedAt + expiresInMs - now());
 	services.placement.noteReserved(placement, placement.promptTokens + placement.maxTokens, now());
 	run.account.addStage('reserved', {server: decodeServer.id, expiresInMs});
@@ -96,14 +96,14 @@
 }
 
 /**
- * Runs one attempt. Whatever way it ends but well, every server that may hold
- * something of it is told to let go.
+ * Runs one attempt. Unless it completes, the attempt is cancelled on every server
+ * that may hold state of it.
  *
  * @param run - The request.
- * @param services - The program around it.
- * @param placement - Where to run it.
- * @param options - Position of the attempt, from 1, and whether none of the request has failed yet.
- * @returns How it ended.
+ * @param services - Services of the entry.
+ * @param placement - Servers to run it on.
+ * @param options - Number of the attempt, from 1, and whether no attempt of the request has failed yet.
+ * @returns How the attempt ended.
  */
 export async function runAttempt(run: Run, services: RunServices, placement: Placement, options: {attempt: number; isFirst: boolean}): Promise<AttemptEnd> {
 	const {attempt: attemptNumber, isFirst} = options;
--- a/src/programs/entry/run-request/_lib/place.ts
+++ b/src/programs/entry/run-request/_lib/place.ts
@@ -1,4 +1,4 @@
-/** Picks the servers of an attempt, and notes why. */
+/** Picks the servers of an attempt, and records the pick in the request's account. */
 import {err, ok, type Result} from 'neverthrow';
 import {type Placement} from '../../../../domain/create-placement/index.js';
 import {type Milliseconds} from '../../../../ports/clock.js';
@@ -8,15 +8,15 @@
 import {type Run, type RunServices} from '../../_lib/types.js';
 import {type RunEnd, toNotPlaced} from './to-run-end.js';
 
-/** What became of a request's earlier attempts. */
+/** Servers that earlier attempts of a request met. */
 export type AttemptHistory = {
-	/** Servers that failed it and are left alone for the next attempt. */
+	/** Servers that failed the request, and that the next attempt avoids. */
 	failed: ReadonlySet<ServerId>;
-	/** Decode servers that had no room for it. */
+	/** Decode servers without a free slot for the request. */
 	full: ReadonlySet<ServerId>;
 };
 
-/** After a failure the first token may come late; late is better than never as long as the answer is in time. */
+/** Time left until the first token, milliseconds. After a failure only the deadline of the whole answer counts, because a late first token is better than none. */
 function toFirstTokenBudget(run: Run, hasFailed: boolean, now: Milliseconds): Milliseconds {
 	return run.buffer.offset() > 0 ? Infinity : (hasFailed ? run.deadline : run.firstTokenDeadline) - now;
 }
@@ -44,11 +44,11 @@
 }
 
 /**
- * Picks another pair while there is one. Where every server of a role has
- * failed this request once, a refusal would be final although the fault may
- * have been of a moment; the retry budget bounds the attempts and its backoff
- * spaces them, so asking one of them again can't become a storm. Full servers
- * are not asked again: nothing bounds those but that each is asked once.
+ * Picks a pair of servers that has not failed this request. If all servers of a
+ * role have failed it once, it picks one of them again, because the fault may have
+ * been temporary. The retry budget bounds these attempts and its backoff spaces
+ * them, so that they can't become a retry storm. Full servers are not picked
+ * again: retries of full servers are charged to no budget.
  */
 function pickUntried(run: Run, services: RunServices, {failed, full}: AttemptHistory) {
 	const hasFailed = failed.size > 0;
@@ -59,13 +59,13 @@
 }
 
 /**
- * Places the request and notes it in its account.
+ * Picks the servers of an attempt and records them in the request's account.
  *
  * @param run - The request.
- * @param services - The program around it.
- * @param history - Servers to leave alone.
+ * @param services - Services of the entry.
+ * @param history - Servers to avoid.
  * @param attempt - Number of the attempt, from 1.
- * @returns The pair, or the request's end.
+ * @returns The pair of servers, or the end of the request.
  */
 export function place(run: Run, services: RunServices, history: AttemptHistory, attempt: number): Result<Placement, RunEnd> {
 	const picked = pickUntried(run, services, history);
--- a/src/programs/entry/run-request/_lib/to-run-end.ts
+++ b/src/programs/entry/run-request/_lib/to-run-end.ts
@@ -1,4 +1,4 @@
-/** How a request's attempts end. */
+/** Ends of a request, and the problems that its caller is told. */
 import {type PlacementRefusal, type PlacementRefusalReason} from '../../../../domain/create-placement/index.js';
 import {type Problem, type ProblemKind} from '../../../../domain/to-problem/index.js';
 import {msPerSecond} from '../../../../ports/units.js';
@@ -9,9 +9,9 @@
 export type RunEnd =
 	| ({kind: 'complete'} & AnswerEnd)
 	| {kind: 'failed'; problem: Problem}
-	/** Every decode server was full: the request may wait again. */
+	/** Every decode server was full; the request may wait for admission again. */
 	| {kind: 'bounced'; problem: Problem}
-	/** Nobody waits for the answer any more. */
+	/** The caller has disconnected. */
 	| {kind: 'gone'};
 
 const refusalKinds: Readonly<Record<PlacementRefusalReason, ProblemKind>> = {
@@ -23,16 +23,16 @@
 	'would-miss-target': 'target-missed',
 };
 
-/** Time that another attempt takes, as long as no placement has been predicted. */
-const defaultExpectedMs = 100;
+/** Delay before a caller may repeat a request of which nothing ran, if the failed server named none. */
+const defaultRetryAfterMs = 100;
 
 /**
- * The end of a request that no pair was found for.
+ * Returns the end of a request for which no pair of servers was found.
  *
  * @param run - The request.
- * @param refusal - The placement's.
- * @param wasFull - Whether a decode server that was asked had no room; then nothing is wrong but that the pool is full.
- * @returns The end.
+ * @param refusal - Why the placement found none.
+ * @param wasFull - Whether a decode server was full; a pool without another server to try is then full, not faulty.
+ * @returns The end of the request.
  */
 export function toNotPlaced(run: Run, refusal: PlacementRefusal, wasFull: boolean): RunEnd {
 	const outcome = run.ledger.outcome();
@@ -51,16 +51,16 @@
 	return {kind: refusal.reason === 'no-memory' ? 'bounced' : 'failed', problem};
 }
 
-/** The end of a request that can't go on after a failed attempt. */
+/** Returns the end of a request that is not retried after a failed attempt. */
 export function toGivenUp(run: Run, {failure, step, server, isTimedOut}: AttemptFailure): RunEnd {
 	const outcome = run.ledger.outcome();
-	// Where no other server is left, those that look unreachable are tried; that they were is no failure of a backend.
+	// Servers that look unreachable are tried when no other is left. Failing to connect to them is lack of capacity, not a backend failure.
 	if (failure.kind === 'unreachable' && outcome === 'not-run') {
 		return {
 			kind: 'failed',
 			problem: {
 				kind: 'no-capacity',
-				detail: `Server ${server.id}, the last that was tried, can't be reached. Nothing was run; send it again.`,
+				detail: `Server ${server.id}, the last one tried, can't be reached. Nothing was run; send the request again.`,
 				outcome,
 				retryAfterMs: failure.retryAfterMs ?? msPerSecond,
 			},
@@ -69,18 +69,18 @@
 
 	const isLate = isTimedOut && outcome !== 'ran';
 	const kind: ProblemKind = isLate ? 'deadline-passed' : (outcome === 'ran' ? 'answer-lost' : 'backend-failed');
-	const again = outcome === 'not-run' ? ' Nothing was run; send it again.' : ' It was not run again: its rule does not allow that, or time or retry budget are used up.';
+	const again = outcome === 'not-run' ? ' Nothing was run; send the request again.' : ' The request was not retried: its rule does not allow it, or its time or the retry budget is used up.';
 	return {
 		kind: 'failed',
 		problem: {
-			kind, detail: `Step "${step}" failed on server ${server.id}: ${failure.kind}.${again}`, outcome, ...(outcome === 'not-run' && {retryAfterMs: failure.retryAfterMs ?? defaultExpectedMs}),
+			kind, detail: `Step "${step}" failed on server ${server.id}: ${failure.kind}.${again}`, outcome, ...(outcome === 'not-run' && {retryAfterMs: failure.retryAfterMs ?? defaultRetryAfterMs}),
 		},
 	};
 }
 
-/** The end of a request that was told to end. */
+/** Returns the end of an aborted request. */
 export function toEnded(run: Run): RunEnd {
-	// Without a cause the caller has stopped reading, and its connection is being closed.
+	// A signal without a reason means that the caller stopped reading and its connection is being closed.
 	const cause = run.signal.reason as EndCause | undefined ?? 'caller-gone';
 	if (cause === 'caller-gone') {
 		return {kind: 'gone'};
--- a/src/programs/entry/run-request/index.ts
+++ b/src/programs/entry/run-request/index.ts
@@ -1,5 +1,6 @@
 /**
- * A request's attempts, one after the other, to its one end.
+ * Runs the attempts of a request one after the other, until one completes or no
+ * retry is allowed.
  */
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type ServerId, type ZoneId} from '../../../ports/ids.js';
@@ -16,7 +17,7 @@
 	zone: ZoneId;
 };
 
-/** Nothing ran and nothing is wrong: under load many servers are full at any time, and their reports are late. */
+/** Whether the decode server had no free slot. This is no fault: under load many servers are full, and their load reports lag behind. */
 function isFull({step, failure}: AttemptFailure): boolean {
 	return step === 'reserve' && failure.kind === 'refused' && failure.reason === 'full';
 }
@@ -38,15 +39,15 @@
 }
 
 /**
- * Runs an admitted request to its end. Failures are paid from the pool's retry
- * budget; a decode server without room costs nothing and is asked once, so that
- * a request makes at most as many such calls as there are servers before it
- * waits for room again.
+ * Runs an admitted request to its end. Retries after failures are charged to the
+ * pool's retry budget. A full decode server costs nothing and is asked only once,
+ * so that a request makes at most one such call to each server before it waits for
+ * admission again.
  *
  * @param run - The request.
- * @param services - The program around it.
- * @param firstAttempt - Number of the first attempt, for a request that comes again after it was bounced.
- * @returns The end, and the number that the next attempt would have.
+ * @param services - Services of the entry.
+ * @param firstAttempt - Number of the first attempt; above 1 for a request that found all servers full and was admitted again.
+ * @returns The end, and the number of the next attempt.
  */
 export async function runRequest(run: Run, services: RunServices, firstAttempt: number): Promise<{end: RunEnd; nextAttempt: number}> {
 	const {clock} = services;
@@ -81,7 +82,7 @@
 		}
 
 		if (isFull(ended)) {
-			// Paid from the retry budget, a busy hour's full servers would use up what is meant for failures.
+			// Not charged to the retry budget: under load, full servers would use up the budget that is meant for failures.
 			full.add(ended.server.id);
 			reportFull(run, attempt, ended.server.id);
 			continue;
@@ -112,7 +113,7 @@
 	}
 }
 
-/** A caller that already has a part of the answer waits for the rest also past the deadline. */
+/** A caller that already has part of the answer waits for the rest even past the deadline. */
 function toRetryDeadline(run: Run): Milliseconds {
 	return run.buffer.offset() > 0 ? Infinity : run.deadline;
 }
--- a/src/programs/entry/run-request/test.ts
+++ b/src/programs/entry/run-request/test.ts
@@ -30,7 +30,7 @@
 	};
 }
 
-/** A request to a pool whose decode servers answer a reservation as `toAnswer` says; reports show them all empty. */
+/** A request to a pool whose decode servers answer reservations as `toAnswer` says; load reports show all of them empty. */
 function createFixture(toAnswer: (server: string, asked: number) => Answer, prefill?: EngineFailure) {
 	const asked: string[] = [];
 	const noted: string[] = [];
@@ -101,7 +101,7 @@
 }
 
 describe('runRequest', {timeout: 30_000}, () => {
-	it('asks each full server once, spends nothing on it, and then waits for room again', async () => {
+	it('asks each full server once, charges nothing for it, and then waits for admission again', async () => {
 		const fixture = createFixture(() => 'full');
 		const {end, nextAttempt} = await fixture.runRequest();
 		assert.equal(end.kind, 'bounced');
@@ -111,7 +111,7 @@
 		assert.equal(nextAttempt, decodes.length + 1, 'engines see each attempt under a number of its own');
 	});
 
-	it('runs on the first server with room, however many were full before', async () => {
+	it('runs on the first server with a free slot, however many were full before', async () => {
 		const fixture = createFixture((_server, asked) => asked < decodes.length ? 'full' : 'room');
 		const {end} = await fixture.runRequest();
 		assert.equal(end.kind, 'complete');
@@ -127,7 +127,7 @@
 		assert.deepEqual(fixture.noted.filter(stage => stage === 'server full' || stage === 'attempt failed'), ['server full', 'server full', 'server full', 'attempt failed']);
 	});
 
-	it('says that there is no capacity when no server can be reached, and nothing of a backend that failed', async () => {
+	it('answers no-capacity, not backend-failed, when no server can be reached', async () => {
 		const fixture = createFixture(() => 'unreachable');
 		const {end} = await fixture.runRequest();
 		assert.equal(end.kind, 'failed');
@@ -135,7 +135,7 @@
 	});
 
 	for (const [reason, outcome] of [['duplicate', 'may-have-run'], ['leaving', 'not-run']] as const) {
-		it(`says ${outcome} when every prefill is refused as ${reason}`, async () => {
+		it(`reports ${outcome} when every prefill is refused as ${reason}`, async () => {
 			const refused: EngineFailure = {
 				kind: 'refused', reason, server: 'p1', message: reason, retryAfterMs: undefined,
 			};
@@ -144,7 +144,7 @@
 		});
 	}
 
-	it('pays for a failure', async () => {
+	it('charges a failure to the retry budget', async () => {
 		const fixture = createFixture((_server, asked) => asked === 1 ? 'broken' : 'full');
 		const {end} = await fixture.runRequest();
 		assert.equal(end.kind, 'bounced');
