--- a/src/programs/entry/call-pair/_lib/release-held.ts
+++ b/src/programs/entry/call-pair/_lib/release-held.ts
@@ -3,26 +3,27 @@
 import {type PlainRun} from '../../call-plain/_lib/types.js';
 
 /**
- * Gives back what a server keeps for this host. It lapses by itself within a second
- * or two, so one that asks to back off needs no call for it.
+ * Releases a reservation or a cache that a server holds for this host. Both expire
+ * by themselves within a second or two, so a server that asks to back off is not
+ * called for it.
  *
  * @param run - The request.
- * @param what - What is given back, for the log.
- * @param kept - The server, and the call that gives it back.
+ * @param label - Kind of what is released, for the log.
+ * @param held - The server, and the call that releases.
  */
-export function releaseHeld(run: PlainRun, what: string, {server, call}: {server: ServerEntry; call: () => ReturnType<CacheCalls['dropCache']>}): void {
+export function releaseHeld(run: PlainRun, label: string, {server, call}: {server: ServerEntry; call: () => ReturnType<CacheCalls['dropCache']>}): void {
 	const {services} = run.ctx;
 	if (services.placement.isPaused(server.id, services.clock.now())) {
-		run.log.info('not given back while the server asks to back off', {step: what, server: server.id});
+		run.log.info('not given back while the server asks to back off', {step: label, server: server.id});
 		return;
 	}
 
 	void (async () => {
 		const done = await call();
 		if (done.isErr()) {
-			// It lapses by itself within a second or two, so a second try would come too late to matter.
+			// Not retried: a reservation or cache expires within a second or two, before a second call would help.
 			run.log.info('could not give back', {
-				step: what, server: done.error.server, reason: done.error.message,
+				step: label, server: done.error.server, reason: done.error.message,
 			});
 		}
 	})();
--- a/src/programs/entry/call-pair/_lib/reserve-decode-server.ts
+++ b/src/programs/entry/call-pair/_lib/reserve-decode-server.ts
@@ -1,4 +1,4 @@
-/** A place at a decode server, before the prompt is computed. */
+/** Reserves memory at a decode server before the prefill. */
 import {err, ok, type Result} from 'neverthrow';
 import {createTimeoutSignal} from '../../../../_lib/create-timeout-signal/index.js';
 import {type Placement, type PlacementRefusalReason} from '../../../../domain/create-placement/index.js';
@@ -15,21 +15,21 @@
 import {isInService} from './is-in-service.js';
 import {type PairAttempt} from './types.js';
 
-/** Limit of a call that takes a place: it does no work and takes a few milliseconds, so only a server that is lost takes longer. */
+/** Timeout of a reservation. The call takes a few milliseconds as it does no work, so only a lost server takes longer. */
 const reserveTimeoutMs: Milliseconds = 300;
 
-/** Life asked for a reservation where servers tell no longest one; prefill and transfer take a fraction of it. */
+/** Lifetime requested for a reservation if the pool names no maximum; prefill and transfer take a fraction of it. */
 const defaultReservationMs: Milliseconds = 2000;
 
 /**
  * @param run - The request.
- * @returns Life of a reservation that is asked for it, milliseconds.
+ * @returns Lifetime to request for its reservation, milliseconds.
  */
 export function toReservationMs({route}: PlainRun): Milliseconds {
 	return route.pool.reservationMs ?? defaultReservationMs;
 }
 
-/** Reasons for which a request may wait: room comes back by itself. */
+/** Reasons after which a request may wait, because capacity is freed again as other requests end. */
 const retryableReasons: ReadonlySet<PlacementRefusalReason> = new Set(['no-memory', 'paused']);
 
 function pick(run: PlainRun, exclude: ReadonlySet<ServerId>) {
@@ -50,7 +50,7 @@
 	}, services.toView()!, now, services.random);
 }
 
-/** Asks one decode server for a place. One that announces with it that it leaves gets it back: the answer would break with its end. */
+/** Requests a reservation at one decode server. If the server announces in its answer that it is leaving, the reservation is released, because the stream would break when the server stops. */
 async function requestReservation(run: PlainRun, caches: CacheCalls, decode: ServerEntry): Promise<Result<string, EngineFailure>> {
 	const {services} = run.ctx;
 	const limit = createTimeoutSignal(Math.min(reserveTimeoutMs, toRemainingMs(run)), run.signal);
@@ -73,17 +73,18 @@
 
 	releaseHeld(run, 'reservation', {server: decode, call: () => caches.release(decode, reservationId)});
 	return err({
-		kind: 'refused', reason: 'leaving', server: decode.id, message: 'granted a place and announced that it leaves', retryAfterMs: undefined,
+		kind: 'refused', reason: 'leaving', server: decode.id, message: 'granted a reservation and announced that it is leaving', retryAfterMs: undefined,
 	});
 }
 
 /**
- * Asks decode servers for a place, the best first, until one grants it or none is left.
+ * Requests a reservation from decode servers, the best first, until one grants it
+ * or none is left.
  *
  * @param run - The admitted request.
- * @param caches - Calls of the servers.
+ * @param caches - Reservation and cache calls of the servers.
  * @param attempt - Number of the attempt, from 1.
- * @returns The place, or why there is none.
+ * @returns The reservation, or the end of the attempt.
  */
 export async function reserveDecodeServer(run: PlainRun, caches: CacheCalls, attempt: number): Promise<Result<{placement: Placement; reservationId: string}, PairAttempt>> {
 	const {services} = run.ctx;
@@ -103,7 +104,7 @@
 		}
 
 		const {kind, reason} = reserved.error;
-		const message = kind === 'aborted' && !run.signal.aborted ? 'no answer within the time for a reservation' : reserved.error.message;
+		const message = kind === 'aborted' && !run.signal.aborted ? 'no answer within the timeout of a reservation' : reserved.error.message;
 		run.account.addStage('no place', {
 			server: decode.id, failure: kind, reason, message,
 		});
@@ -119,7 +120,7 @@
 			});
 		}
 
-		// A limit that this host set is the server's silence.
+		// A call that this host's timeout aborted counts as broken, because the server did not answer.
 		services.placement.noteFailure(decode, {kind: kind === 'aborted' ? 'broken' : kind, reason}, services.clock.now());
 		asked.add(decode.id);
 		isFull ||= reason === 'full';
--- a/src/programs/entry/call-pair/index.ts
+++ b/src/programs/entry/call-pair/index.ts
@@ -1,7 +1,7 @@
 /**
- * One attempt of a passed-on request at servers that keep prefill and decode
- * apart: a place at the decode server first, then the prompt, then the answer.
- * A prompt computed without a place to go is work for nothing.
+ * One attempt of a relayed request at separate prefill and decode servers: first a
+ * reservation at the decode server, then the prefill, then the decode. Without a
+ * reservation, the result of the prefill might find no memory at a decode server.
  */
 import {err, ok, type Result} from 'neverthrow';
 import {createTimeoutSignal} from '../../../_lib/create-timeout-signal/index.js';
@@ -24,21 +24,23 @@
 
 export {type PairAttempt} from './_lib/types.js';
 
-/** Longest answer of a prefill: a name and two numbers. */
+/** Maximum size of a prefill's answer, which has a handle and a few numbers. */
 const maxPrefillAnswerBytes = 16 * bytesPerKibibyte;
 
 /**
- * Part of the reservation's life in which the prompt must be computed. Later the
- * place may be gone, and a server behind a cut would hold the request for as
- * long as its caller waits, though another could still serve it.
+ * Fraction of the reservation's lifetime in which the prefill must end. Later the
+ * reservation may have expired. Without this limit, a prefill server behind a
+ * network partition would hold the request for as long as its caller waits, while
+ * another server could still serve it.
  */
 const prefillTimeShare = 0.75;
 
 /**
- * A prompt may take so many times what was predicted, and this long at least.
- * Predictions miss the prompts that other hosts send at the same moment, each a
- * tenth of a second; one whose answer was lost held its request for the whole
- * share of the reservation, 1.5 s, and made it late for sure.
+ * Timeout of a prefill as a multiple of the predicted duration, and its minimum.
+ * Predictions do not include prefills that other hosts send at the same time, each
+ * of which adds about 0.1 s. Without this timeout, a prefill whose answer was lost
+ * held the request for 1.5 s, its whole fraction of the reservation, and the
+ * request missed its target.
  */
 const prefillTimeoutFactor = 3;
 const minPrefillTimeoutMs: Milliseconds = 500;
@@ -51,7 +53,7 @@
 	attempt: number;
 };
 
-/** Has the prompt computed, and nothing run. */
+/** Calls the prefill server. */
 async function prefill({run, caches, placement}: Step): Promise<Result<PromptCache, PlainFault>> {
 	const server = placement.prefill;
 	const payload = run.body.open();
@@ -73,7 +75,7 @@
 		const {kind, message} = answer.error;
 		const isSilent = kind === 'aborted' && !run.signal.aborted;
 		if (isSilent) {
-			return err({kind: 'broken', message: `no prompt computed within ${Math.round(limitMs)} ms`});
+			return err({kind: 'broken', message: `the prefill did not end within ${Math.round(limitMs)} ms`});
 		}
 
 		return err(answer.error.kind === 'too-large' ? {kind: 'invalid', message} : answer.error);
@@ -88,14 +90,14 @@
 	}
 
 	if (status !== 200 || !run.ctx.calls.isAnswerTo(run.exchange.requestId, headers)) {
-		return err({kind: 'invalid', message: `status ${status}, or the answer of another request`});
+		return err({kind: 'invalid', message: `status ${status}, or an answer to another request`});
 	}
 
 	const parsed = caches.parsePrefill(text);
 	return parsed.map(({kvId}) => ({server, kvId})).mapErr(message => ({kind: 'invalid', message}));
 }
 
-/** Has the prompt computed where another server than the decode server does it. */
+/** Runs the prefill, unless the decode server is to do it as part of its own call. */
 async function computePrompt(step: Step): Promise<Result<PromptCache | undefined, PlainFault>> {
 	const {run, placement, work, attempt} = step;
 	const {services} = run.ctx;
@@ -141,28 +143,28 @@
 	if (run.signal.aborted) {
 		releaseAll();
 		return {
-			kind: 'called', server: decode, ended: {kind: 'failed', fault: {kind: 'aborted', message: 'ended while its prompt was computed'}}, hasRun: false,
+			kind: 'called', server: decode, ended: {kind: 'failed', fault: {kind: 'aborted', message: 'the request was aborted during its prefill'}}, hasRun: false,
 		};
 	}
 
 	if (isQuarantined(run)) {
 		releaseAll();
 		return {
-			kind: 'called', server: decode, ended: {kind: 'failed', fault: {kind: 'refused', reason: 'other', message: 'quarantined while the prompt was computed'}}, hasRun: false,
+			kind: 'called', server: decode, ended: {kind: 'failed', fault: {kind: 'refused', reason: 'other', message: 'the request was quarantined during its prefill'}}, hasRun: false,
 		};
 	}
 
 	if (services.placement.isPaused(decode.id, services.clock.now())) {
 		releaseAll();
 		return {
-			kind: 'called', server: decode, ended: {kind: 'failed', fault: {kind: 'refused', reason: 'full', message: 'asked to back off while the prompt was computed'}}, hasRun: false,
+			kind: 'called', server: decode, ended: {kind: 'failed', fault: {kind: 'refused', reason: 'full', message: 'the decode server asked to back off during the prefill'}}, hasRun: false,
 		};
 	}
 
 	if (!isInService(run, decode)) {
 		releaseAll();
 		return {
-			kind: 'called', server: decode, ended: {kind: 'failed', fault: {kind: 'refused', reason: 'leaving', message: 'left while the prompt was computed'}}, hasRun: false,
+			kind: 'called', server: decode, ended: {kind: 'failed', fault: {kind: 'refused', reason: 'leaving', message: 'the decode server left during the prefill'}}, hasRun: false,
 		};
 	}
 
@@ -183,12 +185,12 @@
 }
 
 /**
- * Makes one attempt.
+ * Makes one attempt at a pair of servers.
  *
- * @param run - The admitted request; its body is whole.
- * @param caches - Calls of the servers.
+ * @param run - The admitted request, with its whole body in memory.
+ * @param caches - Reservation and cache calls of the servers.
  * @param attempt - Number of the attempt, from 1.
- * @returns What became of it.
+ * @returns How the attempt ended.
  */
 export async function callPair(run: PlainRun, caches: CacheCalls, attempt: number): Promise<PairAttempt> {
 	const {services} = run.ctx;
--- a/src/programs/entry/call-plain/_lib/decide-retry.ts
+++ b/src/programs/entry/call-plain/_lib/decide-retry.ts
@@ -1,4 +1,4 @@
-/** Whether a request that failed at one server goes to another. */
+/** Decides whether a request that failed at one server is sent to another. */
 import {
 	type FailedAttempt, type NoRetryReason, type RetryAnswer, type RetryBudget,
 } from '../../../../domain/create-retry-budget/index.js';
@@ -9,23 +9,23 @@
 const safeMethods = new Set(['GET', 'HEAD', 'OPTIONS']);
 
 /**
- * Tells whether the call may run a second time without harm.
+ * Whether a request may run more than once without harm.
  *
  * @param run - The caller's request and its rule.
- * @returns `true` if the rule says so, and for methods that change nothing.
+ * @returns `true` if the rule says so; without a relay policy also for safe methods.
  */
 export function isRepeatable(run: Pick<PlainRun, 'exchange' | 'route'>): boolean {
 	const {repeatable, relay} = run.route.rule.then;
-	// Where operators publish for each route whether it may be repeated, a method says nothing more.
+	// A relay policy states for each route whether it is repeatable, so the method adds nothing.
 	return repeatable || (relay === undefined && safeMethods.has(run.exchange.method));
 }
 
-/** Prompts that are sent to be computed before a request is given up: none of them runs the request. */
+/** Maximum number of prefills of a request that has not run. A prefill does not run the request, so the route's limit of attempts does not apply. */
 const maxPrefillAttempts = 3;
 
 export type RetryDecision = {kind: 'give-up'} | {kind: 'retry'; delayMs: Milliseconds};
 
-/** What the retry budget is told of a call: whether it ran the request, or may have. */
+/** Describes a failed call for the retry budget. */
 function toFailedAttempt(run: PlainRun, {hasRun, isOffered, isStarted, sent}: {hasRun: boolean; isOffered: boolean; isStarted: boolean; sent: number}): FailedAttempt {
 	const {relay} = run.route.rule.then;
 	return {
@@ -45,16 +45,16 @@
 }
 
 /**
- * Tells what keeps the request from another server after the answer that has
- * just begun. A failed answer is passed on then: an answer of its server is
- * worth more to a caller than a refusal of ours.
+ * Finds the reason why a request can't be retried if the answer that has just
+ * begun reports a failure. With a reason, the failed answer is relayed to the
+ * caller, because it is more useful than a refusal by this host.
  *
- * @param run - The request; its present call is not counted in `sent` yet.
- * @returns The reason; `undefined` if the answer may be let go.
+ * @param run - The request; its current call is not counted in `sent` yet.
+ * @returns The reason; `undefined` if the answer may be dropped for a retry.
  */
 export function findNoRetryReason(run: PlainRun): NoRetryReason | 'own-answer' | undefined {
 	const {services} = run.ctx;
-	// Own callers without relay terms get what their service answers.
+	// Without a relay policy, callers get the answer of their service as it is.
 	if (run.route.rule.then.relay === undefined) {
 		return 'own-answer';
 	}
@@ -70,12 +70,12 @@
 }
 
 /**
- * Decides, and spends from the budget when the request goes on.
+ * Decides about a retry, and charges a granted one to the retry budget.
  *
  * @param run - The request.
- * @param fault - Why the call brought no answer.
- * @param hasRun - Whether the call was to run the request, and not just compute its prompt.
- * @returns Whether to call another server, and when.
+ * @param fault - Why the call failed.
+ * @param hasRun - Whether the call carried the request itself, not only its prefill.
+ * @returns Whether to call another server, and after which delay.
  */
 export function decideRetry(run: PlainRun, fault: PlainFault, hasRun: boolean): RetryDecision {
 	const {services} = run.ctx;
@@ -96,11 +96,11 @@
 }
 
 /**
- * Servers count a prompt that is computed again as a call, beside the run itself.
- * Where the budget holds no more, the decode server computes it: slower, and
- * between the tokens of others.
+ * Charges the prefill of a retry, which is a second call to the servers beside the
+ * decode. If the budget is used up, the decode server does the prefill instead,
+ * which is slower and delays the tokens of its other requests.
  *
- * @returns What it cost.
+ * @returns The charged cost.
  */
 function chargePrefill(run: PlainRun, budget: RetryBudget): number {
 	if (run.route.pool.kind !== 'model' || run.ctx.calls.caches === undefined) {
@@ -111,7 +111,7 @@
 	return run.isDecodeOnly ? 0 : 1;
 }
 
-/** What was decided, and by which state of the budget, of which each host has its own part. */
+/** Logs and counts a decision, with the state of this host's share of the retry budget. */
 function reportDecision({ctx, route, log, tried}: PlainRun, answer: RetryAnswer, budget: RetryBudget, promptCost: number): void {
 	const {clock, runMetrics} = ctx.services;
 	const decision = answer.kind === 'retry' ? 'granted' : answer.reason;
--- a/src/programs/entry/call-plain/_lib/send-step.test.ts
+++ b/src/programs/entry/call-plain/_lib/send-step.test.ts
@@ -5,7 +5,7 @@
 import {noteAnswered} from './send-step.js';
 import {type PlainRun} from './types.js';
 
-/* Guards against taking a crashed server for a living one, because the next at its address answers. */
+/* A crashed server must not count as alive because another server answers at its address. */
 describe('noteAnswered', () => {
 	const cases: ReadonlyArray<{refusal: EngineRefusalReason | undefined; isAlive: boolean}> = [
 		{refusal: undefined, isAlive: true},
@@ -13,7 +13,7 @@
 		{refusal: 'wrong-model', isAlive: false},
 	];
 	for (const {refusal, isAlive} of cases) {
-		it(`takes a refusal as ${String(refusal)} for ${isAlive ? 'an answer of the server' : 'an answer of another one'}`, () => {
+		it(`counts a refusal as ${String(refusal)} as ${isAlive ? 'an answer of the server' : 'an answer of another server'}`, () => {
 			const suspects = createCrashSuspects({crashesToQuarantine: 1});
 			suspects.noteBroken('f', 'a', 10);
 			noteAnswered({ctx: {suspects}} as unknown as PlainRun, {server: 'a', calledAt: 20, refusal});
--- a/src/programs/entry/call-plain/_lib/send-step.ts
+++ b/src/programs/entry/call-plain/_lib/send-step.ts
@@ -1,4 +1,4 @@
-/** One step of a passed-on request at one server. */
+/** Sends one step of a relayed request to one server. */
 import {type Milliseconds} from '../../../../ports/clock.js';
 import {type ServerEntry} from '../../../../ports/config.js';
 import {type EngineRefusalReason} from '../../../../ports/engine.js';
@@ -8,25 +8,25 @@
 import {findNoRetryReason} from './decide-retry.js';
 import {type PlainRun} from './types.js';
 
-/** Targets of silence after which another server is tried: three times as long as answers that are in time take at most. */
+/** Timeout of an answer's head, as a multiple of the first-token target: three times as long as an answer within the target takes. */
 const headTimeoutFactor = 3;
 
-/** Pauses on time of silence within a stream after which another server goes on; callers leave after eight. */
+/** Idle timeout within a stream, as a multiple of the per-token target. Callers disconnect after eight times that target, so another server must continue before. */
 const idleTimeoutFactor = 5;
 
-/** The least status by which a service says that it failed. */
+/** Lowest status with which a service reports that it failed. */
 const minServerErrorStatus = 500;
 
-/** Time left until nobody wants the answer, 1 ms at least. */
+/** Time left until the deadline, at least 1 ms. */
 export function toRemainingMs({deadline, ctx}: PlainRun): Milliseconds {
 	return Math.max(1, deadline - ctx.services.clock.now());
 }
 
 /**
  * @param run - The request.
- * @param server - Where it goes.
- * @param step - What the server is asked for.
- * @returns The headers of the call.
+ * @param server - Server to call.
+ * @param step - Step that the server is asked to do.
+ * @returns Headers of the call.
  */
 export function toCallHeaders(run: PlainRun, server: ServerEntry, step: CallStep): Record<string, string | string[]> {
 	const {exchange, ctx} = run;
@@ -36,15 +36,16 @@
 }
 
 /**
- * Finds what is wrong with an answer by its head.
+ * Checks the head of an answer.
  *
- * An answer of another request on a kept connection is what a server sends that
- * answers twice or late: relayed, one caller would read what another asked for.
+ * A server that answers twice or late may send the answer to another request on a
+ * kept-alive connection. If that were relayed, one caller would read the answer of
+ * another.
  */
 function findHeadFault(run: PlainRun, status: number, headers: AnswerHeaders): PlainFault | undefined {
 	const {calls} = run.ctx;
 	if (!calls.isAnswerTo(run.exchange.requestId, headers)) {
-		return {kind: 'invalid', message: `status ${status}, the answer of another request`};
+		return {kind: 'invalid', message: `status ${status}, an answer to another request`};
 	}
 
 	const reason = calls.toRefusal(status, headers);
@@ -52,7 +53,7 @@
 		return {kind: 'refused', reason, message: `status ${status}`};
 	}
 
-	// Another answer than a stream has no place behind the part that the caller has.
+	// Once the caller has part of a stream, only the rest of that stream can follow.
 	const isMisfit = run.events?.hasBegun === true && status !== 200;
 	if (!isMisfit && status < minServerErrorStatus) {
 		return undefined;
@@ -68,11 +69,12 @@
 }
 
 /**
- * Notes that a server answered. A refusal as another server is the word of the
- * one that has the address now.
+ * Records that a server answered, which clears it of a suspected crash. A refusal
+ * as `wrong-model` does not count, because another server has taken over the
+ * address and sent it.
  *
  * @param run - The request.
- * @param answer - The server, when the call began, and why the server refused it if it did.
+ * @param answer - The server, the monotonic time at which the call began, and the reason of a refusal.
  */
 export function noteAnswered({ctx}: PlainRun, {server, calledAt, refusal}: {server: ServerId; calledAt: Milliseconds; refusal: EngineRefusalReason | undefined}): void {
 	if (refusal !== 'wrong-model') {
@@ -81,7 +83,7 @@
 }
 
 /**
- * Takes what a server says of itself in an answer.
+ * Handles a notice that a server sends about itself in an answer.
  *
  * @param run - The request.
  * @param server - The server that was called.
@@ -95,10 +97,10 @@
 }
 
 /**
- * Tells whether the request is not to be run any more, as servers crashed under it.
+ * Whether a request is quarantined because servers crashed under it.
  *
  * @param run - The request.
- * @returns `true` from the crash that was one too many, at whichever host it was.
+ * @returns `true` once the number of crashes, counted over all hosts, has reached the limit.
  */
 export function isQuarantined({fingerprint, ctx}: PlainRun): boolean {
 	return fingerprint !== undefined && ctx.suspects.isQuarantined(fingerprint, ctx.services.clock.now());
@@ -108,10 +110,10 @@
  * Sends the request and relays the answer.
  *
  * @param run - The request.
- * @param server - Where it goes.
- * @param step - What the server is asked for.
- * @param onFirst - Told of the head of an answer that is no fault of the server.
- * @returns How it ended; after `failed` nothing has been relayed.
+ * @param server - Server to call.
+ * @param step - Step that the server is asked to do.
+ * @param onFirst - Called at the head of an answer that does not report a failure of the server.
+ * @returns How the call ended; after `failed` nothing has been relayed.
  */
 export async function sendRequest(run: PlainRun, server: ServerEntry, step: CallStep, onFirst: () => void): Promise<PlainEnd> {
 	const {exchange, ctx, clients, body} = run;
@@ -144,13 +146,14 @@
 	});
 	headTimeout.end();
 	const isSilent = ended.kind === 'failed' && ended.fault.kind === 'aborted' && !run.signal.aborted;
-	return isSilent ? {kind: 'failed', fault: {kind: 'broken', message: 'the server was silent'}} : ended;
+	return isSilent ? {kind: 'failed', fault: {kind: 'broken', message: 'the server did not begin its answer in time'}} : ended;
 }
 
 /**
- * Ends a call whose server is silent for several times the target, if the
- * request may go to another server. A server behind a cut, or a kept connection
- * that went dead, would hold it until its caller leaves.
+ * Aborts a call whose server sends no head within several times the first-token
+ * target, if the request may be retried. Without this timeout, a server behind a
+ * network partition or a dead kept-alive connection would hold the request until
+ * its caller disconnects.
  */
 function createHeadTimeout(run: PlainRun): {signal: AbortSignal; end: () => void} {
 	if (findNoRetryReason(run) !== undefined) {
--- a/src/programs/entry/call-plain/_lib/to-plain-outcome.ts
+++ b/src/programs/entry/call-plain/_lib/to-plain-outcome.ts
@@ -1,4 +1,4 @@
-/** How the calls of a plain request end without an answer, and what its caller may conclude. */
+/** Outcomes of plain requests that end without an answer, with the problems that their callers are told. */
 import {type PlacementRefusal} from '../../../../domain/create-placement/index.js';
 import {type ServerEntry} from '../../../../ports/config.js';
 import {type Milliseconds} from '../../../../ports/clock.js';
@@ -10,16 +10,16 @@
 import {type EndCause} from '../../_lib/types.js';
 import {type PlainOutcome, type PlainRun} from './types.js';
 
-/** Half to one and a half times the delay: callers refused together don't come back together. */
+/** Multiplies a delay by a random factor from 0.5 to 1.5, so that callers refused together don't retry together. */
 const addJitter = (run: PlainRun, ms: Milliseconds): Milliseconds => ms * (0.5 + run.ctx.services.random());
 
 const toEnd = (outcome: Outcome): PlainOutcome['end'] => outcome === 'not-run' ? 'refused' : 'failed';
 
 /**
- * The end of a request that was told to end.
+ * Returns the outcome of an aborted request.
  *
  * @param run - The request.
- * @returns How it ended.
+ * @returns The outcome.
  */
 export function toAborted(run: PlainRun): PlainOutcome {
 	const outcome = run.ledger.outcome();
@@ -30,9 +30,9 @@
 }
 
 /**
- * The end of a request that no server is left for. An earlier call of it may
- * have been taken: "not run" of the last pick alone would let the caller send
- * work again that was done.
+ * Returns the outcome of a request for which no server is left. The outcome covers
+ * all calls of the request: an earlier one may have run, and a caller that is told
+ * `not-run` because of the last pick alone could repeat work that was done.
  */
 export function toNotPlaced(run: PlainRun, refusal: PlacementRefusal): PlainOutcome {
 	const outcome = run.ledger.outcome();
@@ -45,20 +45,20 @@
 	};
 }
 
-/** A request that found no room now. Servers that ask to back off say until when. */
+/** Returns the outcome of a request that found all servers full. Servers that ask to back off also set the time from which they have capacity. */
 export function toBounced(run: PlainRun, {reason, retryAfterMs}: PlacementRefusal): PlainOutcome {
 	return {
 		end: 'bounced', outcome: run.ledger.outcome(), ...(reason === 'paused' && {capacityAt: run.ctx.services.clock.now() + retryAfterMs}),
 	};
 }
 
-/** The end of a request that crashes the servers that run it. */
+/** Returns the outcome of a quarantined request. */
 export function toQuarantined(run: PlainRun): PlainOutcome {
 	const outcome = run.ledger.outcome();
 	return {end: toEnd(outcome), outcome, problem: toQuarantineProblem(outcome)};
 }
 
-/** The end of a request that is not sent again after a failed call. */
+/** Returns the outcome of a request that is not retried after a failed call. */
 export function toGivenUp(run: PlainRun, server: ServerEntry, fault: PlainFault): PlainOutcome {
 	const bodyFault = run.body.fault();
 	const outcome = run.ledger.outcome();
@@ -68,7 +68,7 @@
 	}
 
 	if (run.ctx.services.clock.now() >= run.deadline) {
-		return {end: 'failed', outcome, problem: {kind: 'deadline-passed', detail: `Server ${server.id} had not begun its answer at the deadline.`, outcome}};
+		return {end: 'failed', outcome, problem: {kind: 'deadline-passed', detail: `Server ${server.id} had not begun its answer when the deadline passed.`, outcome}};
 	}
 
 	if (fault.kind === 'refused' && outcome === 'not-run') {
@@ -79,7 +79,7 @@
 		};
 	}
 
-	const again = outcome === 'not-run' ? 'Nothing was sent; send the request again.' : 'A server had the request, whose fate is not known.';
+	const again = outcome === 'not-run' ? 'Nothing was sent; send the request again.' : 'A server received the request and may have run it.';
 	return {
 		end: toEnd(outcome),
 		outcome,
--- a/src/programs/entry/call-plain/_lib/types.ts
+++ b/src/programs/entry/call-plain/_lib/types.ts
@@ -22,36 +22,36 @@
 	account: Account;
 	/** Carries the request's id. */
 	log: Log;
-	/** The same for each repeat of the request; `undefined` where its body goes through unread. */
+	/** The same for each repeat of the request; `undefined` if its body is streamed. */
 	fingerprint: Fingerprint | undefined;
-	/** What the caller says of the request beside its body. */
+	/** Hints about the request from the caller's headers. */
 	work: RequestHints;
 	body: PlainBody;
 	receivedAt: Milliseconds;
 	deadline: Milliseconds;
 	/** Aborted with an {@link EndCause} as its reason. */
 	signal: AbortSignal;
-	/** What may be said of all its calls together. */
+	/** Outcome over all calls of the request. */
 	ledger: OutcomeLedger;
-	/** Present where a broken answer may be continued by another server. */
+	/** Present if another server may continue a broken answer. */
 	events: RelayedEvents | undefined;
-	/** Servers that failed or refused it so far, and their zones. */
+	/** Servers that failed or refused the request so far, and their zones. */
 	tried: Array<FailedAttempt['tried'][number]>;
-	/** Servers to which the request itself was sent so far. */
+	/** Number of calls so far that carried the request itself, not only its prefill. */
 	sent: number;
-	/** The next attempt is to be one call, as the budget held no more; its decode server computes the prompt. */
+	/** Whether the decode server of the next attempt also does the prefill, because the retry budget did not allow a separate prefill call. */
 	isDecodeOnly: boolean;
-	/** Times that it found every server full. */
+	/** Number of times that every server was full. */
 	bounces: number;
-	/** When the first byte of an answer came, monotonic. */
+	/** Monotonic time of the first byte of an answer. */
 	firstByteAt?: Milliseconds;
 };
 
 export type PlainOutcome = {
-	/** `bounced`: no server has room now, and nothing was sent; it may wait and come again. */
+	/** `bounced`: all servers are full and nothing was sent; the request may wait for admission again. */
 	end: 'complete' | 'refused' | 'failed' | 'caller-gone' | 'bounced';
 	outcome: Outcome;
-	/** Before this time no server has room, monotonic; `undefined` where it may come any moment. */
+	/** Monotonic time before which no server has capacity; `undefined` if capacity may be freed at any time. */
 	capacityAt?: Milliseconds;
 	/** Sent to the caller unless its answer has begun. */
 	problem?: Problem;
--- a/src/programs/entry/call-plain/index.ts
+++ b/src/programs/entry/call-plain/index.ts
@@ -1,7 +1,7 @@
 /**
- * The calls of an admitted plain request: one server after the other, until one
- * answers or no further call is allowed. Work that may not be repeated is
- * offered once.
+ * Calls the servers of an admitted plain request one after the other, until one
+ * answers or no further call is allowed. A request that is not repeatable is sent
+ * to only one server.
  */
 import {type PlacementRefusal} from '../../../domain/create-placement/index.js';
 import {type Milliseconds} from '../../../ports/clock.js';
@@ -28,7 +28,7 @@
 	return services.placement.pickPlain({pool: run.route.pool.name, exclude}, services.toView()!, services.clock.now(), services.random);
 }
 
-/** Where every server has failed this request once, one of them is asked again: the retry budget bounds it, its backoff spaces it. */
+/** Picks a server that has not failed this request, or any server if all have failed it once; the retry budget bounds such retries and its backoff spaces them. */
 function pickUntried(run: PlainRun) {
 	const picked = pickServer(run, new Set(run.tried.map(({server}) => server)));
 	return picked.isErr() && picked.error.reason === 'no-server' && run.tried.length > 0 ? pickServer(run, new Set()) : picked;
@@ -38,7 +38,7 @@
 	| {kind: 'called'; server: ServerEntry; ended: PlainEnd; hasRun: boolean}
 	| {kind: 'bounced' | 'not-placed'; refusal: PlacementRefusal};
 
-/** One call of a plain service, with what it does to the account, the ledger and the server's standing. */
+/** Calls one server of a plain service, and updates the account, the outcome ledger and the placement. */
 async function callPlainServer(run: PlainRun, attempt: number): Promise<AttemptResult> {
 	const {account, ledger, route} = run;
 	const {clock, placement} = run.ctx.services;
@@ -75,7 +75,7 @@
  * Calls servers until one answers or no further call is allowed.
  *
  * @param run - The admitted request.
- * @returns How it ended; a problem in it has not been sent.
+ * @returns How the request ended; its problem, if any, has not been sent to the caller.
  */
 export async function callServers(run: PlainRun): Promise<PlainOutcome> {
 	const {services} = run.ctx;
@@ -134,7 +134,7 @@
 	}
 }
 
-/** A request that waits asks fifty times a second; one line tells of the first time, and the account counts the others. */
+/** Logs that no server was found. A waiting request tries fifty times a second, so only the first time that all servers are full is logged; the account records each. */
 function logNoServer(run: PlainRun, {kind, refusal}: Extract<AttemptResult, {refusal: PlacementRefusal}>): void {
 	if (kind === 'not-placed') {
 		run.log.info('not placed', {reason: refusal.reason});
@@ -151,7 +151,7 @@
 	const {services} = run.ctx;
 	const attempt = run.tried.length + 1;
 	const reason = fault.kind === 'refused' ? fault.reason : undefined;
-	// An answer that says that the request failed is the application's word, and all servers of a service may give it alike.
+	// A failed answer comes from the application, and all servers of a service may give the same one, so it says nothing about the server's health.
 	if (fault.kind !== 'failed-answer') {
 		services.placement.noteFailure(server, {kind: fault.kind, reason}, services.clock.now());
 	}
--- a/src/programs/entry/relay-stream/_lib/create-pace-meter.ts
+++ b/src/programs/entry/relay-stream/_lib/create-pace-meter.ts
@@ -1,15 +1,15 @@
 import {type SeenTokens} from '../../../../domain/create-inter-token-latency/index.js';
 import {type Milliseconds} from '../../../../ports/clock.js';
 
-/** How often a stream tells of its tokens, milliseconds: soon enough to turn the next requests away, and seldom against the cost of a token. */
+/** Length of a sample, milliseconds: short enough to steer the next requests away from a slow server, and long enough that sampling costs little per token. */
 const sampleIntervalMs = 500;
 
 /**
- * Measures how the tokens of one stream come, in samples.
+ * Measures the rate of tokens of one stream, in samples.
  *
  * @param now - Monotonic milliseconds.
  * @param onSample - Gets each sample at its end.
- * @returns Functions to call at each piece, and where the time that passes is not the server's.
+ * @returns Functions to call at each chunk, and when time passes that must not count as the server's.
  */
 export function createPaceMeter(now: () => Milliseconds, onSample: (seen: SeenTokens) => void) {
 	let startedAt: Milliseconds | undefined;
@@ -25,7 +25,7 @@
 	}
 
 	return {
-		/** Tokens came. The first of a sample only start the clock: what they waited for is not known. */
+		/** Counts received tokens. The first ones of a sample only start its clock, because their waiting time is not known. */
 		add(count: number): void {
 			lastAt = now();
 			if (startedAt === undefined) {
@@ -39,7 +39,7 @@
 				startedAt = lastAt;
 			}
 		},
-		/** Ends the sample: the stream has ended or broken, or its reader was kept waiting by the caller. */
+		/** Ends the sample, because the stream has ended or broken, or because reading stops until the caller has caught up. */
 		stop(): void {
 			endSample();
 			startedAt = undefined;
--- a/src/programs/entry/relay-stream/index.ts
+++ b/src/programs/entry/relay-stream/index.ts
@@ -1,5 +1,6 @@
 /**
- * Relays the tokens of one attempt, and resumes its stream where it broke.
+ * Relays the tokens of one attempt, and resumes its stream where the connection
+ * broke.
  */
 import {type SeenTokens} from '../../../domain/create-inter-token-latency/index.js';
 import {
@@ -16,16 +17,16 @@
 	/** The stream broke and could not be resumed. */
 	| {kind: 'failed'; failure: EngineFailure};
 
-/** A stream that brings nothing for this many times the target between tokens is resumed. */
+/** Stall timeout of a stream as a multiple of the per-token target; a stalled stream is resumed over a new connection. */
 const stallFactor = 40;
 const minStallMs = 2 * msPerSecond;
-/** Resumes in a row that bring no token. */
+/** Maximum number of consecutive resumes without a token. */
 const maxFruitlessResumes = 2;
 const resumeTimeoutMs = 2 * msPerSecond;
 
 /**
- * @param run - The request, whose rule has the target between tokens.
- * @returns Limit of silence within a stream, milliseconds.
+ * @param run - The request, whose rule has the per-token target.
+ * @returns Time without a token after which a stream counts as stalled, milliseconds.
  */
 export function toStallTimeoutMs(run: Run): number {
 	return Math.max(minStallMs, run.rule.then.target.perTokenMs * stallFactor);
@@ -39,7 +40,7 @@
 
 function toFailure(error: unknown, server: string): EngineFailure {
 	const {failure} = error as Partial<EngineStreamError>;
-	return failure ?? toBroken(server, error instanceof Error ? error.message : 'the stream broke');
+	return failure ?? toBroken(server, error instanceof Error ? error.message : 'the stream broke with an unknown error');
 }
 
 type Reader = {
@@ -50,7 +51,7 @@
 	meter: PaceMeter;
 };
 
-/** Reads one connection to its end. `undefined` means that the answer is whole. */
+/** Reads one connection to its end; `undefined` means that the answer is complete. */
 async function readStream(reader: Reader, stream: AsyncIterable<DecodeChunk>): Promise<EngineFailure | undefined> {
 	const {
 		run, services, step, meter,
@@ -86,13 +87,13 @@
 			}
 		}
 
-		return toBroken(reader.server, 'the stream ended without its end mark');
+		return toBroken(reader.server, 'the stream ended without a finish reason');
 	} catch (error) {
 		return toFailure(error, reader.server);
 	}
 }
 
-/** The time of a slow caller is not the engine's: its silence is not counted meanwhile. */
+/** Waits until the caller has read. The stall timeout and the sample stop meanwhile, as the delay is not the engine's. */
 async function waitForCaller({run, step, meter}: Reader): Promise<boolean> {
 	meter.stop();
 	step.disarm();
@@ -117,16 +118,17 @@
 	engine: Engine;
 	key: AttemptKey;
 	server: string;
-	/** Signal under which `stream` was opened; closed at the stream's end. */
+	/** Signal with which `stream` was opened; closed at the end of the stream. */
 	step: StepSignal;
 	stream: AsyncIterable<DecodeChunk>;
-	/** Gets how the tokens come, while they come. */
+	/** Called with samples of the token rate during the stream. */
 	noteTokens: (seen: SeenTokens) => void;
 };
 
 /**
- * Relays an attempt's stream to its end. A break costs a second connection at
- * the next offset, never a second run, as long as the server still has the stream.
+ * Relays the stream of an attempt to its end. As long as the server still has the
+ * stream, a broken connection is replaced by one that continues at the next offset,
+ * without a second run.
  *
  * @param options - The run, the engine, and the open stream.
  * @returns How the attempt ended.
--- a/src/programs/entry/relay-stream/test.ts
+++ b/src/programs/entry/relay-stream/test.ts
@@ -11,7 +11,7 @@
 
 const key = {requestId: 'r', attempt: 1, owner: {host: 'h', incarnation: 1}};
 
-/** What one connection brings: chunks, then a break, an early end, or the end mark. */
+/** Chunks of one connection, which ends by a break or too early; without a connection, the whole rest with a finish reason follows. */
 type Connection = {
 	pieces: ReadonlyArray<{kind: 'own' | 'crossed' | 'late' | 'repeated' | 'ahead'; count: number}>;
 	ending: 'break' | 'early-end';
@@ -20,13 +20,13 @@
 type ToChunk = (at: number, tokens: readonly string[], rest?: Partial<DecodeChunk>) => DecodeChunk;
 
 /** Chunks that must never be relayed. */
-const strangers: Readonly<Record<'crossed' | 'late' | 'ahead', (offset: number, count: number, toChunk: ToChunk) => DecodeChunk>> = {
+const foreignChunks: Readonly<Record<'crossed' | 'late' | 'ahead', (offset: number, count: number, toChunk: ToChunk) => DecodeChunk>> = {
 	crossed: (offset, _count, toChunk) => toChunk(offset, ['!'], {requestId: 'other'}),
 	late: (offset, _count, toChunk) => toChunk(offset, ['!'], {attempt: 7}),
 	ahead: (offset, count, toChunk) => toChunk(offset + count + 1, ['?']),
 };
 
-/** Chunks of an answer from an offset on, split and disturbed as the connection says. */
+/** Chunks of an answer from an offset on, split and disturbed as the connection describes. */
 async function * toStream(answer: readonly string[], from: number, connection: Connection | undefined): AsyncGenerator<DecodeChunk> {
 	let offset = from;
 	const toChunk: ToChunk = (at, tokens, rest = {}) => ({
@@ -39,7 +39,7 @@
 			yield toChunk(start, answer.slice(start, end));
 			offset = Math.min(answer.length, end);
 		} else {
-			yield strangers[kind](offset, count, toChunk);
+			yield foreignChunks[kind](offset, count, toChunk);
 		}
 	}
 
@@ -104,7 +104,7 @@
 	const piece = fc.record({kind: fc.constantFrom('own', 'own', 'crossed', 'late', 'repeated', 'ahead'), count: fc.integer({min: 0, max: 6})});
 	const connection = fc.record({pieces: fc.array(piece, {maxLength: 8}), ending: fc.constantFrom('break', 'early-end')}) as fc.Arbitrary<Connection>;
 
-	it('relays exactly the answer, or a beginning of it and a failure, whatever each connection does', async () => {
+	it('relays exactly the answer, or a prefix of it and a failure, whatever each connection does', async () => {
 		await fc.assert(fc.asyncProperty(answers, fc.array(connection, {maxLength: 5}), async (answer, connections) => {
 			const {end, text} = await relay(answer, connections);
 			if (end.kind === 'complete') {
@@ -116,7 +116,7 @@
 		}));
 	});
 
-	it('always completes when each connection brings something new', async () => {
+	it('always completes when each connection brings a new token', async () => {
 		const fruitful = connection.map(each => ({...each, pieces: [{kind: 'own' as const, count: 1}, ...each.pieces]}));
 		await fc.assert(fc.asyncProperty(answers, fc.array(fruitful, {maxLength: 5}), async (answer, connections) => {
 			const long = [...answer, ...Array.from({length: 60}, (_, i) => ` ${i}`)];
@@ -126,7 +126,7 @@
 		}));
 	});
 
-	it('tells how the tokens came while the stream goes on', async () => {
+	it('samples the token rate during the stream', async () => {
 		const seen: Array<{tokens: number; tookMs: number}> = [];
 		let now = 0;
 		const tick = () => {
@@ -161,7 +161,7 @@
 		assert.equal(text, 'ab');
 	});
 
-	it('gives up after connections that bring nothing', async () => {
+	it('fails after several connections without a token', async () => {
 		const idle: Connection = {pieces: [], ending: 'early-end'};
 		const {end} = await relay(['a'], [idle, idle, idle, idle]);
 		assert.equal(end.kind, 'failed');
--- a/src/programs/entry/send-plain/_lib/create-event-relay.ts
+++ b/src/programs/entry/send-plain/_lib/create-event-relay.ts
@@ -1,7 +1,7 @@
 /**
- * Passes a stream of events on, whole events only, so that another server can go
- * on with it where the first one broke off: a server may stop in the middle of an
- * event, and what follows half an event belongs to nobody.
+ * Relays a stream of events, only complete events at a time. A server may stop in
+ * the middle of an event; without the incomplete part, another server can continue
+ * the stream after the last complete event.
  */
 import {Buffer} from 'node:buffer';
 import {type CallFlow} from '../../../../adapters/_lib/dispatch-call/index.js';
@@ -9,25 +9,25 @@
 import {type Milliseconds} from '../../../../ports/clock.js';
 import {createFlowWriter, type Relay} from './create-relay.js';
 
-/** What of a stream has gone to the caller, over all servers that sent a part of it. */
+/** Part of a stream that the caller has received, from all servers that sent some of it. */
 export type RelayedEvents = {
-	/** The caller has the head of the answer. */
+	/** Whether the caller has received the head of the answer. */
 	hasBegun: boolean;
-	/** Id of the last event that went out whole. */
+	/** Id of the last complete event that was relayed. */
 	lastId: string | undefined;
 };
 
-/** A blank line ends an event, whichever way lines end. */
+/** A blank line ends an event, with either kind of line ending. */
 const eventEnds = ['\n\n', '\r\n\r\n'].map(text => Buffer.from(text));
 const idLine = /^id:[ ]?(?<id>.*)$/gmv;
 
-/** Length up to the last event's end; 0 when none has ended. */
+/** Length up to the end of the last complete event; 0 if there is none. */
 function findLastEnd(bytes: Buffer, end: Buffer): number {
 	const at = bytes.lastIndexOf(end);
 	return at === -1 ? 0 : at + end.length;
 }
 
-/** The id that the last event with one has. */
+/** Finds the id of the last event that has one. */
 function findLastId(events: string): string | undefined {
 	return [...events.matchAll(idLine)].at(-1)?.groups?.id?.trimEnd();
 }
@@ -35,8 +35,8 @@
 /**
  * Creates the relay of one server's part of a stream.
  *
- * @param options - The caller's connection, how long it may read nothing, and what it has of the stream.
- * @returns Its functions, called in order: start, pieces, end.
+ * @param options - The caller's connection, its idle timeout in milliseconds, and the part of the stream that it has.
+ * @returns Functions to call in this order: `start`, `write` for each chunk, `end`.
  */
 export function createEventRelay(options: {exchange: CallerExchange; idleTimeoutMs: Milliseconds; events: RelayedEvents}): Relay {
 	const {exchange, events} = options;
--- a/src/programs/entry/send-plain/_lib/create-relay.ts
+++ b/src/programs/entry/send-plain/_lib/create-relay.ts
@@ -1,4 +1,4 @@
-/** Passes a plain service's answer on to the caller. */
+/** Relays the answer of a plain service to the caller. */
 import {type Buffer} from 'node:buffer';
 import {type CallFlow} from '../../../../adapters/_lib/dispatch-call/index.js';
 import {type CallerExchange} from '../../../../adapters/caller-http/index.js';
@@ -6,10 +6,10 @@
 import {bytesPerKibibyte} from '../../../../ports/units.js';
 
 /**
- * Answers that tell a length up to this are held until they are whole. Passed
- * on as it comes, a short answer whose service breaks midway would leave its
- * caller with a cut connection and no word; held, the call can be sent elsewhere
- * where that is allowed, and is ended by a problem document where it is not.
+ * Answers with a content length up to this are buffered until they are complete.
+ * If a short answer were relayed as it arrives and its service failed midway, the
+ * caller would see only a closed connection. From the buffered state, the call can
+ * be retried or, if that is not allowed, answered with a problem document.
  */
 const maxHeldBytes = 64 * bytesPerKibibyte;
 
@@ -19,7 +19,7 @@
 	start: (status: number, headers: Headers, flow: CallFlow) => void;
 	write: (bytes: Buffer) => void;
 	end: () => void;
-	/** Whether anything was passed on, so that no other answer can take its place. */
+	/** Whether any part was relayed, after which no other answer can replace this one. */
 	hasBegun: () => boolean;
 };
 
@@ -28,7 +28,7 @@
 	return length >= 0 && length <= maxHeldBytes;
 }
 
-/** A caller that reads nothing for too long is cut off, and its going ends the call. */
+/** Resumes once the caller has read; a caller that reads nothing for too long is disconnected, which ends the call. */
 async function resumeOnceRead(exchange: CallerExchange, timeoutMs: Milliseconds, resume: () => void): Promise<void> {
 	if (await exchange.drained(timeoutMs)) {
 		resume();
@@ -37,7 +37,7 @@
 	}
 }
 
-/** Writes to the caller, and holds the server back while the caller reads nothing. */
+/** Creates a writer to the caller that passes back-pressure on to the server. */
 export function createFlowWriter({exchange, idleTimeoutMs}: {exchange: CallerExchange; idleTimeoutMs: Milliseconds}) {
 	let flow: CallFlow | undefined;
 	return {
@@ -60,8 +60,8 @@
 /**
  * Creates the relay of one answer.
  *
- * @param options - The caller's connection, and how long it may read nothing.
- * @returns Its functions, called in order: start, pieces, end.
+ * @param options - The caller's connection, and its idle timeout in milliseconds.
+ * @returns Functions to call in this order: `start`, `write` for each chunk, `end`.
  */
 export function createRelay(options: {exchange: CallerExchange; idleTimeoutMs: Milliseconds}): Relay {
 	const {exchange} = options;
--- a/src/programs/entry/send-plain/create-event-relay.test.ts
+++ b/src/programs/entry/send-plain/create-event-relay.test.ts
@@ -33,12 +33,12 @@
 const toEvent = (id: number): string => `id: ${id}\ndata: pièce ${id}\n\n`;
 
 /*
- * The caller sees one stream. Its first server breaks off at any byte, the second
- * goes on behind the last event that went out. A piece that is missing, comes
- * twice or is joined from two halves is what the caller would see otherwise.
+ * The caller sees one stream, whose first server breaks off at any byte and whose
+ * second server continues after the last relayed event. The test guards against
+ * events that are lost, repeated or joined from parts of two events.
  */
 describe('createEventRelay', () => {
-	it('joins a stream that breaks at any byte and comes in any pieces', () => {
+	it('joins a stream that breaks at any byte and arrives in chunks of any size', () => {
 		fc.assert(fc.property(fc.integer({min: 1, max: 12}), fc.double({min: 0, max: 1, noNaN: true}), fc.array(fc.integer({min: 1, max: 40}), {minLength: 1, maxLength: 20}), (count, cut, sizes) => {
 			const caller = createCaller();
 			const events: RelayedEvents = {hasBegun: false, lastId: undefined};
@@ -64,7 +64,7 @@
 		}));
 	});
 
-	it('passes on what follows the last whole event when the server ends in order', () => {
+	it('relays the rest after the last complete event when the server ends normally', () => {
 		const caller = createCaller();
 		const relay = createEventRelay({exchange: caller.exchange, idleTimeoutMs: 1000, events: {hasBegun: false, lastId: undefined}});
 		relay.start(200, {}, flow);
--- a/src/programs/entry/send-plain/index.ts
+++ b/src/programs/entry/send-plain/index.ts
@@ -1,6 +1,6 @@
 /**
- * One call of a plain service: the caller's body out, the service's answer back.
- * A short answer goes out once it is whole, a longer one as it comes.
+ * One call of a plain service: sends the caller's body and relays the answer. A
+ * short answer is relayed once it is complete, a longer one as it arrives.
  */
 import {type Buffer} from 'node:buffer';
 import {type Dispatcher} from 'undici';
@@ -16,11 +16,11 @@
 
 export {type RelayedEvents} from './_lib/create-event-relay.js';
 
-/** Why a call brought no answer to relay; `refused` is the server's own word that it did not run the request. */
+/** Why a call brought no answer to relay; `refused` means that the server itself reported that it did not run the request. */
 export type PlainFault =
 	| CallFault
 	| {kind: 'refused'; reason: EngineRefusalReason; message: string}
-	/** The server ran the request and answered that it failed; the answer was not relayed, as another server is to be tried. */
+	/** The server ran the request and reported a failure; the answer was not relayed, because another server is to be tried. */
 	| {kind: 'failed-answer'; message: string}
 	| {kind: 'invalid'; message: string};
 
@@ -39,21 +39,22 @@
 	headers: Record<string, string | string[]>;
 	payload: Buffer | AsyncIterable<Uint8Array> | undefined;
 	signal: AbortSignal;
-	/** Limit of the wait for the answer's head. */
+	/** Timeout of the answer's head. */
 	headersTimeoutMs: Milliseconds;
-	/** Limit of silence within the answer, and of a caller that does not read. */
+	/** Idle timeout within the answer, and of a caller that does not read. */
 	idleTimeoutMs: Milliseconds;
-	/** Present where a broken answer may be continued by another server: only whole events go out. */
+	/** Present if another server may continue a broken answer; only complete events are relayed then. */
 	events?: RelayedEvents | undefined;
-	/** Looks at the answer's head; a fault in it ends the call, and nothing of the answer is relayed. */
+	/** Checks the answer's head; a fault ends the call, and nothing of the answer is relayed. */
 	checkHead?: (status: number, headers: AnswerHeaders) => PlainFault | undefined;
-	/** Told of the answer's head, with its status. */
+	/** Called with the status once the head is accepted. */
 	onStart: (status: number) => void;
 };
 
 /**
- * A refusal is short and its connection goes on to serve; an answer that belongs
- * to another request says that the connection can't be trusted any more.
+ * Ends a call whose answer is not relayed. The rest of a refusal is short and is
+ * read, so that the connection can be reused. After an invalid answer, such as one
+ * to another request, the connection is closed, as its next answer may be wrong too.
  */
 function rejectAnswer(fault: PlainFault, flow: CallFlow, resolve: (end: PlainEnd) => void): void {
 	if (fault.kind === 'invalid') {
@@ -68,8 +69,8 @@
 /**
  * Sends the call and relays the answer.
  *
- * @param call - Where, what, and the limits.
- * @returns How it ended. After `failed` nothing was sent to the caller.
+ * @param call - Server, content and timeouts of the call.
+ * @returns How the call ended; after `failed` nothing was sent to the caller.
  */
 export async function sendPlain(call: PlainCall): Promise<PlainEnd> {
 	const {exchange, server, signal} = call;
