--- a/src/programs/entry/accounts/index.ts
+++ b/src/programs/entry/accounts/index.ts
@@ -1,23 +1,23 @@
 /**
- * Accounts of the last requests, for operators who ask what became of one.
+ * Keeps accounts of the last requests, which show operators how each was handled.
  */
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type RequestId} from '../../../ports/ids.js';
 
 export type AccountStage = {
 	stage: string;
-	/** Milliseconds since the request came in. */
+	/** Milliseconds since the request was received. */
 	atMs: Milliseconds;
-	/** What was decided or happened; never text of a prompt or an answer. */
+	/** Details of the decision or event; never text of a prompt or an answer. */
 	details?: Details | undefined;
 };
 
 export type AccountDocument = {
 	requestId: RequestId;
-	/** Wall-clock time at which the request came in, ISO 8601. */
+	/** Wall-clock time at which the request was received, ISO 8601. */
 	receivedAt: string;
 	stages: readonly AccountStage[];
-	/** Stages that were left out because there were too many. */
+	/** Number of stages left out because there were too many. */
 	omitted: number;
 };
 
@@ -26,13 +26,13 @@
 export type Account = {
 	addStage: (stage: string, details?: Details) => void;
 	/**
-	 * Notes a stage of which a part is dear. `computeDetails` is called when the account
-	 * is read, or by {@link Account.resolveDetails}, and tells what is so at that moment;
-	 * it is let go with {@link maxUnresolvedStages} newer ones, and the stage then stays
-	 * without that part.
+	 * Adds a stage with details that are expensive to compute. `computeDetails` is
+	 * called when the account is read, or by {@link Account.resolveDetails}, and
+	 * returns the details as of that moment. It is dropped when
+	 * {@link maxUnresolvedStages} newer ones exist; the stage then stays without them.
 	 */
 	addLazyStage: (stage: string, details: Details, computeDetails: () => Details) => void;
-	/** Works out now what stages noted so far have left for a reader. */
+	/** Computes the outstanding details of all stages added so far. */
 	resolveDetails: () => void;
 };
 
@@ -49,28 +49,28 @@
 };
 
 export type AccountsOptions = {
-	/** Requests kept; the oldest makes room. */
+	/** Maximum number of requests kept; the oldest is dropped first. */
 	limit: number;
 	now: () => Milliseconds;
 	wallNow: () => Milliseconds;
 };
 
-/** Parts of accounts not worked out that are kept over all requests: each may hold a view of the whole fleet. */
+/** Maximum number of stages with outstanding details, over all requests; each may keep a view of the whole fleet in memory. */
 export const maxUnresolvedStages = 16;
 
-/** A request that is retried without end must not grow its account without end. */
+/** Bounds the account of a request that is retried many times. */
 const maxStages = 100;
 
 /**
  * Creates the store of accounts.
  *
- * @param options - How many, and clocks.
+ * @param options - Number of requests to keep, and clocks.
  * @returns The store.
  */
 export function createAccounts(options: AccountsOptions): Accounts {
 	const {limit, now, wallNow} = options;
 	const entries = new Map<RequestId, StoredAccount>();
-	/** In the order in which they were noted. */
+	/** Functions that compute outstanding details, oldest first. */
 	const unresolved = new Map<AccountStage, () => Details>();
 
 	function resolveDetails(stages: readonly AccountStage[]): void {
--- a/src/programs/entry/accounts/test.ts
+++ b/src/programs/entry/accounts/test.ts
@@ -5,7 +5,7 @@
 const createFixture = () => createAccounts({limit: 100, now: () => 0, wallNow: () => 0});
 
 describe('createAccounts', () => {
-	it('works the dear part of a stage out once, and only for a reader', () => {
+	it('computes expensive details once, and only when the account is read', () => {
 		const accounts = createFixture();
 		let count = 0;
 		accounts.open('r').addLazyStage('placed', {attempt: 1}, () => ({count: ++count}));
@@ -14,7 +14,7 @@
 		assert.deepEqual(accounts.findAccount('r')?.stages[0]?.details, {attempt: 1, count: 1});
 	});
 
-	it('lets go of what nobody read, and keeps what was worked out in time', () => {
+	it('drops details that were not read in time, and keeps those that were computed', () => {
 		const accounts = createFixture();
 		const failed = accounts.open('failed');
 		failed.addLazyStage('placed', {attempt: 1}, () => ({why: 'worse'}));
@@ -30,7 +30,7 @@
 		assert.deepEqual(toDetails('r0'), {attempt: 1, why: 'worse'});
 	});
 
-	it('forgets the oldest request at its limit', () => {
+	it('drops the oldest request at its limit', () => {
 		const accounts = createAccounts({limit: 1, now: () => 0, wallNow: () => 0});
 		accounts.open('a');
 		accounts.open('b');
--- a/src/programs/entry/cancel-queue/index.ts
+++ b/src/programs/entry/cancel-queue/index.ts
@@ -1,6 +1,6 @@
 /**
- * Cancels that must reach their engines: one task for each server, which
- * retries until the server confirms or is no longer part of the fleet.
+ * Sends cancels of attempts to their servers. One task for each server retries
+ * until the server confirms or is no longer part of the fleet.
  */
 import {type ResultAsync} from 'neverthrow';
 import {type AttemptKey, type EngineFailure} from '../../../ports/engine.js';
@@ -16,19 +16,19 @@
 	random: Random;
 	sleep: (ms: Milliseconds) => Promise<void>;
 	onSettled?: (server: ServerId, key: AttemptKey, end: CancelEnd, tookMs: Milliseconds) => void;
-	/** Cancels kept for one server; the oldest makes room. */
+	/** Maximum number of cancels kept for one server; the oldest is dropped first. */
 	maxPerServer?: number;
 };
 
-/** `confirmed`: the server holds nothing. The others leave the release to the server's own expiry and to the zone's agents. */
+/** `confirmed`: the server holds nothing of the attempt. With the other ends, the server's own expiry and the zone's agents release what it holds. */
 export type CancelEnd = 'confirmed' | 'server-gone' | 'too-old' | 'displaced';
 
 export type CancelQueue = {
 	add: (server: ServerId, key: AttemptKey) => void;
 	pending: () => number;
-	/** Ends all tasks; what is pending is left to the servers' own expiry and to the zone's agents. */
+	/** Ends all tasks; pending cancels are left to the servers' own expiry and to the zone's agents. */
 	stop: () => void;
-	/** Resolves when nothing is pending, or after the time given. */
+	/** Resolves when no cancel is pending, or after the timeout. */
 	settle: (timeoutMs: Milliseconds) => Promise<void>;
 };
 
@@ -42,14 +42,14 @@
 const callTimeoutMs = 1000;
 const concurrentCalls = 8;
 const defaultMaxPerServer = 10_000;
-/** An engine that was unreachable for this long holds nothing that its own expiry would not have freed. */
+/** Age at which a cancel is dropped; by then, the server's own expiry has freed whatever it held. */
 const maxAgeMs = 10 * msPerMinute;
 const settlePollMs = 20;
 
 /**
  * Creates the queue.
  *
- * @param options - How to cancel, clocks, and bounds.
+ * @param options - The cancel call, clocks, and limits.
  * @returns The queue.
  */
 export function createCancelQueue(options: CancelQueueOptions): CancelQueue {
@@ -63,7 +63,7 @@
 		onSettled?.(server, item.key, end, now() - item.addedAt);
 	}
 
-	/** Sends some cancels at once and returns those that have to be sent again. */
+	/** Sends a batch of cancels concurrently, and returns those that have to be sent again. */
 	async function sendBatch(server: ServerId, batch: readonly PendingCancel[]): Promise<PendingCancel[]> {
 		const results = await Promise.all(batch.map(async item => cancel(server, item.key, callTimeoutMs)));
 		return batch.filter((item, i) => {
@@ -81,7 +81,7 @@
 		});
 	}
 
-	/** The task of one server; ends when nothing is left to cancel there. */
+	/** Runs the task of one server, until nothing is left to cancel there. */
 	async function serveServer(server: ServerId, items: PendingCancel[]): Promise<void> {
 		let backoffMs = firstBackoffMs;
 		while (items.length > 0 && !stopping.signal.aborted) {
@@ -106,7 +106,7 @@
 			count += items.length;
 		}
 
-		// A batch on its way is out of its list, but its server's task still runs.
+		// A batch in flight is no longer in its list, so each running task counts as one more.
 		return count + byServer.size;
 	}
 
--- a/src/programs/entry/cancel-queue/test.ts
+++ b/src/programs/entry/cancel-queue/test.ts
@@ -9,7 +9,7 @@
 };
 const toKey = (attempt: number) => ({requestId: 'r', attempt, owner: {host: 'h', incarnation: 1}});
 
-/** A queue on a clock that only sleeping moves. */
+/** A queue on a clock that only `sleep` advances. */
 function createFixture(options: {failures: number; isGone?: () => boolean; maxPerServer?: number}) {
 	let time = 0;
 	let calls = 0;
@@ -35,7 +35,7 @@
 
 describe('createCancelQueue', () => {
 	const cases: ReadonlyArray<[string, Parameters<typeof createFixture>[0], CancelEnd, number]> = [
-		['confirms at once', {failures: 0}, 'confirmed', 1],
+		['ends as confirmed at the first success', {failures: 0}, 'confirmed', 1],
 		['retries until the server confirms', {failures: 12}, 'confirmed', 13],
 		['gives up once the server has left the configuration', {failures: Infinity, isGone: () => true}, 'server-gone', 1],
 	];
@@ -50,14 +50,14 @@
 		});
 	}
 
-	it('gives up on a server that stays unreachable', async () => {
+	it('drops cancels of a server that stays unreachable', async () => {
 		const fixture = createFixture({failures: Infinity});
 		fixture.queue.add('s', toKey(1));
 		await fixture.queue.settle(3_600_000);
 		assert.deepEqual(fixture.ends, ['too-old']);
 	});
 
-	it('sends nothing more once it is stopped', async () => {
+	it('sends nothing more once the queue is stopped', async () => {
 		const fixture = createFixture({failures: Infinity});
 		fixture.queue.add('s', toKey(1));
 		fixture.queue.stop();
@@ -65,7 +65,7 @@
 		assert.equal(fixture.calls(), 1);
 	});
 
-	it('keeps a bounded number for each server', () => {
+	it('keeps a bounded number of cancels for each server', () => {
 		const fixture = createFixture({failures: Infinity, maxPerServer: 5});
 		for (let attempt = 1; attempt <= 50; attempt++) {
 			fixture.queue.add('s', toKey(attempt));
--- a/src/programs/entry/delivery/index.ts
+++ b/src/programs/entry/delivery/index.ts
@@ -1,5 +1,5 @@
 /**
- * An answer's way back to its caller: server-sent events as tokens come, or one
+ * Sends answers to callers: as server-sent events while tokens arrive, or as one
  * JSON body at the end.
  */
 import {type CallerExchange} from '../../../adapters/caller-http/index.js';
@@ -11,9 +11,9 @@
 export type DeliveryOptions = {
 	head: AnswerHead;
 	includesUsage: boolean;
-	/** Time for which a caller may read nothing before it counts as gone. */
+	/** Time without a read after which a caller counts as gone. */
 	writeTimeoutMs: Milliseconds;
-	/** Headers besides those of the format, for example the rule that decided. */
+	/** Headers besides those of the format, for example the matching rule. */
 	headers?: Readonly<Record<string, string>>;
 };
 
@@ -21,11 +21,11 @@
 
 /**
  * Creates the delivery of a streamed answer. A failure after the first byte is
- * told by an `error` event, and `[DONE]` is left out: a client that only looked
- * at the closed connection could take half an answer for a whole one.
+ * reported by an `error` event without a `[DONE]` after it, because a client could
+ * take a mere end of the connection for the end of a complete answer.
  *
  * @param exchange - The caller's request.
- * @param options - What the answer carries.
+ * @param options - Head, format and timeout of the answer.
  * @returns The delivery.
  */
 export function createSseDelivery(exchange: CallerExchange, options: DeliveryOptions): Delivery {
@@ -48,7 +48,7 @@
 		async drained() {
 			const isReading = await exchange.drained(options.writeTimeoutMs);
 			if (!isReading) {
-				// Whatever was written for it would stay in memory for as long as it keeps the connection.
+				// The unread data would stay in memory for as long as the caller keeps the connection open.
 				exchange.destroy();
 			}
 
@@ -75,10 +75,10 @@
 }
 
 /**
- * Creates the delivery of an answer in one piece.
+ * Creates the delivery of an answer as one JSON body.
  *
  * @param exchange - The caller's request.
- * @param options - What the answer carries.
+ * @param options - Head and headers of the answer.
  * @returns The delivery.
  */
 export function createJsonDelivery(exchange: CallerExchange, options: DeliveryOptions): Delivery {
--- a/src/programs/entry/delivery/test.ts
+++ b/src/programs/entry/delivery/test.ts
@@ -3,7 +3,7 @@
 import {type CallerExchange} from '../../../adapters/caller-http/index.js';
 import {createJsonDelivery, createSseDelivery} from './index.js';
 
-/** An exchange that writes down what is done to it. */
+/** An exchange that records its calls. */
 function createExchange(isReading = true) {
 	const done: string[] = [];
 	const exchange = {
@@ -33,13 +33,13 @@
 const end = {finish: 'stop' as const, usage: {promptTokens: 1, cachedTokens: 0, completionTokens: 1}};
 
 describe('createSseDelivery', () => {
-	it('sends a problem document while nothing was relayed', () => {
+	it('sends a problem document if nothing was relayed', () => {
 		const {exchange, done} = createExchange();
 		createSseDelivery(exchange, options).fail(problem);
 		assert.deepEqual(done, ['problem']);
 	});
 
-	it('ends a begun answer by an error event and never by the end mark', () => {
+	it('ends an answer that has begun with an error event, and without [DONE]', () => {
 		const {exchange, done} = createExchange();
 		const delivery = createSseDelivery(exchange, options);
 		delivery.relay('a');
@@ -56,7 +56,7 @@
 		assert.match(done[1]!, /"finish_reason":"stop"[\s\S]*\[DONE\]/v);
 	});
 
-	it('cuts a caller off that reads nothing', async () => {
+	it('disconnects a caller that reads nothing', async () => {
 		const {exchange, done} = createExchange(false);
 		assert.equal(await createSseDelivery(exchange, options).drained(), false);
 		assert.deepEqual(done, ['destroy']);
@@ -64,7 +64,7 @@
 });
 
 describe('createJsonDelivery', () => {
-	it('sends nothing before the whole answer', () => {
+	it('sends nothing before the answer is complete', () => {
 		const {exchange, done} = createExchange();
 		const delivery = createJsonDelivery(exchange, options);
 		delivery.relay('a');
--- a/src/programs/entry/main.ts
+++ b/src/programs/entry/main.ts
@@ -29,7 +29,7 @@
 		}),
 		clockBoundMs: settings.clockBound,
 		createEngine: (server, hooks) => createEngineHttp({
-			// The silence of a stream is bounded by its run, which knows the rule's target and pauses of this process.
+			// No idle timeout here: the run has a stall timeout, which takes the rule's target and pauses of this process into account.
 			server, connectTimeoutMs: settings.engineConnectTimeout, streamIdleMs: 0, ...hooks,
 		}),
 	});
--- a/src/programs/entry/outcome-ledger/index.ts
+++ b/src/programs/entry/outcome-ledger/index.ts
@@ -2,27 +2,28 @@
 import {type Outcome} from '../../../ports/outcome.js';
 
 /**
- * What may be said of a request if it were given up now. It only ever moves
- * from `not-run` towards `ran`.
+ * Tracks whether a request has run, may have run, or has not run on any server, as
+ * its caller would be told if the request ended now. Once it has run, the outcome
+ * stays `ran`.
  */
 export type OutcomeLedger = {
 	/** Bytes of the request are about to be offered to a backend server that may run it. */
 	noteOffered: () => void;
-	/** The server itself said that it did not start the offer, or no connection was made. */
+	/** The server reported that it did not start the offered request, or no connection was made. */
 	noteNotStarted: () => void;
-	/** The server ran it: its first token came at this monotonic time. */
+	/** The server ran the request; its first token arrived at this monotonic time. */
 	noteRan: (now: Milliseconds) => void;
-	/** When its first token came. */
+	/** Monotonic time of the first token. */
 	firstTokenAt: () => Milliseconds | undefined;
 	outcome: () => Outcome;
-	/** Whether any offer may have been taken; decides whether work that is not repeatable may be offered again. */
+	/** Whether a server may have accepted an offer; a request that is not repeatable must not be offered again then. */
 	isOffered: () => boolean;
 };
 
 /**
- * Creates the ledger of one request. The offer is noted before its first byte
- * is sent: noted afterwards, a pause or a failure between the two would let the
- * caller be told `not-run` about work that runs.
+ * Creates the ledger of one request. An offer is recorded before its first byte is
+ * sent. If it were recorded afterwards, a pause or a failure between the two could
+ * let the caller be told `not-run` about a request that runs.
  *
  * @returns The ledger.
  */
--- a/src/programs/entry/outcome-ledger/test.ts
+++ b/src/programs/entry/outcome-ledger/test.ts
@@ -4,20 +4,20 @@
 
 describe('createOutcomeLedger', () => {
 	const cases: ReadonlyArray<[string, (ledger: OutcomeLedger) => void, string]> = [
-		['says not-run before any offer', () => undefined, 'not-run'],
-		['says may-have-run from the offer on', ledger => {
+		['reports not-run before any offer', () => undefined, 'not-run'],
+		['reports may-have-run from the offer on', ledger => {
 			ledger.noteOffered();
 		}, 'may-have-run'],
-		['takes the server\'s word that it did not start', ledger => {
+		['reports not-run after the server reported that it did not start', ledger => {
 			ledger.noteOffered();
 			ledger.noteNotStarted();
 		}, 'not-run'],
-		['keeps an open offer when a later one was not started', ledger => {
+		['reports may-have-run while an earlier offer is open, although a later one was not started', ledger => {
 			ledger.noteOffered();
 			ledger.noteOffered();
 			ledger.noteNotStarted();
 		}, 'may-have-run'],
-		['says ran after a token, whatever follows', ledger => {
+		['reports ran after a token, whatever follows', ledger => {
 			ledger.noteOffered();
 			ledger.noteRan(5);
 			ledger.noteOffered();
--- a/src/programs/entry/serve-completion/_lib/read-request.ts
+++ b/src/programs/entry/serve-completion/_lib/read-request.ts
@@ -1,4 +1,4 @@
-/** A completion request from its bytes to its checked fields. */
+/** Reads and validates a completion request. */
 import {err, ok, type Result} from 'neverthrow';
 import {type CallerExchange} from '../../../../adapters/caller-http/index.js';
 import {countPromptTokens} from '../../../../domain/count-prompt-tokens/index.js';
@@ -17,7 +17,7 @@
 };
 
 type ReadRequest = ParsedRequest & {
-	/** Names the work, for a key that comes with it. */
+	/** Digest of the request, compared when its idempotency key is used again. */
 	digest: string;
 };
 
@@ -26,8 +26,8 @@
  *
  * @param kind - The endpoint.
  * @param exchange - The caller's request.
- * @param ctx - The program around it, for its limits.
- * @returns The request, or the problem to answer with; `gone` when the caller left before its body was whole.
+ * @param ctx - Services of the entry, for its limits.
+ * @returns The request, or the problem to answer with; `gone` if the caller disconnected before its body was complete.
  */
 export async function readRequest(kind: AnswerKind, exchange: CallerExchange, ctx: ServeContext): Promise<Result<ReadRequest, Problem | 'gone'>> {
 	const {limits} = ctx;
@@ -49,6 +49,6 @@
 
 	const promptTokens = countPromptTokens(parsed.value.prompt);
 	return promptTokens > limits.maxPromptTokens
-		? err({kind: 'prompt-too-long', detail: `The prompt has about ${promptTokens} tokens; this host takes ${limits.maxPromptTokens}. Send a shorter one.`, outcome: 'not-run'})
+		? err({kind: 'prompt-too-long', detail: `The prompt has about ${promptTokens} tokens; this host accepts at most ${limits.maxPromptTokens}. Send a shorter one.`, outcome: 'not-run'})
 		: ok({request: parsed.value, promptTokens, digest: toRequestDigest(exchange, body.value)});
 }
--- a/src/programs/entry/serve-completion/_lib/report-end.ts
+++ b/src/programs/entry/serve-completion/_lib/report-end.ts
@@ -1,4 +1,4 @@
-/** What is told of a run once it has ended. */
+/** Reports ended runs. */
 import {type KeyedVerdict} from '../../claims/index.js';
 import {type RunEnd} from '../../run-request/index.js';
 import {type EndedRequest} from '../../_lib/ended-request.js';
@@ -19,11 +19,11 @@
 }
 
 /**
- * Tells log, account, metrics and the service-level ledger how a run ended.
+ * Reports the end of a run to the log, its account, the metrics and the service-level ledger.
  *
  * @param run - The run.
- * @param end - How it ended.
- * @param ctx - The program around it.
+ * @param end - How the run ended.
+ * @param ctx - Services of the entry.
  */
 export function reportEnd(run: Run, end: RunEnd, ctx: ServeContext): void {
 	const completeMs = ctx.services.clock.now() - run.receivedAt;
@@ -40,11 +40,11 @@
 }
 
 /**
- * Turns the end of a run into what a second call with the same key may conclude.
+ * Converts the end of a run to the verdict for later calls with the same idempotency key.
  *
  * @param run - The run.
- * @param end - How it ended.
- * @returns `failed` also where it is not known whether anything ran.
+ * @param end - How the run ended.
+ * @returns The verdict; `failed` also if it is unknown whether anything ran.
  */
 export function toVerdict(run: Run, end: RunEnd): KeyedVerdict {
 	if (end.kind === 'complete') {
--- a/src/programs/entry/serve-completion/index.ts
+++ b/src/programs/entry/serve-completion/index.ts
@@ -1,5 +1,6 @@
 /**
- * A completion request's one task, from its first byte to its last.
+ * Serves completion and chat requests, from reading the body to the end of the
+ * answer.
  */
 import {type CallerExchange} from '../../../adapters/caller-http/index.js';
 import {createAnswerBuffer} from '../../../domain/create-answer-buffer/index.js';
@@ -76,7 +77,7 @@
 	const {gate, clock} = ctx.services;
 	const {then} = run.rule;
 	const enteredAt = clock.now();
-	// A caller that already has a part of the answer waits for the rest also past the targets.
+	// A caller that already has part of the answer waits for the rest even past the targets.
 	const latest = run.buffer.offset() > 0 ? enteredAt + then.target.completeMs : 0;
 	const entered = await gate.enter({
 		id: run.id,
@@ -99,7 +100,7 @@
 	return entered.error.reason === 'gone' ? toEnded(run) : {kind: 'failed', problem: toGateProblem(entered.error, run.ledger.outcome())};
 }
 
-/** Runs an admitted request, and gives its place back whatever way it ends. */
+/** Runs an admitted request, and frees its slot however it ends. */
 async function runAdmitted(run: Run, ctx: ServeContext, attempt: number): ReturnType<typeof runRequest> {
 	const {gate} = ctx.services;
 	let outcome: Parameters<typeof gate.leave>[1] = 'failed';
@@ -113,10 +114,10 @@
 }
 
 /**
- * Waits for room and runs; again, and at once, when every decode server turned
- * out to be full. The gate spaces the tries. A delay here would keep the
- * request where nobody looks at its target: its caller would hear of the miss
- * when the delay is over, up to twice the target late.
+ * Waits for admission and runs the request; repeats both without a delay while
+ * every decode server is full. The gate spaces the attempts. During a delay here
+ * nothing would check the request's target, and its caller would learn of a missed
+ * target only after the delay, up to twice the target late.
  */
 async function runToEnd(run: Run, ctx: ServeContext): Promise<RunEnd> {
 	const {clock} = ctx.services;
@@ -167,7 +168,7 @@
  *
  * @param kind - The endpoint.
  * @param exchange - The caller's request.
- * @param ctx - The program around it.
+ * @param ctx - Services of the entry.
  */
 export async function serveCompletion(kind: AnswerKind, exchange: CallerExchange, ctx: ServeContext): Promise<void> {
 	const account = ctx.accounts.open(exchange.requestId);
--- a/src/programs/entry/serve-plain/index.ts
+++ b/src/programs/entry/serve-plain/index.ts
@@ -1,6 +1,7 @@
 /**
- * A plain service's request: rule, key, body, room, calls, end. The body goes
- * through as it comes.
+ * Serves requests to plain services: matches a rule, reads the idempotency key and
+ * the body, waits for admission, calls servers, and reports the end. Large bodies
+ * without a key are streamed.
  */
 import {type Buffer} from 'node:buffer';
 import {err, ok, type Result} from 'neverthrow';
@@ -33,12 +34,13 @@
 import {openRunControl, type RunControl} from '../_lib/run-registry.js';
 import {type ServeContext} from '../_lib/serve-types.js';
 
-/** Bodies up to this size are read whole first, so that they can be sent again. */
+/** Bodies up to this size are buffered, so that they can be sent again. */
 const bufferedBodyBytes = 64 * bytesPerKibibyte;
 
 /**
- * A body that a key names is read whole, because its digest must be known before
- * the work is claimed; one that is relayed, because it goes to several servers.
+ * Reads the whole body, or returns it as a stream. The body of a keyed request is
+ * read whole because its digest must be known before the key is claimed; the body
+ * of a relayed request, because it is sent to several servers.
  */
 async function readOrStreamBody(exchange: CallerExchange, ctx: ServeContext, isWhole: boolean): Promise<Result<PlainBody, Problem | 'gone'>> {
 	const {maxBodyBytes: limitBytes, bodyTimeoutMs: timeoutMs} = ctx.limits;
@@ -62,7 +64,7 @@
 
 type FinalOutcome = PlainOutcome & {end: EndedRequest['end']};
 
-/** Waits and calls; again, and at once, when every server turned out to be full. The gate spaces the tries. */
+/** Waits for admission and calls servers; repeats both without a delay while every server is full. The gate spaces the attempts. */
 async function waitAndCall(run: PlainRun): Promise<FinalOutcome> {
 	const {clock} = run.ctx.services;
 	for (;;) {
@@ -92,7 +94,7 @@
 	};
 }
 
-/** When a caller may come back to a pool whose memory is full. */
+/** Delay after which a caller may retry at a pool whose memory is full, milliseconds. */
 function toRetryAfterMs({route, ctx: {services}}: PlainRun): Milliseconds {
 	return toFullPoolRetryAfter(services.gate.meanHoldMs(route.pool.name), services.random);
 }
@@ -104,7 +106,7 @@
 		end: outcome === 'not-run' ? 'refused' : 'failed',
 		outcome,
 		problem: {
-			kind: 'no-capacity', detail: 'Every server that would do is full.', outcome, retryAfterMs: Math.max(waitMs, toRetryAfterMs(run)),
+			kind: 'no-capacity', detail: 'Every suitable server is full.', outcome, retryAfterMs: Math.max(waitMs, toRetryAfterMs(run)),
 		},
 	};
 }
@@ -124,7 +126,7 @@
 	}, run.signal);
 }
 
-/** The pace at which this host's requests end tells when a plain service has room; of memory that other hosts fill as well it says too little. */
+/** The rate at which this host's requests end predicts when a plain service has a free slot. It does not predict when a model pool has free memory, which other hosts fill as well. */
 function toWaitProblem(run: PlainRun, refusal: Exclude<GateRefusal, {reason: 'gone'}>, outcome: Problem['outcome']): Problem {
 	const problem = toGateProblem(refusal, outcome);
 	return run.route.pool.kind === 'model' ? {...problem, retryAfterMs: toRetryAfterMs(run)} : problem;
@@ -137,7 +139,7 @@
 	if (entered.isErr()) {
 		account.addStage('not admitted', {reason: entered.error.reason});
 		run.log.info('not admitted', {reason: entered.error.reason, pool: route.pool.name, queued: gate.waiting()});
-		// An earlier call may have been taken before this one found every server full.
+		// An earlier call of the request may have run before this one found every server full.
 		const outcome = run.ledger.outcome();
 		return entered.error.reason === 'gone' ? toAborted(run) : {end: outcome === 'not-run' ? 'refused' : 'failed', outcome, problem: toWaitProblem(run, entered.error, outcome)};
 	}
@@ -156,7 +158,7 @@
 	complete: 'completed', refused: 'failed', failed: 'failed', 'caller-gone': 'gone', bounced: 'bounced',
 } as const satisfies Record<PlainOutcome['end'], Parameters<Gate['leave']>[1]>;
 
-/** An answer that has begun can't become a problem document; left open, its caller would wait for the rest for ever. */
+/** Sends a problem, or closes the connection if an answer has begun, because a problem document can't follow it and the caller would wait forever for the rest. */
 function sendFailure(exchange: CallerExchange, problem: Problem): void {
 	if (exchange.isStarted()) {
 		exchange.destroy();
@@ -187,8 +189,8 @@
  * Serves one request to a plain service.
  *
  * @param exchange - The caller's request.
- * @param ctx - The program around it.
- * @param clients - Connections to plain services.
+ * @param ctx - Services of the entry.
+ * @param clients - HTTP clients of plain services.
  */
 export async function servePlain(exchange: CallerExchange, ctx: ServeContext, clients: PlainClients): Promise<void> {
 	const {services} = ctx;
@@ -240,7 +242,7 @@
 		}, toKeyedOptions({exchange, account, route}, ctx, serveOne)));
 }
 
-/** A body that goes through unread names nothing. */
+/** Computes the fingerprint of a request; a streamed body has none. */
 function toFingerprintOf({headers, method, target}: CallerExchange, {workspace}: Route, body: PlainBody): Fingerprint | undefined {
 	const bytes = body.bytes();
 	return bytes && toFingerprint({
@@ -273,7 +275,7 @@
 	}
 }
 
-/** The clients of servers look at their limits every half second or so, too coarsely for a caller who is owed the end at its deadline. */
+/** Aborts a run at its deadline. The timeouts of HTTP clients fire up to half a second late, which is too coarse for a caller's deadline. */
 function abortAfter(control: RunControl, delayMs: Milliseconds): NodeJS.Timeout {
 	return setTimeout(() => {
 		control.abort('deadline-passed');
@@ -283,5 +285,5 @@
 function findNotPlain(route: Route): Problem | undefined {
 	return route.pool.kind === 'plain' || route.rule.then.relay !== undefined
 		? undefined
-		: {kind: 'not-found', detail: `There is no service at this path: rule "${route.rule.name}" decides, and its pool serves a model. Send completions to /v1/completions.`, outcome: 'not-run'};
+		: {kind: 'not-found', detail: `There is no service at this path: rule "${route.rule.name}" matches it, and its pool serves a model. Send completions to /v1/completions.`, outcome: 'not-run'};
 }
--- a/src/programs/entry/start-entry/_lib/create-handlers.ts
+++ b/src/programs/entry/start-entry/_lib/create-handlers.ts
@@ -1,4 +1,4 @@
-/** Who serves which kind of request. */
+/** Handlers of callers' requests by kind. */
 import {type CallerHandlers} from '../../../../adapters/caller-http/index.js';
 import {type PlainClients} from '../../_lib/plain-clients.js';
 import {type ServeContext} from '../../_lib/serve-types.js';
@@ -8,13 +8,15 @@
 import {type Ticker} from '../../start-ticker/index.js';
 
 /**
- * @param ctx - What serving a request needs.
- * @param clients - Connections to plain services.
- * @param ticker - Woken by each request.
- * @returns What serves the requests of callers.
+ * Creates the handlers of callers' requests.
+ *
+ * @param ctx - Services of the entry.
+ * @param clients - HTTP clients of plain services.
+ * @param ticker - Ticker that each request wakes.
+ * @returns The handlers.
  */
 export function createHandlers(ctx: ServeContext, clients: PlainClients, ticker: Ticker): CallerHandlers {
-	/** What the request begins, before it waits for anything, is what the next tick is for. */
+	/** Wakes the ticker. The handler has run up to its first wait by then, so the request counts as in progress. */
 	async function wakeTicker(serving: Promise<void>): Promise<void> {
 		ticker.wake();
 		return serving;
--- a/src/programs/entry/start-entry/_lib/create-readiness.ts
+++ b/src/programs/entry/start-entry/_lib/create-readiness.ts
@@ -1,4 +1,4 @@
-/** Whether the entry wants callers, and why not. */
+/** Readiness of the entry. */
 import {type Log} from '../../../../adapters/log/index.js';
 import {type ReadinessReason} from '../../../../adapters/operator-http/index.js';
 import {type FleetLink} from '../../_lib/join-fleet.js';
@@ -9,12 +9,12 @@
 	link: FleetLink;
 	services: RunServices;
 	log: Log;
-	/** Whether hosts of other zones were heard before, and none is any more; `undefined` where hosts tell each other nothing. */
+	/** Whether hosts of other zones were heard before but none is any more; `undefined` if hosts don't exchange loads. */
 	isIsolated: (() => boolean) | undefined;
 	isStopping: () => boolean;
 };
 
-/** Neither sign alone says that others can serve this host's callers: the platform may be down for all, and other zones' hosts may have been killed. */
+/** Whether this host is partitioned from the rest of the fleet. All signs are required, because one alone does not show that other hosts can serve its callers: the platform may be down for all hosts, or the hosts of other zones may have been killed. */
 function isCutOff({link, services, isIsolated}: ReadinessParts): boolean {
 	const view = link.toView();
 	return view !== undefined
@@ -24,10 +24,10 @@
 }
 
 /**
- * Creates the answer to the balancer's question.
+ * Creates the readiness check for the load balancer.
  *
- * @param parts - What it depends on.
- * @returns Tells why the entry takes no requests, empty when it does, with a line when that changes.
+ * @param parts - Parts of the entry that readiness depends on.
+ * @returns Function that returns the reasons why the entry is not ready, none if it is ready, and logs each change.
  */
 export function createReadiness(parts: ReadinessParts): () => ReadinessReason[] {
 	const {link, log, isStopping} = parts;
--- a/src/programs/entry/start-entry/_lib/drain.ts
+++ b/src/programs/entry/start-entry/_lib/drain.ts
@@ -1,18 +1,18 @@
-/** The end of the callers' requests at a stop. */
+/** Drains callers' requests at a stop. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {type CallerServer} from '../../../../adapters/caller-http/index.js';
 import {type Milliseconds} from '../../../../ports/clock.js';
 import {type ServeContext} from '../../_lib/serve-types.js';
 
-/** Time for cancels to be confirmed before the process ends. */
+/** Time for servers to confirm cancels before the process ends. */
 export const cancelSettleMs = 2000;
 const settlePollMs = 20;
 
 /**
- * Waits, for a bounded time, until runs that were told to end have cancelled on
- * their engines.
+ * Waits, for a bounded time, until aborted runs have ended and their cancels are
+ * confirmed.
  *
- * @param ctx - Runs in progress, and the queue of cancels.
+ * @param ctx - Services of the entry, for its runs and cancels.
  */
 export async function settle({registry, services}: ServeContext): Promise<void> {
 	for (let waitedMs = 0; registry.size() > 0 && waitedMs < cancelSettleMs; waitedMs += settlePollMs) {
@@ -23,11 +23,11 @@
 }
 
 /**
- * Closes the callers' port; what is left at the limit is named in the log and
- * ended.
+ * Closes the callers' port and waits for its requests. Those that have not ended at
+ * the timeout are logged and aborted.
  *
- * @param parts - The callers' port and the runs behind it.
- * @param timeoutMs - Limit of the drain, milliseconds.
+ * @param parts - Server of the callers' port, and services of the entry.
+ * @param timeoutMs - Timeout of the drain, milliseconds.
  */
 export async function drain({callers, ctx}: {callers: CallerServer; ctx: ServeContext}, timeoutMs: Milliseconds): Promise<void> {
 	const closed = callers.close();
@@ -42,7 +42,7 @@
 	}
 
 	for (const requestId of ctx.registry.abandon()) {
-		ctx.log.error('abandoned at the limit of the drain', {requestId});
+		ctx.log.error('request aborted at the drain timeout', {requestId});
 	}
 
 	await settle(ctx);
--- a/src/programs/entry/start-entry/index.ts
+++ b/src/programs/entry/start-entry/index.ts
@@ -1,6 +1,6 @@
 /**
- * The entry: takes callers' requests and owes each of them its answer. All
- * that touches the outside is handed in or listens on the ports given.
+ * The entry, which accepts callers' requests and answers each of them. Connections
+ * to the outside are passed in or listen on the given ports.
  */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {
@@ -41,16 +41,16 @@
 import {createHandlers} from './_lib/create-handlers.js';
 import {createReadiness} from './_lib/create-readiness.js';
 
-/** Room at a full pool is looked for this often: a request in time has some 600 ms to find it, before those that come after it do. */
+/** Interval at which waiting requests look for a free slot at a full pool. A request has about 600 ms to find one within its target, and must find it before later requests do. */
 const gateTickMs = 20;
-/** Without requests only the own word to other hosts and changes of the platform are due; they count in half seconds. */
+/** Tick interval without requests. Only load reports to other hosts and changes of the platform are due then, for which half a second is precise enough. */
 const idleTickMs = 250;
 const pauseThresholdMs = 2000;
 const maxAccounts = 2000;
 const operatorCloseTimeoutMs = 500;
 
 export type LoadSharing = Pick<SharedLoads, 'read' | 'isZoneSilent'> & {
-	/** Whether hosts of other zones were heard before, and none is any more. */
+	/** Whether hosts of other zones were heard before but none is any more. */
 	isIsolated: () => boolean;
 	tick: (loads: readonly HostLoad[]) => void;
 };
@@ -63,25 +63,25 @@
 	metrics: Metrics;
 	keys?: ProgramKeys | undefined;
 	createEngine: (server: ServerEntry, hooks: {onDropped: (cause: 'crossed' | 'repeated') => void}) => EngineClient;
-	/** Opens what ties the host to the rest: where its view comes from, and the claims of keyed requests. */
+	/** Connects the host to the fleet: opens the source of its view, and the claims of keyed requests. */
 	join: (options: JoinOptions) => Promise<FleetLink>;
-	/** Bounds of retries beside the number that may be saved up. */
+	/** Limits of retries besides the capacity of the retry budget. */
 	retryBudget?: RetryBudgetOptions;
-	/** When servers are left out for what this host's own calls met. */
+	/** When servers are avoided because of failed calls of this host. */
 	health?: ServerHealthOptions;
-	/** How passed-on requests are dressed for servers; as they came, unless callers and servers expect more. */
+	/** Creates the builder and parser of headers for calls to servers; by default, callers' headers are forwarded as they are. */
 	createCalls?: (toDispatcher: PlainClients['toDispatcher'], hooks: ServerCallHooks) => ServerCalls;
-	/** Time for which idle connections to backend servers are kept where they name none. */
+	/** Time for which idle connections are kept to backend servers that name no keep-alive timeout. */
 	serverIdleMs?: Milliseconds;
-	/** Tells other hosts what this one has under way at servers, and knows the same of them. */
+	/** Exchanges loads with other hosts: the requests that each has in flight at servers. */
 	loadSharing?: LoadSharing;
-	/** What is known of requests under which servers crashed; this host's own where hosts don't share it. */
+	/** Requests under which servers crashed; by default those that this host saw itself. */
 	suspects?: CrashSuspects;
-	/** What callers of this port expect, beside the usual. */
+	/** Options of the callers' port that differ from the defaults. */
 	callers?: Pick<CallerServerOptions, 'isRelayOnly' | 'requestIdHeader' | 'problemStyle'>;
 };
 
-/** Settings that every entry needs, however it learns of the fleet. */
+/** Settings of every entry, independent of the source of its view. */
 export type EntryCoreSettings = Omit<EntrySettings, 'agentAddress' | 'peerPort' | 'clockBound' | 'keptAnswerBytes' | 'keptAnswerAge'> & {metricsPort?: number | undefined};
 
 export type Entry = {
@@ -90,13 +90,13 @@
 	operatorPort: number;
 	view: () => FleetView | undefined;
 	accounts: Accounts;
-	/** Part of a pool's servers that should compute prompts, by what requests cost here; `undefined` while too little is known. */
+	/** Fraction of a pool's servers that should do prefills, by the cost of requests on this host; `undefined` while too few requests were measured. */
 	toPrefillShare: PlacementDecider['toPrefillShare'];
-	/** Takes what a server said of itself in an answer to a call that was made elsewhere. */
+	/** Handles a notice that a server sent about itself in an answer to a call made outside of the entry. */
 	handleNotice: ServeContext['handleNotice'];
-	/** Finishes everything in progress, then closes. */
+	/** Drains requests in progress, then closes. */
 	stop: () => Promise<void>;
-	/** Ends everything in progress and waits a moment for the cancels; returns the ids of what is abandoned. */
+	/** Aborts all requests in progress and waits a short time for their cancels; returns the ids of the aborted requests. */
 	abandon: () => Promise<string[]>;
 };
 
@@ -207,7 +207,7 @@
 		},
 	});
 	const limits = toLimits(settings);
-	/** Views come before the callers' port is open. */
+	/** Set once the callers' port is open; views may arrive earlier. */
 	const opened: {callers?: CallerServer} = {};
 	const applyBounds = (bounds: CallerBounds): void => {
 		limits.maxBodyBytes = bounds.maxBodyBytes;
--- a/src/programs/entry/start-fleet-entry/index.ts
+++ b/src/programs/entry/start-fleet-entry/index.ts
@@ -1,4 +1,4 @@
-/** The entry of a host that also runs an agent, with claims shared among the entries. */
+/** The entry of a host that also runs an agent; the entries of the fleet share their claims. */
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type EntrySettings} from '../../_settings/index.js';
 import {startEntry, type Entry, type EntryOptions} from '../start-entry/index.js';
@@ -6,7 +6,7 @@
 
 export type FleetEntryOptions = Omit<EntryOptions, 'settings' | 'join'> & Pick<JoinFleetOptions, 'connectView'> & {
 	settings: EntrySettings;
-	/** Greatest difference between a caller's clock and a host's; see the claims. */
+	/** Maximum difference between a caller's clock and a host's; see the claims. */
 	clockBoundMs?: Milliseconds;
 };
 
--- a/src/programs/entry/start-ticker/index.ts
+++ b/src/programs/entry/start-ticker/index.ts
@@ -2,26 +2,26 @@
 
 export type TickerOptions = {
 	tick: () => void;
-	/** Whether anything is under way that a tick may move on. */
+	/** Whether any work is in progress that a tick may advance. */
 	isBusy: () => boolean;
-	/** Time between two ticks while something is. */
+	/** Interval between ticks while busy. */
 	busyMs: Milliseconds;
-	/** Time between two ticks otherwise. */
+	/** Interval between ticks while idle. */
 	idleMs: Milliseconds;
 };
 
 export type Ticker = {
-	/** Something was begun: the next tick comes as while busy. */
+	/** Schedules the next tick at the busy interval, because work has begun. */
 	wake: () => void;
 	stop: () => void;
 };
 
 /**
- * Calls a function again and again, seldom while nothing is under way. Most hosts
- * of a large fleet have nothing to do most of the time, and fifty empty ticks a
- * second were half of what an idle one took of its processor.
+ * Starts a ticker that calls a function repeatedly, at a longer interval while
+ * idle. Most hosts of a large fleet are idle most of the time, and fifty empty
+ * ticks a second made up half of the processor time of an idle host.
  *
- * @param options - What to call, and how often.
+ * @param options - Function to call, and its intervals in milliseconds.
  * @returns The ticker.
  */
 export function startTicker({tick, isBusy, busyMs, idleMs}: TickerOptions): Ticker {
--- a/src/programs/entry/start-ticker/test.ts
+++ b/src/programs/entry/start-ticker/test.ts
@@ -2,7 +2,7 @@
 import {describe, it, mock} from 'node:test';
 import {startTicker} from './index.js';
 
-/** A timer that is set in a step runs in a later one. */
+/** Step of the mocked clock; a timer that is set in a step fires in a later one. */
 const stepMs = 10;
 
 function start() {
@@ -19,7 +19,7 @@
 	return {
 		...ticker,
 		state,
-		/** Ticks within so many milliseconds. */
+		/** Advances the clock, and returns the number of ticks within that time. */
 		count(ms: number): number {
 			const before = ticks;
 			for (let passedMs = 0; passedMs < ms; passedMs += stepMs) {
@@ -32,7 +32,7 @@
 }
 
 describe('startTicker', () => {
-	it('ticks seldom while nothing is under way, and often while something is', t => {
+	it('ticks at the idle interval while idle, and at the busy interval while busy', t => {
 		mock.timers.enable({apis: ['setTimeout']});
 		t.after(() => {
 			mock.timers.reset();
@@ -48,7 +48,7 @@
 		assert.equal(ticker.count(1000), 0);
 	});
 
-	it('does not put a tick off when it is woken again and again', t => {
+	it('does not postpone a tick when it is woken repeatedly', t => {
 		mock.timers.enable({apis: ['setTimeout']});
 		t.after(() => {
 			mock.timers.reset();
--- a/src/programs/entry/watch-pauses/index.ts
+++ b/src/programs/entry/watch-pauses/index.ts
@@ -4,15 +4,15 @@
 const tickMs = 250;
 
 /**
- * Notices that this process was paused. A paused process wakes up still
- * believing what it knew: without this check it would send an order or a late
- * byte for a request whose deadline passed while it slept. Timers run before
- * sockets after a wake-up, so `onWake` ends such requests before anything that
- * arrived meanwhile is relayed; each step of an attempt looks at its own time
- * besides, for a pause in the middle of a turn.
+ * Detects pauses of this process. After a pause the state of the process is stale:
+ * without this check, the process would send a call or a late byte for a request
+ * whose deadline passed during the pause. Timers fire before sockets are read, so
+ * `onWake` aborts such requests before data that arrived meanwhile is relayed. For
+ * pauses within one turn of the event loop, each step of an attempt also checks its
+ * own timeout.
  *
- * @param options - Clock, the gap that counts as a pause, and what to do on waking.
- * @returns A function that ends the watch.
+ * @param options - Monotonic clock, the gap in milliseconds that counts as a pause, and a callback for the end of a pause.
+ * @returns Function that stops the detection.
  */
 export function watchPauses(options: {now: () => Milliseconds; limitMs: Milliseconds; onWake: (gapMs: Milliseconds) => void}): () => void {
 	const guard = createPauseGuard({limitMs: options.limitMs, startedAt: options.now()});
