--- a/src/programs/entry/_lib/create-pool-budgets/index.ts
+++ b/src/programs/entry/_lib/create-pool-budgets/index.ts
@@ -4,33 +4,33 @@
 import {msPerMinute} from '../../../../ports/units.js';
 
 export type PoolBudgets = {
-	/** The budget of a pool; a full one where the pool is new. */
+	/** Returns the budget of a pool, a full one if the pool is new. */
 	toRetryBudget: (pool: string) => RetryBudget;
-	/** Notes which pools the configuration has, and forgets those that it has not had for long. */
-	notePools: (pools: ReadonlySet<string>, now: Milliseconds) => void;
+	/** Sets the pools of the configuration, and evicts budgets of pools that were removed at least ten minutes ago. */
+	setPools: (pools: ReadonlySet<string>, now: Milliseconds) => void;
 };
 
 /**
- * Time for which a pool that left the configuration keeps its budget. Forgotten at
- * once, a pool that comes back with the next configuration would be sent all the
- * retries again that every host has just made.
+ * Time for which the budget of a removed pool is kept. Were it evicted at once,
+ * a pool that comes back with the next configuration would get a full budget on
+ * every host, and would be sent as many retries again as it has just received.
  */
-const keptMs: Milliseconds = 10 * msPerMinute;
+const retentionMs: Milliseconds = 10 * msPerMinute;
 
 /**
- * Creates the budgets of no pool yet.
+ * Creates an empty set of retry budgets, one for each pool.
  *
  * @param options - Bounds of each pool's retries.
- * @returns Functions that give and forget budgets.
+ * @returns Functions that return and evict budgets.
  */
 export function createPoolBudgets(options: RetryBudgetOptions): PoolBudgets {
 	const budgets = new Map<string, RetryBudget>();
 	/** When pools left the configuration. */
-	const leftAt = new Map<string, Milliseconds>();
+	const removedAt = new Map<string, Milliseconds>();
 
-	function forget(pool: string): void {
+	function evict(pool: string): void {
 		budgets.delete(pool);
-		leftAt.delete(pool);
+		removedAt.delete(pool);
 	}
 
 	return {
@@ -39,17 +39,17 @@
 			budgets.set(pool, budget);
 			return budget;
 		},
-		notePools(pools, now) {
+		setPools(pools, now) {
 			for (const pool of budgets.keys()) {
 				if (pools.has(pool)) {
-					leftAt.delete(pool);
+					removedAt.delete(pool);
 					continue;
 				}
 
-				const since = leftAt.get(pool) ?? now;
-				leftAt.set(pool, since);
-				if (now - since >= keptMs) {
-					forget(pool);
+				const since = removedAt.get(pool) ?? now;
+				removedAt.set(pool, since);
+				if (now - since >= retentionMs) {
+					evict(pool);
 				}
 			}
 		},
--- a/src/programs/entry/_lib/create-run-services.ts
+++ b/src/programs/entry/_lib/create-run-services.ts
@@ -1,4 +1,4 @@
-/** Wires the decisions to what a run needs of the program. */
+/** Builds the services that runs share: placement, admission, cancels, budgets and metrics. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {errAsync} from 'neverthrow';
 import {type Log} from '../../../adapters/log/index.js';
@@ -35,27 +35,27 @@
 	/** Bounds of each pool's retries. */
 	retryBudget: RetryBudgetOptions;
 	health?: ServerHealthOptions | undefined;
-	/** What other hosts say, where hosts talk to each other. */
+	/** Load and zone reports of other hosts, where hosts exchange them. */
 	shared?: Pick<SharedLoads, 'read' | 'isZoneSilent'> | undefined;
 	toView: () => FleetView | undefined;
 	toOwner: () => Owner;
 	reportLeaving: (server: ServerId) => void;
 };
 
-/** A cancel that could not be sent must not count as confirmed. */
-function toNoClient(server: ServerId): EngineFailure {
+/** Failure of a cancel to a server without a client; a success here would count a cancel as confirmed that was never sent. */
+function toUnknownServerFailure(server: ServerId): EngineFailure {
 	return {
 		kind: 'unreachable', reason: undefined, server, message: 'the server is no longer in the configuration', retryAfterMs: undefined,
 	};
 }
 
 /**
- * Creates what runs need.
+ * Creates the services that runs share.
  *
- * @param options - Clocks, clients, counters, and what the entry knows.
- * @returns The services, and a function to call with each configuration.
+ * @param options - Clocks, clients, counters, and access to the entry's view and owner.
+ * @returns The services, and a function to call with each configuration that comes into force.
  */
-export function createRunServices(options: RunServicesOptions): {services: RunServices; noteConfig: (config: Config) => void} {
+export function createRunServices(options: RunServicesOptions): {services: RunServices; applyConfig: (config: Config) => void} {
 	const {
 		clock, random, host, zone, engines, counters, log, reservationTtlMs, toView, toOwner, reportLeaving,
 	} = options;
@@ -64,7 +64,7 @@
 	let servers: ReadonlySet<ServerId> = new Set();
 
 	const cancel: CancelQueueOptions['cancel'] = (server, key, timeoutMs) =>
-		engines.findEngine(server)?.cancel(key, {signal: AbortSignal.timeout(timeoutMs)}) ?? errAsync(toNoClient(server));
+		engines.findEngine(server)?.cancel(key, {signal: AbortSignal.timeout(timeoutMs)}) ?? errAsync(toUnknownServerFailure(server));
 
 	const services: RunServices = {
 		clock,
@@ -92,13 +92,13 @@
 		reportLeaving,
 		toRetryBudget: budgets.toRetryBudget,
 		transferLimits: createTransferTimeouts(),
-		runMetrics: counters.tally,
+		runMetrics: counters.runMetrics,
 		reservationTtlMs,
 	};
 
 	return {
 		services,
-		noteConfig(config) {
+		applyConfig(config) {
 			if (config === lastConfig) {
 				return;
 			}
@@ -106,7 +106,7 @@
 			lastConfig = config;
 			servers = new Set(config.servers.map(server => server.id));
 			engines.keepOnly(servers);
-			budgets.notePools(new Set(config.pools.map(pool => pool.name)), clock.now());
+			budgets.setPools(new Set(config.pools.map(pool => pool.name)), clock.now());
 		},
 	};
 }
--- a/src/programs/entry/_lib/to-keyed-options.ts
+++ b/src/programs/entry/_lib/to-keyed-options.ts
@@ -6,7 +6,7 @@
 import {type Route} from './route.js';
 import {type ServeContext} from './serve-types.js';
 
-/** What a joined call's end means in the log and the burn report; its caller went to another connection when it was taken over. */
+/** End and outcome to report for a call that joined a run. When another connection takes the answer over, the caller has left this one. */
 const joinEnds: Readonly<Record<JoinEnd['kind'], Pick<EndedRequest, 'end' | 'outcome'>>> = {
 	complete: {end: 'complete', outcome: 'ran'},
 	refused: {end: 'refused', outcome: 'may-have-run'},
@@ -16,45 +16,46 @@
 };
 
 /**
- * Options of a keyed request. A call that joins an earlier one's run is logged
- * and counted here too, by its own times: this host's caller waited for it.
+ * Creates the options to serve a keyed request. A call that joins the run of an
+ * earlier call is logged and counted as a request of its own, by its own times,
+ * because a caller of this host waited for it.
  *
- * @param call - The call and its account, and where it goes.
- * @param serve - The program.
- * @param work - Does the work for whoever reads the answer.
- * @returns What the claims need.
+ * @param call - The call, its account and its route.
+ * @param ctx - Services of the entry.
+ * @param work - Runs the request; its answer is recorded for all readers.
+ * @returns Options for the claims.
  */
-export function toKeyedOptions(call: {exchange: CallerExchange; account: Account; route: Route}, serve: ServeContext, work: ServeKeyedOptions['serve']): ServeKeyedOptions {
+export function toKeyedOptions(call: {exchange: CallerExchange; account: Account; route: Route}, ctx: ServeContext, work: ServeKeyedOptions['serve']): ServeKeyedOptions {
 	const {exchange: {requestId, headers}, account, route} = call;
 	const {workspace, rule} = route;
-	const {now} = serve.services.clock;
+	const {now} = ctx.services.clock;
 	const receivedAt = now();
-	const about = {
+	const logFields = {
 		requestId, workspace, rule: rule.name, class: rule.then.class,
 	};
 	return {
-		writeTimeoutMs: serve.limits.writeTimeoutMs,
+		writeTimeoutMs: ctx.limits.writeTimeoutMs,
 		now,
 		serve: work,
 		onJoin(host) {
 			account.addStage('joined a run', {host});
-			serve.log.info('joined a run', {...about, peer: host});
+			ctx.log.info('joined a run', {...logFields, peer: host});
 		},
 		onJoinEnded(host, {kind, startedAt}) {
 			const completeMs = now() - receivedAt;
 			const {end, outcome} = joinEnds[kind];
 			account.addStage('ended', {outcome, reason: kind});
-			serve.log.info('request ended', {
-				...about, peer: host, outcome, reason: kind, durationMs: completeMs,
+			ctx.log.info('request ended', {
+				...logFields, peer: host, outcome, reason: kind, durationMs: completeMs,
 			});
-			serve.onEnded({
+			ctx.onEnded({
 				workspace, rule, end, outcome, firstTokenMs: startedAt === undefined ? undefined : startedAt - receivedAt, completeMs, outputTokens: 0,
 			});
 		},
 		onRefused(problem) {
 			reportRefused(problem, {
 				requestId, account, route, headers,
-			}, serve);
+			}, ctx);
 		},
 	};
 }
--- a/src/programs/entry/call-pair/index.ts
+++ b/src/programs/entry/call-pair/index.ts
@@ -1,7 +1,7 @@
 /**
- * One attempt of a passed-on request at servers that keep prefill and decode
- * apart: a place at the decode server first, then the prompt, then the answer.
- * A prompt computed without a place to go is work for nothing.
+ * One attempt of a relayed request at separate prefill and decode servers: first a
+ * reservation at the decode server, then the prefill, then the decode. Without a
+ * reservation, the result of the prefill might find no memory at a decode server.
  */
 import {err, ok, type Result} from 'neverthrow';
 import {createTimeoutSignal} from '../../../_lib/create-timeout-signal/index.js';
@@ -17,31 +17,33 @@
 import {
 	isQuarantined, noteAnswered, sendRequest, handleAnswerNotice, toRemainingMs, toCallHeaders,
 } from '../call-plain/_lib/send-step.js';
-import {giveBack} from './_lib/give-back.js';
+import {releaseHeld} from './_lib/release-held.js';
 import {isInService} from './_lib/is-in-service.js';
-import {reservePlace, toReservationMs} from './_lib/reserve-place.js';
+import {reserveDecodeServer, toReservationMs} from './_lib/reserve-decode-server.js';
 import {type PairAttempt} from './_lib/types.js';
 
 export {type PairAttempt} from './_lib/types.js';
 
-/** Longest answer of a prefill: a name and two numbers. */
+/** Maximum size of a prefill's answer, which has a handle and a few numbers. */
 const maxPrefillAnswerBytes = 16 * bytesPerKibibyte;
 
 /**
- * Part of the reservation's life in which the prompt must be computed. Later the
- * place may be gone, and a server behind a cut would hold the request for as
- * long as its caller waits, though another could still serve it.
+ * Fraction of the reservation's lifetime in which the prefill must end. Later the
+ * reservation may have expired. Without this limit, a prefill server behind a
+ * network partition would hold the request for as long as its caller waits, while
+ * another server could still serve it.
  */
-const promptShare = 0.75;
+const prefillTimeShare = 0.75;
 
 /**
- * A prompt may take so many times what was predicted, and this long at least.
- * Predictions miss the prompts that other hosts send at the same moment, each a
- * tenth of a second; one whose answer was lost held its request for the whole
- * share of the reservation, 1.5 s, and made it late for sure.
+ * Timeout of a prefill as a multiple of the predicted duration, and its minimum.
+ * Predictions do not include prefills that other hosts send at the same time, each
+ * of which adds about 0.1 s. Without this timeout, a prefill whose answer was lost
+ * held the request for 1.5 s, its whole fraction of the reservation, and the
+ * request missed its target.
  */
-const promptFactor = 3;
-const leastPromptLimitMs: Milliseconds = 500;
+const prefillTimeoutFactor = 3;
+const minPrefillTimeoutMs: Milliseconds = 500;
 
 type Step = {
 	run: PlainRun;
@@ -51,13 +53,13 @@
 	attempt: number;
 };
 
-/** Has the prompt computed, and nothing run. */
+/** Calls the prefill server. */
 async function prefill({run, caches, placement}: Step): Promise<Result<PromptCache, PlainFault>> {
 	const server = placement.prefill;
 	const payload = run.body.open();
-	const calledAt = run.serve.services.clock.now();
-	const expectedMs = Math.max(leastPromptLimitMs, promptFactor * placement.predictedPrefillMs);
-	const limitMs = Math.min(toRemainingMs(run), promptShare * toReservationMs(run), expectedMs);
+	const calledAt = run.ctx.services.clock.now();
+	const expectedMs = Math.max(minPrefillTimeoutMs, prefillTimeoutFactor * placement.predictedPrefillMs);
+	const limitMs = Math.min(toRemainingMs(run), prefillTimeShare * toReservationMs(run), expectedMs);
 	const answer = await readAnswer({
 		dispatcher: run.clients.toDispatcher(server),
 		origin: server.url,
@@ -73,7 +75,7 @@
 		const {kind, message} = answer.error;
 		const isSilent = kind === 'aborted' && !run.signal.aborted;
 		if (isSilent) {
-			return err({kind: 'broken', message: `no prompt computed within ${Math.round(limitMs)} ms`});
+			return err({kind: 'broken', message: `the prefill did not end within ${Math.round(limitMs)} ms`});
 		}
 
 		return err(answer.error.kind === 'too-large' ? {kind: 'invalid', message} : answer.error);
@@ -81,24 +83,24 @@
 
 	const {status, headers, text} = answer.value;
 	handleAnswerNotice(run, server, {status, headers});
-	const reason = run.serve.calls.toRefusal(status, headers);
+	const reason = run.ctx.calls.toRefusal(status, headers);
 	noteAnswered(run, {server: server.id, calledAt, refusal: reason});
 	if (reason !== undefined) {
 		return err({kind: 'refused', reason, message: `status ${status}`});
 	}
 
-	if (status !== 200 || !run.serve.calls.isAnswerTo(run.exchange.requestId, headers)) {
-		return err({kind: 'invalid', message: `status ${status}, or the answer of another request`});
+	if (status !== 200 || !run.ctx.calls.isAnswerTo(run.exchange.requestId, headers)) {
+		return err({kind: 'invalid', message: `status ${status}, or an answer to another request`});
 	}
 
 	const parsed = caches.parsePrefill(text);
 	return parsed.map(({kvId}) => ({server, kvId})).mapErr(message => ({kind: 'invalid', message}));
 }
 
-/** Has the prompt computed where another server than the decode server does it. */
+/** Runs the prefill, unless the decode server is to do it as part of its own call. */
 async function computePrompt(step: Step): Promise<Result<PromptCache | undefined, PlainFault>> {
 	const {run, placement, work, attempt} = step;
-	const {services} = run.serve;
+	const {services} = run.ctx;
 	const {prefill: server, decode} = placement;
 	const startedAt = services.clock.now();
 	if (server.id === decode.id) {
@@ -118,51 +120,51 @@
 	return computed;
 }
 
-async function runPlaced(step: Step, reservationId: string): Promise<PairAttempt> {
+async function runReserved(step: Step, reservationId: string): Promise<PairAttempt> {
 	const {run, caches, placement} = step;
-	const {services} = run.serve;
+	const {services} = run.ctx;
 	const {decode} = placement;
 	const computed = await computePrompt(step);
 	if (computed.isErr()) {
-		giveBack(run, 'reservation', {server: decode, call: () => caches.release(decode, reservationId)});
+		releaseHeld(run, 'reservation', {server: decode, call: () => caches.release(decode, reservationId)});
 		return {
 			kind: 'called', server: placement.prefill, ended: {kind: 'failed', fault: computed.error}, hasRun: false,
 		};
 	}
 
 	const cache = computed.value;
-	const giveAllBack = () => {
-		giveBack(run, 'reservation', {server: decode, call: () => caches.release(decode, reservationId)});
+	const releaseAll = () => {
+		releaseHeld(run, 'reservation', {server: decode, call: () => caches.release(decode, reservationId)});
 		if (cache !== undefined) {
-			giveBack(run, 'cache', {server: cache.server, call: () => caches.dropCache(cache)});
+			releaseHeld(run, 'cache', {server: cache.server, call: () => caches.dropCache(cache)});
 		}
 	};
 
 	if (run.signal.aborted) {
-		giveAllBack();
+		releaseAll();
 		return {
-			kind: 'called', server: decode, ended: {kind: 'failed', fault: {kind: 'aborted', message: 'ended while its prompt was computed'}}, hasRun: false,
+			kind: 'called', server: decode, ended: {kind: 'failed', fault: {kind: 'aborted', message: 'the request was aborted during its prefill'}}, hasRun: false,
 		};
 	}
 
 	if (isQuarantined(run)) {
-		giveAllBack();
+		releaseAll();
 		return {
-			kind: 'called', server: decode, ended: {kind: 'failed', fault: {kind: 'refused', reason: 'other', message: 'quarantined while the prompt was computed'}}, hasRun: false,
+			kind: 'called', server: decode, ended: {kind: 'failed', fault: {kind: 'refused', reason: 'other', message: 'the request was quarantined during its prefill'}}, hasRun: false,
 		};
 	}
 
 	if (services.placement.isPaused(decode.id, services.clock.now())) {
-		giveAllBack();
+		releaseAll();
 		return {
-			kind: 'called', server: decode, ended: {kind: 'failed', fault: {kind: 'refused', reason: 'full', message: 'asked to back off while the prompt was computed'}}, hasRun: false,
+			kind: 'called', server: decode, ended: {kind: 'failed', fault: {kind: 'refused', reason: 'full', message: 'the decode server asked to back off during the prefill'}}, hasRun: false,
 		};
 	}
 
 	if (!isInService(run, decode)) {
-		giveAllBack();
+		releaseAll();
 		return {
-			kind: 'called', server: decode, ended: {kind: 'failed', fault: {kind: 'refused', reason: 'leaving', message: 'left while the prompt was computed'}}, hasRun: false,
+			kind: 'called', server: decode, ended: {kind: 'failed', fault: {kind: 'refused', reason: 'leaving', message: 'the decode server left during the prefill'}}, hasRun: false,
 		};
 	}
 
@@ -174,7 +176,7 @@
 	});
 	if ((ended.kind === 'failed' || ended.kind === 'cut') && (ended.fault.kind === 'unreachable' || ended.fault.kind === 'refused')) {
 		run.ledger.noteNotStarted();
-		giveAllBack();
+		releaseAll();
 	}
 
 	return {
@@ -183,17 +185,17 @@
 }
 
 /**
- * Makes one attempt.
+ * Makes one attempt at a pair of servers.
  *
- * @param run - The admitted request; its body is whole.
- * @param caches - Calls of the servers.
+ * @param run - The admitted request, with its whole body in memory.
+ * @param caches - Reservation and cache calls of the servers.
  * @param attempt - Number of the attempt, from 1.
- * @returns What became of it.
+ * @returns How the attempt ended.
  */
 export async function callPair(run: PlainRun, caches: CacheCalls, attempt: number): Promise<PairAttempt> {
-	const {services} = run.serve;
+	const {services} = run.ctx;
 	const {work} = run;
-	const reserved = await reservePlace(run, caches, attempt);
+	const reserved = await reserveDecodeServer(run, caches, attempt);
 	if (reserved.isErr()) {
 		return reserved.error;
 	}
@@ -202,7 +204,7 @@
 	services.placement.noteDispatched(placement, services.clock.now());
 	services.placement.noteReserved(placement, toReservedTokens(work), services.clock.now());
 	try {
-		return await runPlaced({
+		return await runReserved({
 			run, caches, work, placement, attempt,
 		}, reservationId);
 	} finally {
--- a/src/programs/entry/call-plain/_lib/decide-retry.ts
+++ b/src/programs/entry/call-plain/_lib/decide-retry.ts
@@ -1,4 +1,4 @@
-/** Whether a request that failed at one server goes to another. */
+/** Decides whether a request that failed at one server is sent to another. */
 import {
 	type FailedAttempt, type NoRetryReason, type RetryAnswer, type RetryBudget,
 } from '../../../../domain/create-retry-budget/index.js';
@@ -9,28 +9,28 @@
 const safeMethods = new Set(['GET', 'HEAD', 'OPTIONS']);
 
 /**
- * Tells whether the call may run a second time without harm.
+ * Whether a request may run more than once without harm.
  *
  * @param run - The caller's request and its rule.
- * @returns `true` if the rule says so, and for methods that change nothing.
+ * @returns `true` if the rule says so; without a relay policy also for safe methods.
  */
 export function isRepeatable(run: Pick<PlainRun, 'exchange' | 'route'>): boolean {
 	const {repeatable, relay} = run.route.rule.then;
-	// Where operators publish for each route whether it may be repeated, a method says nothing more.
+	// A relay policy states for each route whether it is repeatable, so the method adds nothing.
 	return repeatable || (relay === undefined && safeMethods.has(run.exchange.method));
 }
 
-/** Prompts that are sent to be computed before a request is given up: none of them runs the request. */
-const maxPromptTries = 3;
+/** Maximum number of prefills of a request that has not run. A prefill does not run the request, so the route's limit of attempts does not apply. */
+const maxPrefillAttempts = 3;
 
 export type RetryDecision = {kind: 'give-up'} | {kind: 'retry'; delayMs: Milliseconds};
 
-/** What the retry budget is told of a call: whether it ran the request, or may have. */
+/** Describes a failed call for the retry budget. */
 function toFailedAttempt(run: PlainRun, {hasRun, isOffered, isStarted, sent}: {hasRun: boolean; isOffered: boolean; isStarted: boolean; sent: number}): FailedAttempt {
 	const {relay} = run.route.rule.then;
 	return {
 		attempt: hasRun ? sent : run.tried.length,
-		...(relay && {maxAttempts: hasRun ? relay.attempts : maxPromptTries}),
+		...(relay && {maxAttempts: hasRun ? relay.attempts : maxPrefillAttempts}),
 		tried: run.tried,
 		repeatable: isRepeatable(run),
 		bytesOffered: isOffered ? 1 : 0,
@@ -40,26 +40,26 @@
 	};
 }
 
-function canSendAgain({body}: PlainRun): boolean {
+function canResend({body}: PlainRun): boolean {
 	return !body.isTaken() && body.fault() === undefined;
 }
 
 /**
- * Tells what keeps the request from another server after the answer that has
- * just begun. A failed answer is passed on then: an answer of its server is
- * worth more to a caller than a refusal of ours.
+ * Finds the reason why a request can't be retried if the answer that has just
+ * begun reports a failure. With a reason, the failed answer is relayed to the
+ * caller, because it is more useful than a refusal by this host.
  *
- * @param run - The request; its present call is not counted in `sent` yet.
- * @returns The reason; `undefined` if the answer may be let go.
+ * @param run - The request; its current call is not counted in `sent` yet.
+ * @returns The reason; `undefined` if the answer may be dropped for a retry.
  */
 export function findNoRetryReason(run: PlainRun): NoRetryReason | 'own-answer' | undefined {
-	const {services} = run.serve;
-	// Own callers without relay terms get what their service answers.
+	const {services} = run.ctx;
+	// Without a relay policy, callers get the answer of their service as it is.
 	if (run.route.rule.then.relay === undefined) {
 		return 'own-answer';
 	}
 
-	if (!isRepeatable(run) || !canSendAgain(run)) {
+	if (!isRepeatable(run) || !canResend(run)) {
 		return 'not-repeatable';
 	}
 
@@ -70,16 +70,16 @@
 }
 
 /**
- * Decides, and spends from the budget when the request goes on.
+ * Decides about a retry, and charges a granted one to the retry budget.
  *
  * @param run - The request.
- * @param fault - Why the call brought no answer.
- * @param hasRun - Whether the call was to run the request, and not just compute its prompt.
- * @returns Whether to call another server, and when.
+ * @param fault - Why the call failed.
+ * @param hasRun - Whether the call carried the request itself, not only its prefill.
+ * @returns Whether to call another server, and after which delay.
  */
 export function decideRetry(run: PlainRun, fault: PlainFault, hasRun: boolean): RetryDecision {
-	const {services} = run.serve;
-	if (!canSendAgain(run)) {
+	const {services} = run.ctx;
+	if (!canResend(run)) {
 		return {kind: 'give-up'};
 	}
 
@@ -90,33 +90,33 @@
 	});
 	const budget = services.toRetryBudget(run.route.pool.name);
 	const answer = budget.takeRetry(failed, services.clock.now(), services.random);
-	const calls = answer.kind === 'retry' && hasRun ? payForPrompt(run, budget) : 0;
-	noteDecision(run, answer, budget, calls);
+	const calls = answer.kind === 'retry' && hasRun ? chargePrefill(run, budget) : 0;
+	reportDecision(run, answer, budget, calls);
 	return answer;
 }
 
 /**
- * Servers count a prompt that is computed again as a call, beside the run itself.
- * Where the budget holds no more, the decode server computes it: slower, and
- * between the tokens of others.
+ * Charges the prefill of a retry, which is a second call to the servers beside the
+ * decode. If the budget is used up, the decode server does the prefill instead,
+ * which is slower and delays the tokens of its other requests.
  *
- * @returns What it cost.
+ * @returns The charged cost.
  */
-function payForPrompt(run: PlainRun, budget: RetryBudget): number {
-	if (run.route.pool.kind !== 'model' || run.serve.calls.caches === undefined) {
+function chargePrefill(run: PlainRun, budget: RetryBudget): number {
+	if (run.route.pool.kind !== 'model' || run.ctx.calls.caches === undefined) {
 		return 0;
 	}
 
-	run.isOneCall = !budget.takeExtraCall(run.serve.services.clock.now());
-	return run.isOneCall ? 0 : 1;
+	run.isDecodeOnly = !budget.takeExtraCall(run.ctx.services.clock.now());
+	return run.isDecodeOnly ? 0 : 1;
 }
 
-/** What was decided, and by which state of the budget, of which each host has its own part. */
-function noteDecision({serve, route, log, tried}: PlainRun, answer: RetryAnswer, budget: RetryBudget, promptCost: number): void {
-	const {clock, runMetrics: tally} = serve.services;
+/** Logs and counts a decision, with the state of this host's share of the retry budget. */
+function reportDecision({ctx, route, log, tried}: PlainRun, answer: RetryAnswer, budget: RetryBudget, promptCost: number): void {
+	const {clock, runMetrics} = ctx.services;
 	const decision = answer.kind === 'retry' ? 'granted' : answer.reason;
 	const cost = promptCost + (answer.kind === 'retry' ? answer.cost : 0);
-	tally.countRetryDecision(decision, cost);
+	runMetrics.countRetryDecision(decision, cost);
 	log.info('retry decided', {
 		attempt: tried.length, pool: route.pool.name, reason: decision, cost, available: toHundredths(budget.available(clock.now())), limit: budget.capacity(),
 	});
--- a/src/programs/entry/gate/index.ts
+++ b/src/programs/entry/gate/index.ts
@@ -1,6 +1,6 @@
 /**
- * Where requests wait: turns the admission's decisions into promises, one for
- * each request's task.
+ * Lets requests wait for admission: turns the decisions of the admission into one
+ * promise for each request.
  */
 import {err, ok, type Result} from 'neverthrow';
 import {type Milliseconds} from '../../../ports/clock.js';
@@ -12,19 +12,19 @@
 } from '../../../domain/create-admission/index.js';
 import {toPoolCapacity} from '../../../domain/to-pool-capacity/index.js';
 
-/** Why a request may not start: refused by the admission, or ended while it waited. */
+/** Why a request was not admitted: refused by the admission, or aborted while it waited. */
 export type GateRefusal = Refusal | {reason: 'gone'};
 
 export type Gate = {
-	/** Waits until the request may start. */
+	/** Resolves when the request is admitted or refused. */
 	enter: (request: AdmissionRequest, signal: AbortSignal) => Promise<Result<void, GateRefusal>>;
 	noteFirstToken: (id: RequestId) => void;
-	/** Ends an admitted request; `gone` forgets it, whatever it was doing. */
+	/** Ends an admitted request; `gone` removes it in whatever state it is. */
 	leave: (id: RequestId, end: FinishOutcome | 'gone') => void;
 	setView: (view: FleetView) => void;
-	/** Looks at all that wait; the program calls it several times a second. */
+	/** Admits and refuses waiting requests; to be called several times a second. */
 	tick: () => void;
-	/** Mean time for which requests of a pool keep their places; `undefined` while none has ended. */
+	/** Mean time for which requests of a pool occupy their slots, milliseconds; `undefined` before the first has ended. */
 	meanHoldMs: (pool: string) => Milliseconds | undefined;
 	waiting: () => number;
 	status: () => PoolStatus[];
@@ -35,7 +35,7 @@
 /**
  * Creates the gate of one entry process.
  *
- * @param options - The admission that decides, the zone, and the clock.
+ * @param options - The admission that decides, the zone of this host, and the monotonic clock.
  * @returns The gate.
  */
 export function createGate(options: {admission: Admission; zone: ZoneId; now: () => Milliseconds}): Gate {
@@ -51,18 +51,19 @@
 		waiter?.(result);
 	}
 
-	function start(ids: readonly RequestId[]): void {
+	function admit(ids: readonly RequestId[]): void {
 		for (const id of ids) {
 			settle(id, ok());
 		}
 	}
 
 	/**
-	 * A pool that left the configuration keeps no places: what waits for it would
-	 * wait until its target had passed. Asked again with each view, since a pool
-	 * that still has requests running goes only when they have ended.
+	 * Removes pools that are no longer in the configuration. Requests that wait for
+	 * such a pool are refused at once; otherwise they would wait until they miss
+	 * their targets. Repeated with each view, because a pool with running requests is
+	 * removed only after they have ended.
 	 */
-	function dropPools({accepted}: FleetView): void {
+	function removeMissingPools({accepted}: FleetView): void {
 		if (accepted === undefined) {
 			return;
 		}
@@ -80,9 +81,9 @@
 			return;
 		}
 
-		dropPools(view);
+		removeMissingPools(view);
 		for (const {pool, ...capacity} of toPoolCapacity(view, zone)) {
-			start(admission.setCapacity(pool, capacity, now()));
+			admit(admission.setCapacity(pool, capacity, now()));
 		}
 
 		view = undefined;
@@ -90,16 +91,16 @@
 
 	async function wait(id: RequestId, signal: AbortSignal): Promise<Result<void, GateRefusal>> {
 		return new Promise(resolve => {
-			const onGone = () => {
-				start(admission.cancel(id, now()));
+			const onAbort = () => {
+				admit(admission.cancel(id, now()));
 				settle(id, err({reason: 'gone'}));
 			};
 
 			waiters.set(id, result => {
-				signal.removeEventListener('abort', onGone);
+				signal.removeEventListener('abort', onAbort);
 				resolve(result);
 			});
-			signal.addEventListener('abort', onGone, {once: true});
+			signal.addEventListener('abort', onAbort, {once: true});
 		});
 	}
 
@@ -121,7 +122,7 @@
 			admission.noteFirstToken(id, now());
 		},
 		leave(id, end) {
-			start(end === 'gone' ? admission.cancel(id, now()) : admission.finish(id, now(), {outcome: end}));
+			admit(end === 'gone' ? admission.cancel(id, now()) : admission.finish(id, now(), {outcome: end}));
 		},
 		setView(next) {
 			view = next;
@@ -129,7 +130,7 @@
 		tick() {
 			applyView();
 			const {admitted, refused} = admission.tick(now());
-			start(admitted);
+			admit(admitted);
 			for (const {id, ...refusal} of refused) {
 				settle(id, err(refusal));
 			}
--- a/src/programs/entry/run-request/index.ts
+++ b/src/programs/entry/run-request/index.ts
@@ -1,5 +1,6 @@
 /**
- * A request's attempts, one after the other, to its one end.
+ * Runs the attempts of a request one after the other, until one completes or no
+ * retry is allowed.
  */
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type ServerId, type ZoneId} from '../../../ports/ids.js';
@@ -11,22 +12,22 @@
 
 export {type RunEnd, toEnded} from './_lib/to-run-end.js';
 
-type Tried = {
+type TriedServer = {
 	server: ServerId;
 	zone: ZoneId;
 };
 
-/** Nothing ran and nothing is wrong: under load many servers are full at any time, and their reports are late. */
+/** Whether the decode server had no free slot. This is no fault: under load many servers are full, and their load reports lag behind. */
 function isFull({step, failure}: AttemptFailure): boolean {
 	return step === 'reserve' && failure.kind === 'refused' && failure.reason === 'full';
 }
 
-function noteFull(run: Run, attempt: number, server: ServerId): void {
+function reportFull(run: Run, attempt: number, server: ServerId): void {
 	run.account.addStage('server full', {attempt, server});
 	run.log.info('decode server full, asking the next', {attempt, server});
 }
 
-function logFailure(run: Run, attempt: number, failed: AttemptFailure): void {
+function reportFailure(run: Run, attempt: number, failed: AttemptFailure): void {
 	const {step, server, failure} = failed;
 	run.account.resolveDetails();
 	run.account.addStage('attempt failed', {
@@ -38,20 +39,20 @@
 }
 
 /**
- * Runs an admitted request to its end. Failures are paid from the pool's retry
- * budget; a decode server without room costs nothing and is asked once, so that
- * a request makes at most as many such calls as there are servers before it
- * waits for room again.
+ * Runs an admitted request to its end. Retries after failures are charged to the
+ * pool's retry budget. A full decode server costs nothing and is asked only once,
+ * so that a request makes at most one such call to each server before it waits for
+ * admission again.
  *
  * @param run - The request.
- * @param services - The program around it.
- * @param firstAttempt - Number of the first attempt, for a request that comes again after it was bounced.
- * @returns The end, and the number that the next attempt would have.
+ * @param services - Services of the entry.
+ * @param firstAttempt - Number of the first attempt; above 1 for a request that found all servers full and was admitted again.
+ * @returns The end, and the number of the next attempt.
  */
 export async function runRequest(run: Run, services: RunServices, firstAttempt: number): Promise<{end: RunEnd; nextAttempt: number}> {
 	const {clock} = services;
 	const budget = services.toRetryBudget(run.rule.then.pool);
-	const tried: Tried[] = [];
+	const tried: TriedServer[] = [];
 	const full = new Set<ServerId>();
 	let failed: ReadonlySet<ServerId> = new Set();
 	for (let attempt = firstAttempt; ; attempt++) {
@@ -81,15 +82,15 @@
 		}
 
 		if (isFull(ended)) {
-			// Paid from the retry budget, a busy hour's full servers would use up what is meant for failures.
+			// Not charged to the retry budget: under load, full servers would use up the budget that is meant for failures.
 			full.add(ended.server.id);
-			noteFull(run, attempt, ended.server.id);
+			reportFull(run, attempt, ended.server.id);
 			continue;
 		}
 
-		logFailure(run, attempt, ended);
+		reportFailure(run, attempt, ended);
 		tried.push({server: ended.server.id, zone: ended.server.zone});
-		const again = budget.takeRetry({
+		const decision = budget.takeRetry({
 			repeatable: run.rule.then.repeatable,
 			bytesOffered: ended.hasOffered ? run.request.prompt.length : 0,
 			outcome: ended.hasOffered ? 'may-have-run' : 'not-run',
@@ -98,8 +99,8 @@
 			expectedMs: placement.predictedFirstTokenMs,
 			tried,
 		}, clock.now(), services.random);
-		if (again.kind === 'give-up') {
-			run.account.addStage('given up', {reason: again.reason});
+		if (decision.kind === 'give-up') {
+			run.account.addStage('given up', {reason: decision.reason});
 			return {end: toGivenUp(run, ended), nextAttempt: attempt + 1};
 		}
 
@@ -107,12 +108,12 @@
 			services.runMetrics.countRerun();
 		}
 
-		failed = new Set(again.avoidServers);
-		await waitUnlessAborted(run, again.delayMs);
+		failed = new Set(decision.avoidServers);
+		await waitUnlessAborted(run, decision.delayMs);
 	}
 }
 
-/** A caller that already has a part of the answer waits for the rest also past the deadline. */
+/** A caller that already has part of the answer waits for the rest even past the deadline. */
 function toRetryDeadline(run: Run): Milliseconds {
 	return run.buffer.offset() > 0 ? Infinity : run.deadline;
 }
--- a/src/programs/entry/send-plain/index.ts
+++ b/src/programs/entry/send-plain/index.ts
@@ -1,6 +1,6 @@
 /**
- * One call of a plain service: the caller's body out, the service's answer back.
- * A short answer goes out once it is whole, a longer one as it comes.
+ * One call of a plain service: sends the caller's body and relays the answer. A
+ * short answer is relayed once it is complete, a longer one as it arrives.
  */
 import {type Buffer} from 'node:buffer';
 import {type Dispatcher} from 'undici';
@@ -16,11 +16,11 @@
 
 export {type RelayedEvents} from './_lib/create-event-relay.js';
 
-/** Why a call brought no answer to relay; `refused` is the server's own word that it did not run the request. */
+/** Why a call brought no answer to relay; `refused` means that the server itself reported that it did not run the request. */
 export type PlainFault =
 	| CallFault
 	| {kind: 'refused'; reason: EngineRefusalReason; message: string}
-	/** The server ran the request and answered that it failed; the answer was not relayed, as another server is to be tried. */
+	/** The server ran the request and reported a failure; the answer was not relayed, because another server is to be tried. */
 	| {kind: 'failed-answer'; message: string}
 	| {kind: 'invalid'; message: string};
 
@@ -32,30 +32,31 @@
 	| {kind: 'cut'; fault: PlainFault}
 	| {kind: 'caller-gone'};
 
-export type PlainSend = {
+export type PlainCall = {
 	exchange: CallerExchange;
 	dispatcher: Dispatcher;
 	server: ServerEntry;
 	headers: Record<string, string | string[]>;
 	payload: Buffer | AsyncIterable<Uint8Array> | undefined;
 	signal: AbortSignal;
-	/** Limit of the wait for the answer's head. */
+	/** Timeout of the answer's head. */
 	headersTimeoutMs: Milliseconds;
-	/** Limit of silence within the answer, and of a caller that does not read. */
+	/** Idle timeout within the answer, and of a caller that does not read. */
 	idleTimeoutMs: Milliseconds;
-	/** Present where a broken answer may be continued by another server: only whole events go out. */
+	/** Present if another server may continue a broken answer; only complete events are relayed then. */
 	events?: RelayedEvents | undefined;
-	/** Looks at the answer's head; a fault in it ends the call, and nothing of the answer is relayed. */
+	/** Checks the answer's head; a fault ends the call, and nothing of the answer is relayed. */
 	checkHead?: (status: number, headers: AnswerHeaders) => PlainFault | undefined;
-	/** Told of the answer's head, with its status. */
+	/** Called with the status once the head is accepted. */
 	onStart: (status: number) => void;
 };
 
 /**
- * A refusal is short and its connection goes on to serve; an answer that belongs
- * to another request says that the connection can't be trusted any more.
+ * Ends a call whose answer is not relayed. The rest of a refusal is short and is
+ * read, so that the connection can be reused. After an invalid answer, such as one
+ * to another request, the connection is closed, as its next answer may be wrong too.
  */
-function endUnread(fault: PlainFault, flow: CallFlow, resolve: (end: PlainEnd) => void): void {
+function rejectAnswer(fault: PlainFault, flow: CallFlow, resolve: (end: PlainEnd) => void): void {
 	if (fault.kind === 'invalid') {
 		flow.abandon();
 	} else {
@@ -68,35 +69,35 @@
 /**
  * Sends the call and relays the answer.
  *
- * @param send - Where, what, and the limits.
- * @returns How it ended. After `failed` nothing was sent to the caller.
+ * @param call - Server, content and timeouts of the call.
+ * @returns How the call ended; after `failed` nothing was sent to the caller.
  */
-export async function sendPlain(send: PlainSend): Promise<PlainEnd> {
-	const {exchange, server, signal} = send;
+export async function sendPlain(call: PlainCall): Promise<PlainEnd> {
+	const {exchange, server, signal} = call;
 	return new Promise(resolve => {
 		let status = 0;
-		const {events} = send;
-		const relay = events === undefined ? createRelay(send) : createEventRelay({...send, events});
+		const {events} = call;
+		const relay = events === undefined ? createRelay(call) : createEventRelay({...call, events});
 		dispatchCall({
-			dispatcher: send.dispatcher,
+			dispatcher: call.dispatcher,
 			origin: server.url,
 			method: exchange.method,
 			path: exchange.target,
-			headers: send.headers,
-			...(send.payload !== undefined && {payload: send.payload}),
-			headersTimeoutMs: send.headersTimeoutMs,
-			idleTimeoutMs: send.idleTimeoutMs,
+			headers: call.headers,
+			...(call.payload !== undefined && {payload: call.payload}),
+			headersTimeoutMs: call.headersTimeoutMs,
+			idleTimeoutMs: call.idleTimeoutMs,
 			signal,
 		}, {
 			onStart(answerStatus, headers, flow) {
-				const fault = send.checkHead?.(answerStatus, headers);
+				const fault = call.checkHead?.(answerStatus, headers);
 				if (fault !== undefined) {
-					endUnread(fault, flow, resolve);
+					rejectAnswer(fault, flow, resolve);
 					return;
 				}
 
 				status = answerStatus;
-				send.onStart(status);
+				call.onStart(status);
 				relay.start(status, toForwardHeaders(headers, {drop: ['x-request-id']}), flow);
 			},
 			onData: relay.write,
--- a/src/programs/entry/start-entry/index.ts
+++ b/src/programs/entry/start-entry/index.ts
@@ -1,6 +1,6 @@
 /**
- * The entry: takes callers' requests and owes each of them its answer. All
- * that touches the outside is handed in or listens on the ports given.
+ * The entry, which accepts callers' requests and answers each of them. Connections
+ * to the outside are passed in or listen on the given ports.
  */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {
@@ -41,16 +41,16 @@
 import {createHandlers} from './_lib/create-handlers.js';
 import {createReadiness} from './_lib/create-readiness.js';
 
-/** Room at a full pool is looked for this often: a request in time has some 600 ms to find it, before those that come after it do. */
+/** Interval at which waiting requests look for a free slot at a full pool. A request has about 600 ms to find one within its target, and must find it before later requests do. */
 const gateTickMs = 20;
-/** Without requests only the own word to other hosts and changes of the platform are due; they count in half seconds. */
+/** Tick interval without requests. Only load reports to other hosts and changes of the platform are due then, for which half a second is precise enough. */
 const idleTickMs = 250;
-const pauseLimitMs = 2000;
-const accountLimit = 2000;
-const operatorCloseMs = 500;
+const pauseThresholdMs = 2000;
+const maxAccounts = 2000;
+const operatorCloseTimeoutMs = 500;
 
 export type LoadSharing = Pick<SharedLoads, 'read' | 'isZoneSilent'> & {
-	/** Whether hosts of other zones were heard before, and none is any more. */
+	/** Whether hosts of other zones were heard before but none is any more. */
 	isIsolated: () => boolean;
 	tick: (loads: readonly HostLoad[]) => void;
 };
@@ -63,25 +63,25 @@
 	metrics: Metrics;
 	keys?: ProgramKeys | undefined;
 	createEngine: (server: ServerEntry, hooks: {onDropped: (cause: 'crossed' | 'repeated') => void}) => EngineClient;
-	/** Opens what ties the host to the rest: where its view comes from, and the claims of keyed requests. */
+	/** Connects the host to the fleet: opens the source of its view, and the claims of keyed requests. */
 	join: (options: JoinOptions) => Promise<FleetLink>;
-	/** Bounds of retries beside the number that may be saved up. */
+	/** Limits of retries besides the capacity of the retry budget. */
 	retryBudget?: RetryBudgetOptions;
-	/** When servers are left out for what this host's own calls met. */
+	/** When servers are avoided because of failed calls of this host. */
 	health?: ServerHealthOptions;
-	/** How passed-on requests are dressed for servers; as they came, unless callers and servers expect more. */
+	/** Creates the builder and parser of headers for calls to servers; by default, callers' headers are forwarded as they are. */
 	createCalls?: (toDispatcher: PlainClients['toDispatcher'], hooks: ServerCallHooks) => ServerCalls;
-	/** Time for which idle connections to backend servers are kept where they name none. */
+	/** Time for which idle connections are kept to backend servers that name no keep-alive timeout. */
 	serverIdleMs?: Milliseconds;
-	/** Tells other hosts what this one has under way at servers, and knows the same of them. */
+	/** Exchanges loads with other hosts: the requests that each has in flight at servers. */
 	loadSharing?: LoadSharing;
-	/** What is known of requests under which servers crashed; this host's own where hosts don't share it. */
+	/** Requests under which servers crashed; by default those that this host saw itself. */
 	suspects?: CrashSuspects;
-	/** What callers of this port expect, beside the usual. */
+	/** Options of the callers' port that differ from the defaults. */
 	callers?: Pick<CallerServerOptions, 'isRelayOnly' | 'requestIdHeader' | 'problemStyle'>;
 };
 
-/** Settings that every entry needs, however it learns of the fleet. */
+/** Settings of every entry, independent of the source of its view. */
 export type EntryCoreSettings = Omit<EntrySettings, 'agentAddress' | 'peerPort' | 'clockBound' | 'keptAnswerBytes' | 'keptAnswerAge'> & {metricsPort?: number | undefined};
 
 export type Entry = {
@@ -90,13 +90,13 @@
 	operatorPort: number;
 	view: () => FleetView | undefined;
 	accounts: Accounts;
-	/** Part of a pool's servers that should compute prompts, by what requests cost here; `undefined` while too little is known. */
+	/** Fraction of a pool's servers that should do prefills, by the cost of requests on this host; `undefined` while too few requests were measured. */
 	toPrefillShare: PlacementDecider['toPrefillShare'];
-	/** Takes what a server said of itself in an answer to a call that was made elsewhere. */
+	/** Handles a notice that a server sent about itself in an answer to a call made outside of the entry. */
 	handleNotice: ServeContext['handleNotice'];
-	/** Finishes everything in progress, then closes. */
+	/** Drains requests in progress, then closes. */
 	stop: () => Promise<void>;
-	/** Ends everything in progress and waits a moment for the cancels; returns the ids of what is abandoned. */
+	/** Aborts all requests in progress and waits a short time for their cancels; returns the ids of the aborted requests. */
 	abandon: () => Promise<string[]>;
 };
 
@@ -136,7 +136,7 @@
 type EntryParts = {
 	options: EntryOptions;
 	link: FleetLink;
-	serve: ServeContext;
+	ctx: ServeContext;
 	callers: CallerServer;
 	counters: ReturnType<typeof createEntryMetrics>;
 	toIsStopping: () => boolean;
@@ -144,11 +144,11 @@
 
 async function listenForOperators(parts: EntryParts, burn: ReturnType<typeof reportSlo>) {
 	const {
-		options, link, serve, callers, counters, toIsStopping,
+		options, link, ctx, callers, counters, toIsStopping,
 	} = parts;
-	const {services, registry, accounts} = serve;
+	const {services, registry, accounts} = ctx;
 	counters.sample({
-		inProgress: registry.size, waiting: services.gate.waiting, openAnswers: callers.openExchanges, cancelsPending: services.cancels.pending, quarantined: () => serve.suspects.count(options.clock.now()).quarantined,
+		inProgress: registry.size, waiting: services.gate.waiting, openAnswers: callers.openExchanges, cancelsPending: services.cancels.pending, quarantined: () => ctx.suspects.count(options.clock.now()).quarantined,
 	});
 	const started = await startOperations({
 		settings: options.settings,
@@ -184,10 +184,10 @@
 	let isStopping = false;
 	const counters = createEntryMetrics(metrics);
 	const ledger = createSloLedger({host: settings.hostId});
-	const engines = createEngines(server => options.createEngine(server, {onDropped: counters.noteDropped}));
+	const engines = createEngines(server => options.createEngine(server, {onDropped: counters.countDroppedTokens}));
 	const clients = createPlainClients({connectTimeoutMs: settings.engineConnectTimeout, ...(options.serverIdleMs !== undefined && {idleMs: options.serverIdleMs})});
 	const registry = createRunRegistry();
-	const accounts = createAccounts({limit: accountLimit, now: clock.now, wallNow: clock.wallNow});
+	const accounts = createAccounts({limit: maxAccounts, now: clock.now, wallNow: clock.wallNow});
 	const run = createRunServices({
 		clock,
 		random,
@@ -207,7 +207,7 @@
 		},
 	});
 	const limits = toLimits(settings);
-	/** Views come before the callers' port is open. */
+	/** Set once the callers' port is open; views may arrive earlier. */
 	const opened: {callers?: CallerServer} = {};
 	const applyBounds = (bounds: CallerBounds): void => {
 		limits.maxBodyBytes = bounds.maxBodyBytes;
@@ -218,7 +218,7 @@
 		onView(view) {
 			run.services.gate.setView(view);
 			if (view.accepted !== undefined) {
-				run.noteConfig(view.accepted.config);
+				run.applyConfig(view.accepted.config);
 				clients.keepOnly(new Set(view.accepted.config.servers.map(server => server.id)));
 				if (view.accepted.config.callers !== undefined) {
 					applyBounds(view.accepted.config.callers);
@@ -226,26 +226,26 @@
 			}
 		},
 	});
-	const noteNotice = createNoticeHandler({
+	const handleNotice = createNoticeHandler({
 		log,
 		reportLeaving(server) {
 			link.reportLeaving(server);
 		},
 		notePause: (server, pauseMs) => run.services.placement.notePause(server, pauseMs, clock.now()),
 	});
-	const serve: ServeContext = {
+	const ctx: ServeContext = {
 		services: run.services,
 		limits,
 		route: createRouter(settings.zone),
 		accounts,
 		registry,
 		claims: link.claims,
-		calls: options.createCalls?.(clients.toDispatcher, {onNotice: noteNotice}) ?? createNativeCalls({toView: () => link.toView()}),
-		handleNotice: noteNotice,
+		calls: options.createCalls?.(clients.toDispatcher, {onNotice: handleNotice}) ?? createNativeCalls({toView: () => link.toView()}),
+		handleNotice,
 		suspects,
 		log,
 		onEnded(ended) {
-			counters.noteEnded(ended);
+			counters.recordEndedRequest(ended);
 			ledger.addSample(toSloSample(ended), clock.now());
 		},
 	};
@@ -258,7 +258,7 @@
 		busyMs: gateTickMs,
 		idleMs: idleTickMs,
 	});
-	const callers = await listenForCallers(options, createHandlers(serve, clients, ticker));
+	const callers = await listenForCallers(options, createHandlers(ctx, clients, ticker));
 	opened.callers = callers;
 	const bounds = link.toView()?.accepted?.config.callers;
 	if (bounds !== undefined) {
@@ -266,12 +266,12 @@
 	}
 
 	const parts: EntryParts = {
-		options, link, serve, callers, counters, toIsStopping: () => isStopping,
+		options, link, ctx, callers, counters, toIsStopping: () => isStopping,
 	};
 	const operators = await listenForOperators(parts, reportSlo(ledger, clock, metrics));
-	const endPauseWatch = watchPauses({
+	const stopPauseWatch = watchPauses({
 		now: clock.now,
-		limitMs: pauseLimitMs,
+		limitMs: pauseThresholdMs,
 		onWake(gapMs) {
 			counters.pauses.add({});
 			log.warn('woke up after a pause', {durationMs: gapMs, count: registry.endOverdue(clock.now())});
@@ -285,7 +285,7 @@
 		view: link.toView,
 		accounts,
 		toPrefillShare: run.services.placement.toPrefillShare,
-		handleNotice: noteNotice,
+		handleNotice,
 		async stop() {
 			isStopping = true;
 			callers.startStopping();
@@ -296,12 +296,12 @@
 			run.services.cancels.stop();
 			await link.leave();
 			ticker.stop();
-			endPauseWatch();
-			await Promise.all([engines.close(), clients.close(), operators.close(operatorCloseMs)]);
+			stopPauseWatch();
+			await Promise.all([engines.close(), clients.close(), operators.close(operatorCloseTimeoutMs)]);
 		},
 		async abandon() {
 			const left = registry.abandon();
-			await settle(serve);
+			await settle(ctx);
 			return left;
 		},
 	};
