--- a/src/domain/accept-config/index.ts
+++ b/src/domain/accept-config/index.ts
@@ -70,7 +70,7 @@
  * if (verdict.status === 'refused') log.warn(verdict.message);
  * ```
  */
-export function acceptConfig(current: AcceptedConfig | undefined, candidate: ConfigCandidate, {read = readAlone}: AcceptConfigOptions = {}): ConfigVerdict {
+export function acceptConfig(current: AcceptedConfig | undefined, candidate: ConfigCandidate, {read = parseUncached}: AcceptConfigOptions = {}): ConfigVerdict {
 	const digest = toDigest(candidate.text);
 	if (current?.version.digest === digest) {
 		const revision = Math.max(current.version.revision, candidate.revision);
@@ -84,7 +84,7 @@
 	}
 
 	const version: ConfigVersion = {edition: seal.value.edition, revision: candidate.revision, digest};
-	const rivalry = current && toRivalry(current, version, seal.value);
+	const rivalry = current && toConflict(current, version, seal.value);
 	if (current && compareConfigVersions(version, current.version) < 0) {
 		return rivalry
 			? {...toRefusal('rival-lost', rivalry.message), conflict: rivalry}
@@ -116,15 +116,15 @@
 }
 
 /** Names all that is missing up to a length that a line of a log can hold. */
-const shownParts = 8;
+const maxShownParts = 8;
 
 function toMissingMessage(version: ConfigVersion, missing: readonly NamedPart[]): string {
-	const shown = missing.slice(0, shownParts).map(part => `${part.name} under ${toPartKey(part)}`).join(', ');
-	const more = missing.length > shownParts ? ` and ${missing.length - shownParts} more` : '';
-	return `${toShown(version)} does not come in force, since parts are missing or are not as it names them: ${shown}${more}. Publish them, or the root in force again`;
+	const shown = missing.slice(0, maxShownParts).map(part => `${part.name} under ${toPartKey(part)}`).join(', ');
+	const more = missing.length > maxShownParts ? ` and ${missing.length - maxShownParts} more` : '';
+	return `${toVersionText(version)} does not come in force, since parts are missing or are not as it names them: ${shown}${more}. Publish them, or the root in force again`;
 }
 
-const readAlone: ReadConfig = (text, findPart) => parseConfig(text, findPart ? {findPart} : {});
+const parseUncached: ReadConfig = (text, findPart) => parseConfig(text, findPart ? {findPart} : {});
 
 function toRefusal(reason: ConfigRefusalReason, message: string): Extract<ConfigVerdict, {status: 'refused'}> {
 	return {
@@ -132,14 +132,14 @@
 	};
 }
 
-function toRivalry(current: AcceptedConfig, version: ConfigVersion, seal: ConfigSeal): ConfigConflict | undefined {
+function toConflict(current: AcceptedConfig, version: ConfigVersion, seal: ConfigSeal): ConfigConflict | undefined {
 	if (seal.kind !== 'sealed' || version.edition !== current.version.edition || splitConfigEnd(current.text).kind !== 'sealed') {
 		return undefined;
 	}
 
 	const isNewer = compareConfigVersions(version, current.version) > 0;
 	const [winner, loser] = isNewer ? [version, current.version] : [current.version, version];
-	const message = `two documents were sealed as edition ${winner.edition}: ${toShown(winner)} wins and ${toShown(loser)} loses, so its edit is not in force; `
+	const message = `two documents were sealed as edition ${winner.edition}: ${toVersionText(winner)} wins and ${toVersionText(loser)} loses, so its edit is not in force; `
 		+ 'repeat that edit on the winner and seal it as the next edition';
 	return {winner, loser, message};
 }
@@ -148,17 +148,17 @@
 	const remedy = seal.kind === 'plain' && version.edition < current.edition
 		? `write "edition: ${current.edition}" on the line before "end", or seal it with "banyanport seal --follows" the one in force`
 		: 'to bring an old rule list back, publish it as a new edition';
-	return `${toShown(version)} is older than ${toShown(current)}, which is in force and stays: ${remedy}`;
+	return `${toVersionText(version)} is older than ${toVersionText(current)}, which is in force and stays: ${remedy}`;
 }
 
 /** A document sealed on top of something else than what is in force may have been written without its edits. */
 function toWarning(current: ConfigVersion, version: ConfigVersion, seal: ConfigSeal): string | undefined {
 	const isNext = version.edition === current.edition + 1;
 	return isNext && seal.kind === 'sealed' && seal.follows !== current.digest
-		? `${toShown(version)} follows another document than ${toShown(current)}, which was in force: compare both with "banyanport diff", an edit may be lost`
+		? `${toVersionText(version)} follows another document than ${toVersionText(current)}, which was in force: compare both with "banyanport diff", an edit may be lost`
 		: undefined;
 }
 
-function toShown({edition, revision, digest}: ConfigVersion): string {
+function toVersionText({edition, revision, digest}: ConfigVersion): string {
 	return `edition ${edition} (revision ${revision}, ${digest.slice(0, 12)})`;
 }
--- a/src/domain/accept-config/parts.test.ts
+++ b/src/domain/accept-config/parts.test.ts
@@ -31,10 +31,10 @@
 const editions = toEditions(4);
 const [first, second] = editions as [Edition, Edition];
 
-type Fate = 'there' | 'missing' | 'cut' | 'older';
+type ServedState = 'there' | 'missing' | 'cut' | 'older';
 
 /** What the platform serves of a part. */
-function toServed(fate: Fate, text: string, older: string): string | undefined {
+function toServed(fate: ServedState, text: string, older: string): string | undefined {
 	switch (fate) {
 		case 'there': {
 			return text;
@@ -62,7 +62,7 @@
 
 describe('acceptConfig of parts', () => {
 	it('never takes a root whose parts are missing, cut off, or older, and names just those', () => {
-		const fate = fc.constantFrom<Fate[]>('there', 'missing', 'cut', 'older');
+		const fate = fc.constantFrom<ServedState[]>('there', 'missing', 'cut', 'older');
 		fc.assert(fc.property(fc.array(fate, {minLength: first.parts.length, maxLength: first.parts.length}), fc.boolean(), (fates, isFirst) => {
 			const current = isFirst ? undefined : accept(undefined, first);
 			const held = new Set(current?.parts?.map(({sha256}) => sha256));
@@ -70,13 +70,13 @@
 				const served = toServed(fates[i]!, text, first.parts[i]!.text);
 				return served === undefined ? [] : [[sha256, served]];
 			}));
-			const lost = second.parts.filter(({sha256}, i) => fates[i] !== 'there' && !held.has(sha256));
+			const missing = second.parts.filter(({sha256}, i) => fates[i] !== 'there' && !held.has(sha256));
 			const verdict = acceptConfig(current, {text: second.text, revision: 2, findPart: ({sha256}) => found.get(sha256)});
-			assert.equal(verdict.status, lost.length === 0 ? 'accepted' : 'refused');
+			assert.equal(verdict.status, missing.length === 0 ? 'accepted' : 'refused');
 			if (verdict.status === 'refused') {
 				assert.equal(verdict.reason, 'parts-missing');
-				assert.deepEqual(verdict.missing.map(({name}) => name), lost.map(({name}) => name));
-				assert.ok(lost.slice(0, 8).every(part => verdict.message.includes(toPartKey(part))), verdict.message);
+				assert.deepEqual(verdict.missing.map(({name}) => name), missing.map(({name}) => name));
+				assert.ok(missing.slice(0, 8).every(part => verdict.message.includes(toPartKey(part))), verdict.message);
 			}
 		}), {numRuns: 200});
 	});
--- a/src/domain/collect-parts/index.ts
+++ b/src/domain/collect-parts/index.ts
@@ -33,7 +33,7 @@
 	const heldByDigest = new Map(held.map(part => [part.sha256, part]));
 	const collected = new Map<string, ConfigPart>();
 
-	function findSound(part: NamedPart): string | undefined {
+	function findVerified(part: NamedPart): string | undefined {
 		const {sha256, bytes} = part;
 		const inForce = heldByDigest.get(sha256);
 		if (inForce) {
@@ -52,7 +52,7 @@
 				return known.text;
 			}
 
-			const text = findSound(part);
+			const text = findVerified(part);
 			if (text !== undefined) {
 				collected.set(name, {
 					name, sha256, bytes, text,
--- a/src/domain/compile-rules/_lib/build-index.ts
+++ b/src/domain/compile-rules/_lib/build-index.ts
@@ -33,7 +33,7 @@
 const leafSize = 8;
 
 /** A split must leave at most this share of the rules in its largest path, or it isn't worth its lookups. */
-const worthwhileShare = 0.8;
+const maxSplitShare = 0.8;
 
 /** Headers that are tried for splits, at most. */
 const maxHeaderDimensions = 4;
@@ -117,7 +117,7 @@
 /** Picks the condition that leaves the fewest rules to look at in its worst part. */
 function pickDimension(whens: readonly RuleWhen[], positions: readonly number[], dimensions: readonly Dimension[]): Parts | undefined {
 	let best: Parts | undefined;
-	let bestSize = positions.length * worthwhileShare;
+	let bestSize = positions.length * maxSplitShare;
 	for (const dimension of dimensions) {
 		const parts = toParts(whens, positions, dimension);
 		let largest = 0;
--- a/src/domain/compile-rules/_lib/to-test.ts
+++ b/src/domain/compile-rules/_lib/to-test.ts
@@ -3,7 +3,7 @@
 import {type RequestFacts} from '../index.js';
 
 /** Lists longer than this are looked up in a set. */
-const longList = 8;
+const maxArraySearch = 8;
 
 /**
  * Compiles conditions.
@@ -40,7 +40,7 @@
 		return () => true;
 	}
 
-	if (list.length <= longList) {
+	if (list.length <= maxArraySearch) {
 		return value => value !== undefined && list.includes(value);
 	}
 
--- a/src/domain/find-dead-rules/_lib/find-touched-rules.ts
+++ b/src/domain/find-dead-rules/_lib/find-affected-rules.ts
@@ -16,7 +16,7 @@
  * @param added - Positions of new and moved ones; without them the list has no dead rule.
  * @returns Positions in their order; `findDeadRules` finds a dead rule among these exactly when it finds one among all.
  */
-export function findTouchedRules(rules: Whens, added: readonly number[]): readonly number[] {
+export function findAffectedRules(rules: Whens, added: readonly number[]): readonly number[] {
 	if (added.length > mostSuspects) {
 		return rules.map((_, i) => i);
 	}
--- a/src/domain/find-dead-rules/index.ts
+++ b/src/domain/find-dead-rules/index.ts
@@ -1,7 +1,7 @@
 /** Finds rules that can never decide, because earlier ones take all of their requests. */
 import {type Rule, type RuleWhen} from '../../ports/config.js';
 
-export {findTouchedRules} from './_lib/find-touched-rules.js';
+export {findAffectedRules} from './_lib/find-affected-rules.js';
 
 export type DeadRule = {
 	/** Position of the rule that never decides. */
--- a/src/domain/parse-config/_lib/check-meaning.ts
+++ b/src/domain/parse-config/_lib/check-semantics.ts
@@ -7,7 +7,7 @@
 import {toNameRemedy} from './readers.js';
 import {type RuleForm} from './schema.js';
 
-export type ToDeadRules = (rules: ReadonlyArray<Pick<RuleForm, 'when'>>) => readonly DeadRule[];
+export type FindDeadRules = (rules: ReadonlyArray<Pick<RuleForm, 'when'>>) => readonly DeadRule[];
 
 /** Names that the document defines, also in entries with other faults, so that one fault doesn't call up others. */
 type KnownNames = {
@@ -23,19 +23,19 @@
  * @param form - Sections that could be read.
  * @param data - The document's plain values.
  * @param faults - Where faults go.
- * @param toDead - Finds the rules that never decide.
+ * @param findDead - Finds the rules that never decide.
  */
-export function addMeaningFaults(form: Partial<DocumentForm>, data: unknown, faults: FaultSink, toDead: ToDeadRules = findDeadRules): void {
+export function addSemanticFaults(form: Partial<DocumentForm>, data: unknown, faults: FaultSink, findDead: FindDeadRules = findDeadRules): void {
 	addDuplicates(data, faults);
 	addEntryFaults(form, data, faults);
-	addListFaults(form, data, faults, toDead);
+	addListFaults(form, data, faults, findDead);
 }
 
 /**
  * Adds the faults that an entry has by itself or by what it names in `zones`,
  * `pools` and `routes`, whatever other entries say.
  *
- * @param form - As of {@link addMeaningFaults}; of the long sections some entries are enough.
+ * @param form - As of {@link addSemanticFaults}; of the long sections some entries are enough.
  * @param data - The same as plain values.
  * @param faults - Where faults go.
  */
@@ -55,13 +55,13 @@
 /**
  * Adds the faults that only all entries together show, duplicates apart.
  *
- * @param form - As of {@link addMeaningFaults}.
+ * @param form - As of {@link addSemanticFaults}.
  * @param data - The document's plain values.
  * @param faults - Where faults go.
- * @param toDead - Finds the rules that never decide.
+ * @param findDead - Finds the rules that never decide.
  */
-export function addListFaults(form: Partial<DocumentForm>, data: unknown, faults: FaultSink, toDead: ToDeadRules): void {
-	addRuleOrderFaults(form, data, faults, toDead);
+export function addListFaults(form: Partial<DocumentForm>, data: unknown, faults: FaultSink, findDead: FindDeadRules): void {
+	addRuleOrderFaults(form, data, faults, findDead);
 	addEmptyPools(form, data, faults);
 }
 
@@ -212,7 +212,7 @@
 }
 
 /** The order is judged only when every rule could be read: a rule left out might be the catch-all or the one that hides. */
-function addRuleOrderFaults(form: Partial<DocumentForm>, data: unknown, faults: FaultSink, toDead: ToDeadRules): void {
+function addRuleOrderFaults(form: Partial<DocumentForm>, data: unknown, faults: FaultSink, findDead: FindDeadRules): void {
 	const rules = form.rules ?? [];
 	const last = rules.at(-1);
 	if (!last || rules.length < toEntries(data, 'rules').length) {
@@ -223,7 +223,7 @@
 		faults.add(['rules', last.index], `the last rule, ${JSON.stringify(last.value.name)}, does not match every request, so some would have no rule`, 'add a last rule without "when"');
 	}
 
-	for (const {index, hiddenBy} of toDead(rules.map(({value}) => value))) {
+	for (const {index, hiddenBy} of findDead(rules.map(({value}) => value))) {
 		const {name} = rules[index]!.value;
 		const hiding = rules[hiddenBy]!.value.name;
 		const problem = `rule ${JSON.stringify(name)} never decides: ${JSON.stringify(hiding)} (rule ${hiddenBy + 1}) before it takes its requests`;
--- a/src/domain/parse-config/_lib/document.ts
+++ b/src/domain/parse-config/_lib/document.ts
@@ -3,17 +3,17 @@
 	type HostEntry, type PoolEntry, type RuleThen, type ServerEntry, type ZoneEntry,
 } from '../../../ports/config.js';
 import {
-	optional, partialRecord, type Placed, placedListOf, required,
+	optional, partialRecord, type Indexed, indexedListOf, required,
 } from './readers.js';
 import * as schema from './schema.js';
 
 export type DocumentForm = {
-	zones: ReadonlyArray<Placed<ZoneEntry>>;
-	hosts: ReadonlyArray<Placed<HostEntry>>;
-	servers: ReadonlyArray<Placed<ServerEntry>>;
-	pools: ReadonlyArray<Placed<PoolEntry>>;
+	zones: ReadonlyArray<Indexed<ZoneEntry>>;
+	hosts: ReadonlyArray<Indexed<HostEntry>>;
+	servers: ReadonlyArray<Indexed<ServerEntry>>;
+	pools: ReadonlyArray<Indexed<PoolEntry>>;
 	routes: Readonly<Record<string, RuleThen>>;
-	rules: ReadonlyArray<Placed<schema.RuleForm>>;
+	rules: ReadonlyArray<Indexed<schema.RuleForm>>;
 	callerTokens: Readonly<Record<string, string>>;
 	weightStoreBytesPerSecond: number;
 	edition: number;
@@ -26,8 +26,8 @@
 /** Sections that grow with the fleet and its customers. */
 export type LongSection = 'hosts' | 'servers' | 'rules';
 
-const zones = required(placedListOf(schema.zone, 1));
-const pools = required(placedListOf(schema.pool, 1));
+const zones = required(indexedListOf(schema.zone, 1));
+const pools = required(indexedListOf(schema.pool, 1));
 const routes = optional(schema.routes, {});
 const lastFields = {
 	callerTokens: optional(schema.callerTokens, {}),
@@ -45,10 +45,10 @@
 /** Reads all sections; those with faults are left out, so that the others still get their checks of meaning. */
 export const readDocument = partialRecord<DocumentForm>({
 	zones,
-	hosts: required(placedListOf(schema.host)),
-	servers: required(placedListOf(schema.server)),
+	hosts: required(indexedListOf(schema.host)),
+	servers: required(indexedListOf(schema.server)),
 	pools,
 	routes,
-	rules: required(placedListOf(schema.rule, 1)),
+	rules: required(indexedListOf(schema.rule, 1)),
 	...lastFields,
 });
--- a/src/domain/parse-config/_lib/find-too-deep.ts
+++ b/src/domain/parse-config/_lib/find-deep-nesting.ts
@@ -2,14 +2,14 @@
 import {type Place, type SyntaxFault} from './place.js';
 
 /** Levels of brackets; a document needs six. */
-const deepestBrackets = 64;
+const maxBracketDepth = 64;
 
 /** Columns of blanks, dashes and question marks before the first word of a line, each of which may open a level in YAML. */
-const widestIndent = 128;
+const maxIndentColumns = 128;
 
 const [openBracket, openBrace, closeBracket, closeBrace] = Array.from('[{]}', bracket => bracket.codePointAt(0));
 
-const wideIndent = new RegExp(`^[ ?:-]{${widestIndent + 1}}`, 'm');
+const wideIndent = new RegExp(`^[ ?:-]{${maxIndentColumns + 1}}`, 'm');
 
 /**
  * The YAML parser calls itself for each level. At some hundreds of them the
@@ -21,11 +21,11 @@
  * @param text - Any text.
  * @returns Where it nests too deep, if it does.
  */
-export function findTooDeep(text: string): SyntaxFault | undefined {
-	const remedy = `nest at most ${deepestBrackets} levels`;
+export function findDeepNesting(text: string): SyntaxFault | undefined {
+	const remedy = `nest at most ${maxBracketDepth} levels`;
 	const indent = wideIndent.exec(text);
 	if (indent) {
-		return {...toTextPlace(text, indent.index), problem: `a line is indented by more than ${widestIndent} columns`, remedy};
+		return {...toTextPlace(text, indent.index), problem: `a line is indented by more than ${maxIndentColumns} columns`, remedy};
 	}
 
 	let depth = 0;
@@ -37,8 +37,8 @@
 			depth--;
 		}
 
-		if (depth > deepestBrackets) {
-			return {...toTextPlace(text, i), problem: `more than ${deepestBrackets} brackets are open`, remedy};
+		if (depth > maxBracketDepth) {
+			return {...toTextPlace(text, i), problem: `more than ${maxBracketDepth} brackets are open`, remedy};
 		}
 	}
 
--- a/src/domain/parse-config/_lib/join-parts.ts
+++ b/src/domain/parse-config/_lib/join-parts.ts
@@ -6,14 +6,14 @@
 import {type LongSection} from './document.js';
 import {type FaultSink, type Path, type PathFault} from './faults.js';
 import {type Place, type SyntaxFault} from './place.js';
-import {toShown} from './readers.js';
+import {toValueText} from './readers.js';
 import {readSource, type Source} from './source.js';
 import {readNamedParts} from './named-parts.js';
 
 export const longSections = ['hosts', 'servers', 'rules'] as const satisfies readonly LongSection[];
 
 /** Step of a path that leads from the root's list of parts into the text of one. */
-const inside = '(its text)';
+const partTextStep = '(its text)';
 
 export type PartText = {named: NamedPart; text: string};
 
@@ -63,7 +63,7 @@
 	const sources = parts.map(({text}) => readSource(text, options.isSource ? options.maxYamlBytes : 0));
 	for (const [i, {data: partData, syntaxFaults}] of sources.entries()) {
 		if (syntaxFaults.length === 0) {
-			addPartFaults(partData, parts[i]!.text, ['parts', i, inside], faults);
+			addPartFaults(partData, parts[i]!.text, ['parts', i, partTextStep], faults);
 		}
 	}
 
@@ -116,7 +116,7 @@
 	for (const [key, value] of Object.entries(data)) {
 		if ((longSections as readonly string[]).includes(key)) {
 			if (!Array.isArray(value)) {
-				faults.add([...path, key], `${toShown(value)} is not a list`, 'write a list: one line for each entry, starting with "- "');
+				faults.add([...path, key], `${toValueText(value)} is not a list`, 'write a list: one line for each entry, starting with "- "');
 			}
 		} else if (key !== 'end') {
 			faults.add([...path, key], `"${key}" is not a key of a part`, 'write it in the root', 'key');
@@ -163,7 +163,7 @@
 /** Turns a path of the joined document into one of the text that it came from. */
 function toOwnPath(path: Path, origins: Origins): {part: number | undefined; path: Path} {
 	const [section, index, ...rest] = path;
-	if (section === 'parts' && rest[0] === inside) {
+	if (section === 'parts' && rest[0] === partTextStep) {
 		return {part: Number(index), path: rest.slice(1)};
 	}
 
@@ -173,6 +173,6 @@
 		return {part: origin.part, path: [section!, Number(index) - origin.start, ...rest]};
 	}
 
-	const ofParts = found.reduce((sum, {count}) => sum + count, 0);
-	return {part: undefined, path: found.length > 0 ? [section!, Number(index) - ofParts, ...rest] : path};
+	const partEntryCount = found.reduce((sum, {count}) => sum + count, 0);
+	return {part: undefined, path: found.length > 0 ? [section!, Number(index) - partEntryCount, ...rest] : path};
 }
--- a/src/domain/parse-config/_lib/named-parts.ts
+++ b/src/domain/parse-config/_lib/named-parts.ts
@@ -3,11 +3,11 @@
 import {bytesPerMebibyte} from '../../../ports/units.js';
 import {type FaultSink, type Path} from './faults.js';
 import {
-	listOf, type Reader, record, required, text, whole,
+	listOf, type Reader, record, required, text, integer,
 } from './readers.js';
 
 /** A root of 512 parts takes some 60 KB, which every change sends anew. */
-const mostParts = 512;
+const maxParts = 512;
 
 /** Of root and parts together. A host holds all of it twice while it changes, and an entry gets it in one frame of at most 2 MiB. */
 const maxTotalBytes = 1.5 * bytesPerMebibyte;
@@ -16,11 +16,11 @@
 const digest = text(/^[\da-f]{64}$/, 'a SHA-256 in lower-case hex');
 
 const sealedPart: Reader<NamedPart> = record<NamedPart>({
-	name: required(partName), sha256: required(digest), bytes: required(whole(1, bytesPerMebibyte)),
+	name: required(partName), sha256: required(digest), bytes: required(integer(1, bytesPerMebibyte)),
 });
 
 /** In a folder that is not sealed yet a part is a name alone. */
-const barePart: Reader<NamedPart> = (value, path, faults) => {
+const unsealedPart: Reader<NamedPart> = (value, path, faults) => {
 	const name = partName(value, path, faults);
 	return name === undefined ? undefined : {name, sha256: '', bytes: 0};
 };
@@ -45,18 +45,18 @@
 			sink.add(at, `the part ${JSON.stringify(entry)} is named without its digest`, 'publish what "banyanport seal" writes for the folder');
 		}
 
-		return barePart(entry, at, sink);
+		return unsealedPart(entry, at, sink);
 	};
 
 	const named = listOf(readPart, 1)(value, path, faults) ?? [];
 	const names = named.map(({name}) => name);
-	const doubled = names.findIndex((name, i) => names.indexOf(name) < i);
-	if (doubled !== -1) {
-		faults.add([...path, doubled], `the part ${JSON.stringify(names[doubled])} is named twice`, 'name it once');
+	const duplicate = names.findIndex((name, i) => names.indexOf(name) < i);
+	if (duplicate !== -1) {
+		faults.add([...path, duplicate], `the part ${JSON.stringify(names[duplicate])} is named twice`, 'name it once');
 	}
 
-	if (named.length > mostParts) {
-		faults.add(path, `there are ${named.length} parts and hosts take ${mostParts}`, 'put several parts together');
+	if (named.length > maxParts) {
+		faults.add(path, `there are ${named.length} parts and hosts take ${maxParts}`, 'put several parts together');
 	}
 
 	const total = named.reduce((sum, {bytes}) => sum + bytes, rootBytes);
--- a/src/domain/parse-config/_lib/pair-lines.ts
+++ b/src/domain/parse-config/_lib/pair-lines.ts
@@ -14,10 +14,10 @@
  *
  * @param before - The earlier lines, each different.
  * @param after - The later lines.
- * @param mostFresh - Gives up beyond this many new lines.
+ * @param maxNewLines - Gives up beyond this many new lines.
  * @returns The pairs, or `undefined` when it gave up.
  */
-export function pairLines(before: readonly string[], after: readonly string[], mostFresh: number): LinePairs | undefined {
+export function pairLines(before: readonly string[], after: readonly string[], maxNewLines: number): LinePairs | undefined {
 	const shorter = Math.min(before.length, after.length);
 	let head = 0;
 	while (head < shorter && before[head] === after[head]) {
@@ -37,8 +37,8 @@
 
 		return i < after.length - tail ? positions.get(line) ?? -1 : before.length - after.length + i;
 	});
-	const fresh = from.filter(position => position === -1).length;
-	return fresh > mostFresh ? undefined : {lines: after, from, added: toAdded(from.slice(head, from.length - tail), head)};
+	const newCount = from.filter(position => position === -1).length;
+	return newCount > maxNewLines ? undefined : {lines: after, from, added: toAdded(from.slice(head, from.length - tail), head)};
 }
 
 /** Lines before and behind the changed ones kept their order. */
--- a/src/domain/parse-config/_lib/place-faults.ts
+++ b/src/domain/parse-config/_lib/place-faults.ts
@@ -24,7 +24,7 @@
  * walk through the document, and a text that is no configuration at all can have
  * a fault on each of 100,000 lines, which would hold a host up for minutes.
  */
-function cutFaults<T>(faults: readonly T[], locate: (faults: readonly T[]) => readonly ConfigFault[]): readonly ConfigFault[] {
+function locateFirstFaults<T>(faults: readonly T[], locate: (faults: readonly T[]) => readonly ConfigFault[]): readonly ConfigFault[] {
 	const located = locate(faults.slice(0, maxFaults)).toSorted((left, right) => compareTexts(left.file, right.file) || left.line - right.line || left.column - right.column);
 	const more = faults.length - located.length;
 	const last = located.at(-1);
@@ -37,7 +37,7 @@
  * @returns The first of them, in the order of lines.
  */
 export function toSyntaxFaults(faults: readonly SyntaxFault[], file: string | undefined): readonly ConfigFault[] {
-	return cutFaults(faults, list => list.map(({line, column, problem, remedy}): ConfigFault => ({
+	return locateFirstFaults(faults, list => list.map(({line, column, problem, remedy}): ConfigFault => ({
 		file, line, column, problem, remedy,
 	})));
 }
@@ -50,7 +50,7 @@
  */
 export function toContentFaults(faults: readonly PathFault[], joined: JoinedSource, options: PlaceOptions): readonly ConfigFault[] {
 	const {file, isSource, toPartFile} = options;
-	return cutFaults(faults, list => list.map(({path, at, problem, remedy, missing}): ConfigFault => {
+	return locateFirstFaults(faults, list => list.map(({path, at, problem, remedy, missing}): ConfigFault => {
 		// A host asks for what is missing and reads again; the place would cost it more than all of the reading.
 		const {part, path: ownPath, place} = missing && !isSource ? {part: undefined, path, place: undefined} : joined.locate(path, at);
 		const {line, column} = place ?? {line: 1, column: 1};
--- a/src/domain/parse-config/_lib/read-next.ts
+++ b/src/domain/parse-config/_lib/read-next.ts
@@ -6,24 +6,24 @@
 } from '../../../ports/config.js';
 import {addEndFaults} from './check-end.js';
 import {
-	addEntryFaults, addListFaults, addMeaningFaults, type ToDeadRules, uniqueKeys,
-} from './check-meaning.js';
+	addEntryFaults, addListFaults, addSemanticFaults, type FindDeadRules, uniqueKeys,
+} from './check-semantics.js';
 import {type DocumentForm, type LongSection, readFrame} from './document.js';
 import {createFaultSink, type FaultSink} from './faults.js';
-import {findTooDeep} from './find-too-deep.js';
+import {findDeepNesting} from './find-deep-nesting.js';
 import {longSections, type PartText} from './join-parts.js';
 import {pairLines, type LinePairs} from './pair-lines.js';
 import {readNamedParts} from './named-parts.js';
 import {readJson} from './read-json.js';
-import {type Placed, type Reader} from './readers.js';
+import {type Indexed, type Reader} from './readers.js';
 import * as schema from './schema.js';
 import {splitLines, type SplitText} from './split-lines.js';
-import {splitDocument, splitFreshPart, type SplitDocument} from './split-parts.js';
+import {splitDocument, splitNewPart, type SplitDocument} from './split-parts.js';
 import {toConfig} from './to-config.js';
-import {toDeadFinder} from './to-dead-finder.js';
+import {createDeadRuleFinder} from './create-dead-rule-finder.js';
 
 /** A document without faults. */
-export type SoundDocument = {
+export type ValidDocument = {
 	/** Its lines; `undefined` where it is not JSON with one entry a line. */
 	lines: SplitDocument | undefined;
 	config: Config;
@@ -31,7 +31,7 @@
 	placed: {
 		hosts: DocumentForm['hosts'];
 		servers: DocumentForm['servers'];
-		rules: ReadonlyArray<Placed<Rule>>;
+		rules: ReadonlyArray<Indexed<Rule>>;
 	};
 	/** Decisions by name; rules of `config` that name one hold the same object. */
 	routes: DocumentForm['routes'];
@@ -40,12 +40,12 @@
 };
 
 /** With more new lines than this, reading all of the document takes no longer. */
-const mostFresh = 500;
+const maxNewLines = 500;
 
 type Section<T> = {
-	placed: ReadonlyArray<Placed<T>>;
+	placed: ReadonlyArray<Indexed<T>>;
 	/** Entries that were not in the earlier document. */
-	fresh: ReadonlyArray<Placed<T>>;
+	added: ReadonlyArray<Indexed<T>>;
 	pairs: LinePairs;
 };
 
@@ -74,7 +74,7 @@
  * @param findPart - Looks for its parts.
  * @returns What a full reading gives, or `undefined` where only that can tell: the text is written in another way, has changed too much, or has a fault.
  */
-export function readNext(last: SoundDocument, text: string, findPart: FindPart): SoundDocument | undefined {
+export function readNext(last: ValidDocument, text: string, findPart: FindPart): ValidDocument | undefined {
 	const before = last.lines;
 	const split = before && splitNext(before, text, findPart);
 	const faults = createFaultSink();
@@ -84,7 +84,7 @@
 	}
 
 	const {after, rest, data} = split;
-	const routes = keepRoutes(others.routes!, last.routes);
+	const routes = reuseRoutes(others.routes!, last.routes);
 	const isSameFrame = JSON.stringify([others.zones, others.pools, routes]) === last.frameKey;
 	const sections = readSections(last, {before, after, isSameFrame}, faults);
 	if (!sections || faults.list().length > 0) {
@@ -96,14 +96,14 @@
 		...others, routes, hosts: hosts.placed, servers: servers.placed, rules: rules.placed,
 	};
 	addEndFaults(data, text, faults);
-	const toDead = toDeadFinder(rules.pairs, last.config.rules);
+	const findDead = createDeadRuleFinder(rules.pairs, last.config.rules);
 	if (isSameFrame) {
-		addFreshFaults(form, rest, {...sections, toDead}, faults);
+		addNewEntryFaults(form, rest, {...sections, toDead: findDead}, faults);
 	} else {
-		addMeaningFaults(form, toPlain(rest, form), faults, toDead);
+		addSemanticFaults(form, toPlainValues(rest, form), faults, findDead);
 	}
 
-	return faults.list().length > 0 ? undefined : toSoundDocument(form, after, rules.pairs.from.map(from => last.config.rules[from]));
+	return faults.list().length > 0 ? undefined : toValidDocument(form, after, rules.pairs.from.map(from => last.config.rules[from]));
 }
 
 /**
@@ -114,19 +114,19 @@
  * @param known - As of `toConfig`.
  * @returns The document, or `undefined` when a section is missing.
  */
-export function toSoundDocument(form: Partial<DocumentForm>, lines: SplitDocument | undefined, known?: ReadonlyArray<Rule | undefined>): SoundDocument | undefined {
+export function toValidDocument(form: Partial<DocumentForm>, lines: SplitDocument | undefined, known?: ReadonlyArray<Rule | undefined>): ValidDocument | undefined {
 	const config = toConfig(form, known);
 	if (!config) {
 		return undefined;
 	}
 
 	const {zones, hosts, servers, pools, rules, routes} = form as DocumentForm;
-	const placedRules = config.rules.map((rule, index) => {
+	const indexedRules = config.rules.map((rule, index) => {
 		const entry = rules[index]!;
-		return isPlaced(entry, rule) ? entry : {index, value: rule};
+		return hasValue(entry, rule) ? entry : {index, value: rule};
 	});
 	return {
-		lines, config, placed: {hosts, servers, rules: placedRules}, routes, frameKey: JSON.stringify([zones, pools, routes]),
+		lines, config, placed: {hosts, servers, rules: indexedRules}, routes, frameKey: JSON.stringify([zones, pools, routes]),
 	};
 }
 
@@ -139,7 +139,7 @@
 };
 
 function splitNext(before: SplitDocument, text: string, findPart: FindPart): NextLines | undefined {
-	const root = findTooDeep(text) ? undefined : splitLines(text);
+	const root = findDeepNesting(text) ? undefined : splitLines(text);
 	const frame = root && readJson(root.frame);
 	if (!root || frame?.kind !== 'sound' || !isRecord(frame.data)) {
 		return undefined;
@@ -152,13 +152,13 @@
 		return undefined;
 	}
 
-	const after = splitDocument(root, parts, part => before.parts?.get(part.named.sha256) ?? splitFreshPart(part.text));
-	const areTaken = after && [hosts, servers, rules].every((section, i) => isTaken(section, parts !== undefined && after.entries[longSections[i]!].length > 0));
-	return areTaken ? {after, data, rest} : undefined;
+	const after = splitDocument(root, parts, part => before.parts?.get(part.named.sha256) ?? splitNewPart(part.text));
+	const areFullySplit = after && [hosts, servers, rules].every((section, i) => isFullySplit(section, parts !== undefined && after.entries[longSections[i]!].length > 0));
+	return areFullySplit ? {after, data, rest} : undefined;
 }
 
 /** Whether the lines were all that stood in a section; in one file each must be there, in parts somewhere. */
-function isTaken(section: unknown, isInPart: boolean): boolean {
+function isFullySplit(section: unknown, isInPart: boolean): boolean {
 	return Array.isArray(section) ? section.length === 0 : section === undefined && isInPart;
 }
 
@@ -174,24 +174,24 @@
 	return texts.every(found => found !== undefined) ? named.map((part, i) => ({named: part, text: texts[i]!})) : undefined;
 }
 
-function isPlaced<T>(entry: Placed<unknown>, value: T): entry is Placed<T> {
+function hasValue<T>(entry: Indexed<unknown>, value: T): entry is Indexed<T> {
 	return entry.value === value;
 }
 
 type Difference = {before: SplitText; after: SplitText; isSameFrame: boolean};
 
-function readSections({config, routes, placed}: SoundDocument, {before, after, isSameFrame}: Difference, faults: FaultSink): Sections | undefined {
+function readSections({config, routes, placed}: ValidDocument, {before, after, isSameFrame}: Difference, faults: FaultSink): Sections | undefined {
 	const pair = (section: LongSection) => before.entries[section].length === config[section].length
-		? pairLines(before.entries[section], after.entries[section], mostFresh)
+		? pairLines(before.entries[section], after.entries[section], maxNewLines)
 		: undefined;
 	const hosts = readSection(pair('hosts'), placed.hosts, schema.host, faults);
 	const servers = readSection(pair('servers'), placed.servers, schema.server, faults);
 	// With the same routes a rule may stand for its own form, its decision in the place of the name.
-	const rules = readSection<schema.RuleForm>(pair('rules'), isSameFrame ? placed.rules : toForms(config.rules, routes), schema.rule, faults);
+	const rules = readSection<schema.RuleForm>(pair('rules'), isSameFrame ? placed.rules : toRuleForms(config.rules, routes), schema.rule, faults);
 	return hosts && servers && rules && {hosts, servers, rules};
 }
 
-function toForms(rules: readonly Rule[], routes: DocumentForm['routes']): ReadonlyArray<Placed<schema.RuleForm>> {
+function toRuleForms(rules: readonly Rule[], routes: DocumentForm['routes']): ReadonlyArray<Indexed<schema.RuleForm>> {
 	const names = new Map<RuleThen, string>(Object.entries(routes).map(([name, then]) => [then, name]));
 	return rules.map(({name, when, then}, index) => ({index, value: {name, when, then: names.get(then) ?? then}}));
 }
@@ -201,21 +201,21 @@
  * its place stays the same object: a full document has 11,000 entries, and
  * making them anew for each edit cost more than the reading.
  */
-function readSection<T>(pairs: LinePairs | undefined, known: ReadonlyArray<Placed<T>>, read: Reader<T>, faults: FaultSink): Section<T> | undefined {
+function readSection<T>(pairs: LinePairs | undefined, known: ReadonlyArray<Indexed<T>>, read: Reader<T>, faults: FaultSink): Section<T> | undefined {
 	if (!pairs) {
 		return undefined;
 	}
 
 	const {from, lines} = pairs;
-	const placed = from.map((old, index) => old === -1 ? {index, value: readLine(lines[index]!, read, faults)} : toPlace(known[old]!, index));
-	return placed.every(entry => isRead(entry)) ? {placed, fresh: placed.filter((_, index) => from[index] === -1), pairs} : undefined;
+	const placed = from.map((old, index) => old === -1 ? {index, value: readLine(lines[index]!, read, faults)} : withIndex(known[old]!, index));
+	return placed.every(entry => isRead(entry)) ? {placed, added: placed.filter((_, index) => from[index] === -1), pairs} : undefined;
 }
 
-function isRead<T>(entry: Placed<T | undefined>): entry is Placed<T> {
+function isRead<T>(entry: Indexed<T | undefined>): entry is Indexed<T> {
 	return entry.value !== undefined;
 }
 
-function toPlace<T>(entry: Placed<T>, index: number): Placed<T> {
+function withIndex<T>(entry: Indexed<T>, index: number): Indexed<T> {
 	return entry.index === index ? entry : {index, value: entry.value};
 }
 
@@ -225,7 +225,7 @@
 }
 
 /** Decisions that say the same stay the same objects, and with them the rules that name them. */
-function keepRoutes(routes: DocumentForm['routes'], before: DocumentForm['routes']): DocumentForm['routes'] {
+function reuseRoutes(routes: DocumentForm['routes'], before: DocumentForm['routes']): DocumentForm['routes'] {
 	return Object.fromEntries(Object.entries(routes).map(([name, then]) => {
 		const old = Object.hasOwn(before, name) ? before[name] : undefined;
 		return [name, old && JSON.stringify(old) === JSON.stringify(then) ? old : then];
@@ -233,8 +233,8 @@
 }
 
 /** The plain values that checks of meaning look at; entries without faults name in their typed form what they name in the text. */
-function toPlain(rest: Record<string, unknown>, {hosts, servers, rules}: Pick<DocumentForm, LongSection>): Record<string, unknown> {
-	const toValues = (section: ReadonlyArray<Placed<unknown>>) => section.map(({value}) => value);
+function toPlainValues(rest: Record<string, unknown>, {hosts, servers, rules}: Pick<DocumentForm, LongSection>): Record<string, unknown> {
+	const toValues = (section: ReadonlyArray<Indexed<unknown>>) => section.map(({value}) => value);
 	return {
 		...rest, hosts: toValues(hosts), servers: toValues(servers), rules: toValues(rules),
 	};
@@ -245,23 +245,23 @@
  * entry that named nothing wrong still does not. What all entries say together
  * is checked as ever.
  */
-function addFreshFaults(form: Partial<DocumentForm> & Pick<DocumentForm, LongSection>, rest: Record<string, unknown>, sections: Sections & {toDead: ToDeadRules}, faults: FaultSink): void {
+function addNewEntryFaults(form: Partial<DocumentForm> & Pick<DocumentForm, LongSection>, rest: Record<string, unknown>, sections: Sections & {toDead: FindDeadRules}, faults: FaultSink): void {
 	const {hosts, servers, rules, toDead} = sections;
-	const freshForm = {
-		...form, hosts: hosts.fresh, servers: servers.fresh, rules: rules.fresh,
+	const newForm = {
+		...form, hosts: hosts.added, servers: servers.added, rules: rules.added,
 	};
-	addEntryFaults(freshForm, toPlain(rest, freshForm), faults);
+	addEntryFaults(newForm, toPlainValues(rest, newForm), faults);
 	addListFaults(form, undefined, faults, toDead);
 	for (const [section, key] of uniqueKeys) {
-		if ((section === 'hosts' || section === 'servers' || section === 'rules') && hasDouble(form[section], freshForm[section], key)) {
+		if ((section === 'hosts' || section === 'servers' || section === 'rules') && hasDuplicate(form[section], newForm[section], key)) {
 			faults.add([section], 'two entries have one name', 'give one of them another');
 		}
 	}
 }
 
 /** The old entries differ from each other, so one of two equal names is new. */
-function hasDouble(all: ReadonlyArray<Placed<object>>, fresh: ReadonlyArray<Placed<object>>, key: string): boolean {
-	const toName = ({value}: Placed<object>) => (value as Record<string, unknown>)[key];
+function hasDuplicate(all: ReadonlyArray<Indexed<object>>, fresh: ReadonlyArray<Indexed<object>>, key: string): boolean {
+	const toName = ({value}: Indexed<object>) => (value as Record<string, unknown>)[key];
 	const names = new Set(fresh.map(entry => toName(entry)));
 	return names.size > 0 && all.filter(entry => names.has(toName(entry))).length > names.size;
 }
--- a/src/domain/parse-config/_lib/readers.ts
+++ b/src/domain/parse-config/_lib/readers.ts
@@ -28,7 +28,7 @@
 }
 
 /** Words for a value in a message, short and on one line. */
-export function toShown(value: unknown): string {
+export function toValueText(value: unknown): string {
 	if (value === undefined || value === null) {
 		return 'nothing';
 	}
@@ -57,12 +57,12 @@
 export function text(pattern: RegExp, wanted: string): Reader<string> {
 	return (value, path, faults) => {
 		if (typeof value === 'number' || typeof value === 'boolean') {
-			faults.add(path, `${toShown(value)} is read as a ${typeof value}, not as text`, `put it in quotes, as in '${String(value)}'`);
+			faults.add(path, `${toValueText(value)} is read as a ${typeof value}, not as text`, `put it in quotes, as in '${String(value)}'`);
 			return undefined;
 		}
 
 		if (typeof value !== 'string' || !pattern.test(value)) {
-			faults.add(path, `${toShown(value)} is not ${wanted}`, `write ${wanted}`);
+			faults.add(path, `${toValueText(value)} is not ${wanted}`, `write ${wanted}`);
 			return undefined;
 		}
 
@@ -75,7 +75,7 @@
 	return (value, path, faults) => {
 		const found = allowed.find(word => word === value);
 		if (found === undefined) {
-			faults.add(path, `${toShown(value)} is not known here`, toNameRemedy(String(value), allowed));
+			faults.add(path, `${toValueText(value)} is not known here`, toNameRemedy(String(value), allowed));
 		}
 
 		return found;
@@ -83,10 +83,10 @@
 }
 
 /** A whole number within bounds. */
-export function whole(min: number, max: number): Reader<number> {
+export function integer(min: number, max: number): Reader<number> {
 	return (value, path, faults) => {
 		if (typeof value !== 'number' || !Number.isInteger(value) || value < min || value > max) {
-			faults.add(path, `${toShown(value)} is not a whole number from ${min} to ${max}`, `write a whole number from ${min} to ${max}, without quotes`);
+			faults.add(path, `${toValueText(value)} is not a whole number from ${min} to ${max}`, `write a whole number from ${min} to ${max}, without quotes`);
 			return undefined;
 		}
 
@@ -97,7 +97,7 @@
 /** `true` or `false`. */
 export const flag: Reader<boolean> = (value, path, faults) => {
 	if (typeof value !== 'boolean') {
-		faults.add(path, `${toShown(value)} is neither true nor false`, 'write true or false, without quotes');
+		faults.add(path, `${toValueText(value)} is neither true nor false`, 'write true or false, without quotes');
 		return undefined;
 	}
 
@@ -120,7 +120,7 @@
 		const factor = match ? units[match[2]!] : undefined;
 		const amount = match && factor !== undefined ? Math.round(Number(match[1]) * factor) : 0;
 		if (amount <= 0 || !Number.isSafeInteger(amount)) {
-			faults.add(path, `${toShown(value)} is not a number with one of the units ${Object.keys(units).join(', ')}`, `write it like ${example}`);
+			faults.add(path, `${toValueText(value)} is not a number with one of the units ${Object.keys(units).join(', ')}`, `write it like ${example}`);
 			return undefined;
 		}
 
@@ -138,7 +138,7 @@
 export function listOf<T>(read: Reader<T>, min = 0): Reader<readonly T[]> {
 	return (value, path, faults) => {
 		if (!Array.isArray(value)) {
-			faults.add(path, `${toShown(value)} is not a list`, 'write a list: one line for each entry, starting with "- "');
+			faults.add(path, `${toValueText(value)} is not a list`, 'write a list: one line for each entry, starting with "- "');
 			return undefined;
 		}
 
@@ -160,13 +160,13 @@
 }
 
 /** An entry of a list with its position, which faults of meaning need after faulty entries were left out. */
-export type Placed<T> = {
+export type Indexed<T> = {
 	index: number;
 	value: T;
 };
 
 /** Like {@link listOf}, with positions. */
-export function placedListOf<T>(read: Reader<T>, min = 0): Reader<ReadonlyArray<Placed<T>>> {
+export function indexedListOf<T>(read: Reader<T>, min = 0): Reader<ReadonlyArray<Indexed<T>>> {
 	return listOf((value, path, faults) => {
 		const item = read(value, path, faults);
 		return item === undefined ? undefined : {index: Number(path.at(-1)), value: item};
@@ -190,14 +190,14 @@
 export function mapOf<T>(key: {pattern: RegExp; wanted: string}, read: Reader<T>): Reader<Readonly<Record<string, T>>> {
 	return (value, path, faults) => {
 		if (!isRecord(value)) {
-			faults.add(path, `${toShown(value)} is not a map`, 'write one "key: value" a line, indented');
+			faults.add(path, `${toValueText(value)} is not a map`, 'write one "key: value" a line, indented');
 			return undefined;
 		}
 
 		const entries: Array<[string, T]> = [];
 		for (const [name, item] of Object.entries(value)) {
 			if (!key.pattern.test(name)) {
-				faults.add([...path, name], `the key ${toShown(name)} is not ${key.wanted}`, `write ${key.wanted}`, 'key');
+				faults.add([...path, name], `the key ${toValueText(name)} is not ${key.wanted}`, `write ${key.wanted}`, 'key');
 			}
 
 			const result = read(item, [...path, name], faults);
@@ -226,7 +226,7 @@
 	const names = Object.keys(fields);
 	return (value, path, faults) => {
 		if (!isRecord(value)) {
-			faults.add(path, `${toShown(value)} is not a map`, `write "key: value" pairs with keys of: ${names.join(', ')}`);
+			faults.add(path, `${toValueText(value)} is not a map`, `write "key: value" pairs with keys of: ${names.join(', ')}`);
 			return undefined;
 		}
 
--- a/src/domain/parse-config/_lib/schema.ts
+++ b/src/domain/parse-config/_lib/schema.ts
@@ -4,7 +4,7 @@
 } from '../../../ports/config.js';
 import {type ServiceClass} from '../../../ports/outcome.js';
 import {
-	duration, flag, listOf, mapOf, oneOf, oneOrMore, optional, type Reader, record, required, text, whole,
+	duration, flag, listOf, mapOf, oneOf, oneOrMore, optional, type Reader, record, required, text, integer,
 } from './readers.js';
 
 const name = text(/^[a-zA-Z\d][\w.-]{0,63}$/, 'a name of letters, digits, "-", "_" and "." (at most 64)');
@@ -30,7 +30,7 @@
 	url: required(url),
 	role: required(oneOf('prefill', 'decode', 'plain')),
 	pool: required(name),
-	slots: optional<number | undefined>(whole(1, 100_000), undefined),
+	slots: optional<number | undefined>(integer(1, 100_000), undefined),
 	checksFence: optional(flag, false),
 });
 
@@ -83,8 +83,8 @@
 	path: optional<string | undefined>(pathPrefix, undefined),
 	headers: optional<RuleWhen['headers']>(mapOf({pattern: /^[a-z\d][a-z\d_-]*$/, wanted: 'a header name in lower case'}, headerValue), undefined),
 	class: optional<ServiceClass | undefined>(serviceClass, undefined),
-	promptTokensAtLeast: optional<number | undefined>(whole(0, 100_000_000), undefined),
-	promptTokensBelow: optional<number | undefined>(whole(1, 100_000_000), undefined),
+	promptTokensAtLeast: optional<number | undefined>(integer(0, 100_000_000), undefined),
+	promptTokensBelow: optional<number | undefined>(integer(1, 100_000_000), undefined),
 	zone: optional<RuleWhen['zone']>(oneOrMore(name), undefined),
 });
 
@@ -137,8 +137,8 @@
 	class: required(serviceClass),
 	repeatable: required(flag),
 	target: optional(targetForm, {firstToken: undefined, perToken: undefined, complete: undefined}),
-	queueLimit: optional<number | undefined>(whole(0, 1_000_000), undefined),
-	versions: optional<Readonly<Record<string, number>>>(mapOf({pattern: /^[\w.-]{1,64}$/, wanted: 'the name of a version'}, whole(0, 1_000_000)), {}),
+	queueLimit: optional<number | undefined>(integer(0, 1_000_000), undefined),
+	versions: optional<Readonly<Record<string, number>>>(mapOf({pattern: /^[\w.-]{1,64}$/, wanted: 'the name of a version'}, integer(0, 1_000_000)), {}),
 	adapter: optional<string | undefined>(name, undefined),
 });
 
@@ -190,7 +190,7 @@
 export const routes = mapOf({pattern: /^[a-zA-Z\d][\w.-]{0,63}$/, wanted: 'the name of a route'}, readThen);
 export const callerTokens = mapOf({pattern: /^[\da-f]{64}$/, wanted: 'the SHA-256 of a token: 64 digits in lower-case hex'}, workspace);
 
-export const edition = whole(1, Number.MAX_SAFE_INTEGER);
+export const edition = integer(1, Number.MAX_SAFE_INTEGER);
 export const digestOrNone = text(/^(?:none|[\da-f]{64})$/, 'a SHA-256 in lower-case hex or "none"');
 export const endMark = text(/^(?:banyanport|sealed-[\da-f]{64})$/, '"banyanport" (or the seal that "banyanport seal" writes)');
 
--- a/src/domain/parse-config/_lib/source.ts
+++ b/src/domain/parse-config/_lib/source.ts
@@ -4,7 +4,7 @@
 	isAlias, isMap, isNode, isScalar, isSeq, LineCounter, parseDocument, visit, type Document, type Node, type Pair,
 } from 'yaml';
 import {type Path, type PathFault} from './faults.js';
-import {findTooDeep} from './find-too-deep.js';
+import {findDeepNesting} from './find-deep-nesting.js';
 import {type Place, type SyntaxFault} from './place.js';
 import {readJson, type JsonReading} from './read-json.js';
 
@@ -28,7 +28,7 @@
  * @returns Plain values, faults of syntax, and the places of values.
  */
 export function readSource(text: string, maxYamlBytes: number): Source {
-	const tooDeep = findTooDeep(text);
+	const tooDeep = findDeepNesting(text);
 	if (tooDeep) {
 		return {
 			data: undefined, isJson: false, syntaxFaults: [tooDeep], toPlace: () => tooDeep,
@@ -38,7 +38,7 @@
 	const json = readJson(text);
 	const isSmall = Buffer.byteLength(text) <= maxYamlBytes;
 	if (json.kind !== 'sound') {
-		return isSmall ? readYaml(text) : toUnread(json, maxYamlBytes);
+		return isSmall ? readYaml(text) : toUnreadableSource(json, maxYamlBytes);
 	}
 
 	let yaml: Source | undefined;
@@ -53,7 +53,7 @@
 	};
 }
 
-function toUnread(json: JsonReading, maxYamlBytes: number): Source {
+function toUnreadableSource(json: JsonReading, maxYamlBytes: number): Source {
 	const fault = json.kind === 'broken'
 		? {
 			line: 1, column: 1, problem: `the JSON is broken: ${json.problem}`, remedy: 'check it with "banyanport check", which finds the place',
@@ -84,7 +84,7 @@
 		problem: toOneLine(error.message),
 		remedy: 'check indentation, quotes, colons and brackets at this place and on the line before',
 	}));
-	syntaxFaults.push(...findDoubledKeys(doc).map(({offset, name}) => ({
+	syntaxFaults.push(...findDuplicateKeys(doc).map(({offset, name}) => ({
 		...toLinePlace(offset), problem: `the key ${JSON.stringify(name)} stands twice in one map`, remedy: 'keep one of the two',
 	})));
 	let data: unknown;
@@ -107,8 +107,8 @@
  * The parser's own look for equal keys compares each with each: 20,000 keys in
  * one map, such as a list of callers' tokens, took it thirteen seconds.
  */
-function findDoubledKeys(doc: Document): ReadonlyArray<{offset: number; name: string}> {
-	const doubled: Array<{offset: number; name: string}> = [];
+function findDuplicateKeys(doc: Document): ReadonlyArray<{offset: number; name: string}> {
+	const duplicates: Array<{offset: number; name: string}> = [];
 	visit(doc, {
 		Map(_, {items}) {
 			const seen = new Set<string>();
@@ -119,14 +119,14 @@
 
 				const name = String(key.value);
 				if (seen.has(name)) {
-					doubled.push({offset: key.range?.[0] ?? 0, name});
+					duplicates.push({offset: key.range?.[0] ?? 0, name});
 				}
 
 				seen.add(name);
 			}
 		},
 	});
-	return doubled;
+	return duplicates;
 }
 
 function toOneLine(message: string): string {
--- a/src/domain/parse-config/_lib/split-parts.ts
+++ b/src/domain/parse-config/_lib/split-parts.ts
@@ -2,7 +2,7 @@
 import {isRecord} from '../../../_lib/is-record/index.js';
 import {type LongSection} from './document.js';
 import {createFaultSink} from './faults.js';
-import {findTooDeep} from './find-too-deep.js';
+import {findDeepNesting} from './find-deep-nesting.js';
 import {addPartFaults, longSections, type PartText} from './join-parts.js';
 import {readJson} from './read-json.js';
 import {splitLines, type SplitText} from './split-lines.js';
@@ -41,8 +41,8 @@
  * @param text - The part.
  * @returns Its lines, or `undefined` where only a full reading can tell whether it is sound.
  */
-export function splitFreshPart(text: string): SplitText | undefined {
-	const lines = findTooDeep(text) ? undefined : splitLines(text);
+export function splitNewPart(text: string): SplitText | undefined {
+	const lines = findDeepNesting(text) ? undefined : splitLines(text);
 	const frame = lines && readJson(lines.frame);
 	if (frame?.kind !== 'sound' || !isRecord(frame.data)) {
 		return undefined;
--- a/src/domain/parse-config/index.ts
+++ b/src/domain/parse-config/index.ts
@@ -7,12 +7,12 @@
 import {isRecord} from '../../_lib/is-record/index.js';
 import {type Config, type NamedPart, type FindPart} from '../../ports/config.js';
 import {addEndFaults} from './_lib/check-end.js';
-import {addMeaningFaults} from './_lib/check-meaning.js';
+import {addSemanticFaults} from './_lib/check-semantics.js';
 import {createFaultSink, type FaultSink} from './_lib/faults.js';
 import {toContentFaults, toSyntaxFaults} from './_lib/place-faults.js';
 import {readDocument} from './_lib/document.js';
 import {joinParts, type JoinedSource} from './_lib/join-parts.js';
-import {readNext, toSoundDocument, type SoundDocument} from './_lib/read-next.js';
+import {readNext, toValidDocument, type ValidDocument} from './_lib/read-next.js';
 import {splitLines} from './_lib/split-lines.js';
 import {readSource} from './_lib/source.js';
 import {splitDocument} from './_lib/split-parts.js';
@@ -75,7 +75,7 @@
  * ```
  */
 export function parseConfig(text: string, options: ParseConfigOptions = {}): Result<Config, readonly ConfigFault[]> {
-	return readWhole(text, options).map(({config}) => config);
+	return readFully(text, options).map(({config}) => config);
 }
 
 /**
@@ -96,10 +96,10 @@
  * ```
  */
 export function createConfigReader(options: Omit<ParseConfigOptions, 'findPart' | 'isSource'> = {}): ReadConfig {
-	let last: SoundDocument | undefined;
+	let last: ValidDocument | undefined;
 	return (text, findPart = findNoPart) => {
 		const next = last && readNext(last, text, findPart);
-		const result = next ? ok(next) : readWhole(text, {...options, findPart});
+		const result = next ? ok(next) : readFully(text, {...options, findPart});
 		if (result.isOk()) {
 			last = result.value;
 		}
@@ -119,7 +119,7 @@
 	return syntaxFaults.length === 0 && isRecord(data) ? data : undefined;
 }
 
-function readWhole(text: string, options: ParseConfigOptions): Result<SoundDocument, readonly ConfigFault[]> {
+function readFully(text: string, options: ParseConfigOptions): Result<ValidDocument, readonly ConfigFault[]> {
 	const {file, findPart = findNoPart, isSource = false, toPartFile = name => `part ${name}`, ...rest} = options;
 	const yamlBytes = rest.maxYamlBytes ?? maxYamlBytes;
 	const source = readSource(text, yamlBytes);
@@ -133,8 +133,8 @@
 		return err(joined.syntaxFaults.flatMap(({part, faults: list}) => toSyntaxFaults(list, toPartFile(part))));
 	}
 
-	const sound = faults.list().length === 0 ? readConfig(joined, source.isJson, text, faults) : undefined;
-	return sound ? ok(sound) : err(toContentFaults(faults.list(), joined, {file, isSource, toPartFile}));
+	const document = faults.list().length === 0 ? readConfig(joined, source.isJson, text, faults) : undefined;
+	return document ? ok(document) : err(toContentFaults(faults.list(), joined, {file, isSource, toPartFile}));
 }
 
 /**
@@ -147,18 +147,18 @@
 	return `${file ?? 'document'}:${line}:${column}: ${problem}; ${remedy}`;
 }
 
-function readConfig({data, parts}: JoinedSource, isJson: boolean, text: string, faults: FaultSink): SoundDocument | undefined {
+function readConfig({data, parts}: JoinedSource, isJson: boolean, text: string, faults: FaultSink): ValidDocument | undefined {
 	const form = readDocument(data, [], faults);
 	if (!form) {
 		return undefined;
 	}
 
 	addEndFaults(data, text, faults);
-	addMeaningFaults(form, data, faults);
+	addSemanticFaults(form, data, faults);
 	if (faults.list().length > 0) {
 		return undefined;
 	}
 
 	const lines = isJson ? splitLines(text) : undefined;
-	return toSoundDocument(form, lines && splitDocument(lines, parts, part => splitLines(part.text)));
+	return toValidDocument(form, lines && splitDocument(lines, parts, part => splitLines(part.text)));
 }
