--- a/src/domain/create-slo-ledger/_lib/create-counts-ring.ts
+++ b/src/domain/create-slo-ledger/_lib/create-counts-ring.ts
@@ -14,7 +14,7 @@
 	/** Counts of the newest so many steps together. */
 	sum: (steps: number, now: Milliseconds) => Counts;
 	/** Adds all that another ring of the same shape holds. */
-	absorb: (other: CountsRing, now: Milliseconds) => void;
+	merge: (other: CountsRing, now: Milliseconds) => void;
 	/** Adds counts to the step of an age. */
 	addAt: (age: number, counts: Counts, now: Milliseconds) => void;
 };
@@ -31,7 +31,7 @@
 	const counts = new Uint32Array(slots * width);
 	const stepOfSlot = new Float64Array(slots).fill(neverUsed);
 
-	function takeSlot(stepNumber: number): number {
+	function prepareSlot(stepNumber: number): number {
 		const slot = stepNumber % slots;
 		if (stepOfSlot[slot] !== stepNumber) {
 			stepOfSlot[slot] = stepNumber;
@@ -42,7 +42,7 @@
 	}
 
 	function add(causes: readonly BadCause[], now: Milliseconds): void {
-		const base = takeSlot(Math.floor(now / step));
+		const base = prepareSlot(Math.floor(now / step));
 		counts[base]!++;
 		if (causes.length > 0) {
 			counts[base + 1]!++;
@@ -59,7 +59,7 @@
 			return;
 		}
 
-		const base = takeSlot(stepNumber);
+		const base = prepareSlot(stepNumber);
 		for (const [i, field] of countFields.entries()) {
 			counts[base + i]! += added[field];
 		}
@@ -88,7 +88,7 @@
 		add,
 		at,
 		sum: (steps, now) => sumSteps(Math.floor(now / step), Math.min(steps, slots)),
-		absorb(other, now) {
+		merge(other, now) {
 			for (let age = 0; age < slots; age++) {
 				addAt(age, other.at(age, now), now);
 			}
--- a/src/domain/create-slo-ledger/_lib/create-series.ts
+++ b/src/domain/create-slo-ledger/_lib/create-series.ts
@@ -6,8 +6,8 @@
 import {createCountsRing, type CountsRing} from './create-counts-ring.js';
 
 export const minuteSlots = 60;
-export const quarter = 15 * msPerMinute;
-export const quarterSlots = (24 * msPerHour) / quarter;
+export const quarterMs = 15 * msPerMinute;
+export const quarterSlots = (24 * msPerHour) / quarterMs;
 
 /** One series at two resolutions: a fine one for the short windows, a coarse one for the long. */
 export type Series = {
@@ -16,7 +16,7 @@
 };
 
 export function createSeries(): Series {
-	return {minutes: createCountsRing(msPerMinute, minuteSlots), quarters: createCountsRing(quarter, quarterSlots)};
+	return {minutes: createCountsRing(msPerMinute, minuteSlots), quarters: createCountsRing(quarterMs, quarterSlots)};
 }
 
 export function addToSeries(series: Series, causes: readonly BadCause[], now: Milliseconds): void {
@@ -24,15 +24,15 @@
 	series.quarters.add(causes, now);
 }
 
-export function absorbSeries(series: Series, other: Series, now: Milliseconds): void {
-	series.minutes.absorb(other.minutes, now);
-	series.quarters.absorb(other.quarters, now);
+export function mergeSeries(series: Series, other: Series, now: Milliseconds): void {
+	series.minutes.merge(other.minutes, now);
+	series.quarters.merge(other.quarters, now);
 }
 
 export function toWindows(series: Series, now: Milliseconds): Record<WindowName, Counts> {
 	const entries = windowNames.map(name => {
 		const length = windowLengths[name];
-		const counts = length <= msPerHour ? series.minutes.sum(length / msPerMinute, now) : series.quarters.sum(length / quarter, now);
+		const counts = length <= msPerHour ? series.minutes.sum(length / msPerMinute, now) : series.quarters.sum(length / quarterMs, now);
 		return [name, counts];
 	});
 	return Object.fromEntries(entries) as Record<WindowName, Counts>;
--- a/src/domain/create-slo-ledger/index.ts
+++ b/src/domain/create-slo-ledger/index.ts
@@ -9,7 +9,7 @@
 import {type ServiceClass} from '../../ports/outcome.js';
 import {msPerMinute} from '../../ports/units.js';
 import {
-	absorbSeries, addToSeries, createSeries, type Series, toPoints, toWindows,
+	mergeSeries, addToSeries, createSeries, type Series, toPoints, toWindows,
 } from './_lib/create-series.js';
 
 export {type SloSample} from '../judge-sample/index.js';
@@ -78,7 +78,7 @@
 			return;
 		}
 
-		ageWeights(now);
+		decayWeights(now);
 		addToSeries(byClass[sample.class], causes, now);
 		addRule(sample, causes, now);
 		addWorkspace(sample, causes, now);
@@ -99,7 +99,7 @@
 
 	function addWorkspace(sample: SloSample, causes: readonly BadCause[], now: Milliseconds): void {
 		const weight = causes.length > 0 ? badWeight : 1;
-		const own = tracked.get(sample.workspace) ?? admit(sample.workspace, weight, now);
+		const own = tracked.get(sample.workspace) ?? startTracking(sample.workspace, weight, now);
 		if (own === undefined) {
 			addToSeries(shared[sample.class], causes, now);
 			return;
@@ -111,7 +111,7 @@
 	}
 
 	/** Gives a workspace a series, at the cost of the lightest one where none is free. */
-	function admit(workspace: WorkspaceId, weight: number, now: Milliseconds): Tracked | undefined {
+	function startTracking(workspace: WorkspaceId, weight: number, now: Milliseconds): Tracked | undefined {
 		const total = (candidates.get(workspace) ?? 0) + weight;
 		if (tracked.size >= topWorkspaces) {
 			const lightest = findLightest();
@@ -120,7 +120,7 @@
 				return undefined;
 			}
 
-			dismiss(lightest.workspace, now);
+			stopTracking(lightest.workspace, now);
 		}
 
 		candidates.delete(workspace);
@@ -140,12 +140,12 @@
 		return lightest;
 	}
 
-	function dismiss(workspace: WorkspaceId, now: Milliseconds): void {
+	function stopTracking(workspace: WorkspaceId, now: Milliseconds): void {
 		const {series} = tracked.get(workspace)!;
 		tracked.delete(workspace);
 		for (const each of classes) {
 			if (series[each] !== undefined) {
-				absorbSeries(shared[each], series[each], now);
+				mergeSeries(shared[each], series[each], now);
 			}
 		}
 	}
@@ -160,7 +160,7 @@
 	}
 
 	/** Halves weights once a minute, so that the contest is about the last minutes. */
-	function ageWeights(now: Milliseconds): void {
+	function decayWeights(now: Milliseconds): void {
 		const minute = Math.floor(now / msPerMinute);
 		if (minute === lastMinute) {
 			return;
--- a/src/domain/diff-configs/_lib/to-samples.ts
+++ b/src/domain/diff-configs/_lib/to-samples.ts
@@ -26,15 +26,15 @@
  */
 export function toSamples(configs: readonly Config[], mixtures: number, random: Random): readonly RequestFacts[] {
 	const vocabulary = toVocabulary(configs);
-	const fitting = configs.flatMap(({rules}) => rules).map(rule => toFitting(rule, vocabulary));
-	const mixed = Array.from({length: mixtures}, () => toMixture(vocabulary, random));
-	const unique = new Map([...fitting, ...mixed].map(facts => [JSON.stringify(facts), facts]));
+	const matching = configs.flatMap(({rules}) => rules).map(rule => toMatchingRequest(rule, vocabulary));
+	const mixed = Array.from({length: mixtures}, () => toMixedRequest(vocabulary, random));
+	const unique = new Map([...matching, ...mixed].map(facts => [JSON.stringify(facts), facts]));
 	return [...unique.values()];
 }
 
 function toVocabulary(configs: readonly Config[]): Vocabulary {
 	const whens = configs.flatMap(({rules}) => rules.map(({when}) => when));
-	const bounds = whens.flatMap(({promptTokensAtLeast: least, promptTokensBelow: below}) => [...toAround(least), ...toAround(below)]);
+	const bounds = whens.flatMap(({promptTokensAtLeast: least, promptTokensBelow: below}) => [...toBoundaryValues(least), ...toBoundaryValues(below)]);
 	return {
 		workspaces: toUnique([...whens.flatMap(({workspace}) => workspace ?? []), 'any-other-workspace']),
 		models: toUnique([...whens.flatMap(({model}) => model ?? []), ...configs.flatMap(({pools}) => pools.map(({model}) => model)), undefined]),
@@ -45,7 +45,7 @@
 	};
 }
 
-function toAround(bound: number | undefined): readonly number[] {
+function toBoundaryValues(bound: number | undefined): readonly number[] {
 	return bound === undefined ? [] : [Math.max(0, bound - 1), bound];
 }
 
@@ -54,7 +54,7 @@
 }
 
 /** A request that all conditions of the rule fit; an earlier rule may still take it. */
-function toFitting({when}: Rule, vocabulary: Vocabulary): RequestFacts {
+function toMatchingRequest({when}: Rule, vocabulary: Vocabulary): RequestFacts {
 	return {
 		workspace: when.workspace?.[0] ?? 'any-other-workspace',
 		model: when.model?.[0],
@@ -70,7 +70,7 @@
 	return Object.fromEntries(Object.entries(headers ?? {}).map(([name, value]) => [name, value === '*' ? 'any' : value]));
 }
 
-function toMixture(vocabulary: Vocabulary, random: Random): RequestFacts {
+function toMixedRequest(vocabulary: Vocabulary, random: Random): RequestFacts {
 	const pick = <T>(values: readonly T[]) => values[Math.floor(random() * values.length)]!;
 	const header = vocabulary.headers.length > 0 && random() < 0.5 ? [pick(vocabulary.headers)] : [];
 	return {
--- a/src/domain/explain-rules/index.ts
+++ b/src/domain/explain-rules/index.ts
@@ -24,7 +24,7 @@
 };
 
 /** Longer lists of names are cut in an explanation. */
-const shownNames = 5;
+const maxShownNames = 5;
 
 /**
  * Explains a decision, looking at each rule in turn.
@@ -76,8 +76,8 @@
 		return [];
 	}
 
-	const more = list.length > shownNames ? ` or ${list.length - shownNames} more` : '';
-	return [{condition, wanted: `${list.slice(0, shownNames).join(' or ')}${more}`, got: got ?? 'nothing'}];
+	const more = list.length > maxShownNames ? ` or ${list.length - maxShownNames} more` : '';
+	return [{condition, wanted: `${list.slice(0, maxShownNames).join(' or ')}${more}`, got: got ?? 'nothing'}];
 }
 
 function toUnmetHeader(name: string, value: string, headers: Readonly<Record<string, string>>): readonly UnmetCondition[] {
--- a/src/domain/find-dead-rules/_lib/find-affected-rules.ts
+++ b/src/domain/find-dead-rules/_lib/find-affected-rules.ts
@@ -4,7 +4,7 @@
 type Whens = ReadonlyArray<Pick<Rule, 'when'>>;
 
 /** Beyond this many rules to look at, all are: each of them is compared with every other. */
-const mostSuspects = 16;
+const maxSuspects = 16;
 
 /**
  * Picks the rules to look at after an edit of a list without dead rules. A rule
@@ -17,13 +17,13 @@
  * @returns Positions in their order; `findDeadRules` finds a dead rule among these exactly when it finds one among all.
  */
 export function findAffectedRules(rules: Whens, added: readonly number[]): readonly number[] {
-	if (added.length > mostSuspects) {
+	if (added.length > maxSuspects) {
 		return rules.map((_, i) => i);
 	}
 
 	const suspects = new Set(added);
 	for (const position of added) {
-		const takes = toComparison(rules[position]!.when).someOf;
+		const takes = toComparison(rules[position]!.when).takesSomeOf;
 		for (let i = position + 1; i < rules.length; i++) {
 			if (takes(rules[i]!.when)) {
 				suspects.add(i);
@@ -31,39 +31,39 @@
 		}
 	}
 
-	return suspects.size > mostSuspects ? rules.map((_, i) => i) : addDeciding(rules, suspects);
+	return suspects.size > maxSuspects ? rules.map((_, i) => i) : addDeciding(rules, suspects);
 }
 
 function addDeciding(rules: Whens, suspects: ReadonlySet<number>): readonly number[] {
-	const touched = new Set(suspects);
+	const affected = new Set(suspects);
 	for (const position of suspects) {
-		const isTakenBy = toComparison(rules[position]!.when).partlyBy;
+		const isTakenBy = toComparison(rules[position]!.when).isPartlyTakenBy;
 		for (let i = 0; i < position; i++) {
 			if (isTakenBy(rules[i]!.when)) {
-				touched.add(i);
+				affected.add(i);
 			}
 		}
 	}
 
-	return [...touched].toSorted((left, right) => left - right);
+	return [...affected].toSorted((left, right) => left - right);
 }
 
 type Comparison = {
 	/** Whether this condition takes all requests of at least one combination of the other. */
-	someOf: (inner: RuleWhen) => boolean;
+	takesSomeOf: (inner: RuleWhen) => boolean;
 	/** The other way round. */
-	partlyBy: (outer: RuleWhen) => boolean;
+	isPartlyTakenBy: (outer: RuleWhen) => boolean;
 };
 
 /** Lists may have thousands of workspaces, so those of the one side are looked up in a set. */
 function toComparison(when: RuleWhen): Comparison {
 	const workspaces = new Set(when.workspace);
 	// One function for all rules: one a rule was a megabyte of garbage for each edit of a full document.
-	const isOurs = (name: string) => workspaces.has(name);
-	const isShared = ({workspace}: RuleWhen) => workspace?.some(isOurs) ?? false;
+	const isListed = (name: string) => workspaces.has(name);
+	const isShared = ({workspace}: RuleWhen) => workspace?.some(isListed) ?? false;
 	return {
-		someOf: inner => (when.workspace === undefined || isShared(inner)) && takesSome(when, inner),
-		partlyBy: outer => (outer.workspace === undefined || isShared(outer)) && takesSome(outer, when),
+		takesSomeOf: inner => (when.workspace === undefined || isShared(inner)) && takesSome(when, inner),
+		isPartlyTakenBy: outer => (outer.workspace === undefined || isShared(outer)) && takesSome(outer, when),
 	};
 }
 
--- a/src/domain/judge-sample/index.ts
+++ b/src/domain/judge-sample/index.ts
@@ -53,26 +53,26 @@
  */
 export function judgeSample(sample: SloSample): Verdict {
 	const {end, target} = sample;
-	const late = findLate(sample);
+	const missed = findMissedTargets(sample);
 	switch (end) {
 		case 'complete': {
-			return late;
+			return missed;
 		}
 
 		case 'refused':
 		case 'failed': {
-			return [end, ...late];
+			return [end, ...missed];
 		}
 
 		case 'gone': {
 			const waitedMs = sample.firstTokenMs ?? sample.completeMs;
-			const isLate = late.length > 0 || waitedMs > target.firstTokenMs;
-			return isLate ? withFirstToken(late, waitedMs > target.firstTokenMs) : undefined;
+			const isLate = missed.length > 0 || waitedMs > target.firstTokenMs;
+			return isLate ? withFirstToken(missed, waitedMs > target.firstTokenMs) : undefined;
 		}
 	}
 }
 
-function findLate({firstTokenMs, perTokenMs, completeMs, end, target}: SloSample): BadCause[] {
+function findMissedTargets({firstTokenMs, perTokenMs, completeMs, end, target}: SloSample): BadCause[] {
 	const causes: BadCause[] = [];
 	if (firstTokenMs !== undefined && firstTokenMs > target.firstTokenMs) {
 		causes.push('lateFirstToken');
--- a/src/domain/parse-log-lines/index.ts
+++ b/src/domain/parse-log-lines/index.ts
@@ -19,7 +19,7 @@
 };
 
 /** What a line says of its writer, which a reader of many lines doesn't want repeated. */
-const omitted = new Set(['time', 'level', 'message', 'host', 'program', 'zone', 'incarnation']);
+const omittedFields = new Set(['time', 'level', 'message', 'host', 'program', 'zone', 'incarnation']);
 
 function parseLine(text: string): LogLine | undefined {
 	// Collectors put a time or a name of their own before the line.
@@ -41,7 +41,7 @@
 
 	const at = Date.parse(value.time);
 	const fields = Object.entries(value).filter((entry): entry is [string, string | number | boolean] =>
-		!omitted.has(entry[0]) && ['string', 'number', 'boolean'].includes(typeof entry[1]));
+		!omittedFields.has(entry[0]) && ['string', 'number', 'boolean'].includes(typeof entry[1]));
 	if (Number.isNaN(at)) {
 		return undefined;
 	}
--- a/src/domain/to-config-chunks/_lib/cut-text.ts
+++ b/src/domain/to-config-chunks/_lib/cut-text.ts
@@ -5,7 +5,7 @@
  * gets too long. Cuts made for this do not follow the content, and one in 55
  * chunks would need one at a factor of 4, against one in 3,000 at 8.
  */
-const longestFactor = 8;
+const maxLengthFactor = 8;
 
 /**
  * Cuts a text behind lines that their own content picks: each with a chance
@@ -17,7 +17,7 @@
  */
 export function cutText(text: string, averageLength: number): readonly string[] {
 	const pieces: string[] = [];
-	const longest = averageLength * longestFactor;
+	const longest = averageLength * maxLengthFactor;
 	let start = 0;
 	let lineStart = 0;
 	while (lineStart < text.length) {
--- a/src/domain/to-event-timeline/index.ts
+++ b/src/domain/to-event-timeline/index.ts
@@ -18,7 +18,7 @@
 const subjectFields = ['server', 'state', 'edition', 'peer', 'kind', 'signal', 'reason'] as const;
 
 /** Longest time between two hosts' words for the same change; what comes later is another one, such as a server's second restart. */
-const sameChangeMs: Milliseconds = 15 * msPerSecond;
+const sameChangeWindowMs: Milliseconds = 15 * msPerSecond;
 
 function toSubject({fields}: LogLine): string {
 	return subjectFields.filter(name => fields[name] !== undefined).map(name => `${name}=${fields[name]}`).join(' ');
@@ -43,7 +43,7 @@
 		const subject = toSubject(line);
 		const key = `${message} ${subject}`;
 		const row = open.get(key);
-		if (row === undefined || row.hosts.includes(host) || at - row.firstAt > sameChangeMs) {
+		if (row === undefined || row.hosts.includes(host) || at - row.firstAt > sameChangeWindowMs) {
 			const next = {
 				message, subject, firstAt: at, lastAt: at, hosts: [host],
 			};
--- a/src/domain/to-problem/index.ts
+++ b/src/domain/to-problem/index.ts
@@ -70,19 +70,19 @@
 const notRunStatuses: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
 /** Statuses that tell a caller nothing about whether its request ran. */
-const openStatuses: ReadonlySet<number> = new Set([502, 504]);
+const ambiguousStatuses: ReadonlySet<number> = new Set([502, 504]);
 
 /**
  * A caller sends its request again after a status that means "not run". Given
  * for work that a server may have taken, it would run twice; withheld from work
  * that nobody took, the caller would give up for nothing.
  */
-function toStatusOfOutcome(status: number, outcome: Outcome): number {
+function toOutcomeStatus(status: number, outcome: Outcome): number {
 	if (outcome !== 'not-run') {
 		return notRunStatuses.has(status) ? 502 : status;
 	}
 
-	return openStatuses.has(status) ? 503 : status;
+	return ambiguousStatuses.has(status) ? 503 : status;
 }
 
 function toRetryAfterText(retryAfterMs: Milliseconds, {hasFractionalSeconds: hasFractions = false}: ProblemStyle): string {
@@ -109,7 +109,7 @@
 export function toProblem(problem: Problem, requestId: RequestId, style: ProblemStyle = {}): ProblemDocument {
 	const [usualStatus, title] = problemKinds[problem.kind];
 	const kindStatus = style.statuses?.[problem.kind] ?? usualStatus;
-	const status = style.isOutcomeInStatus === true ? toStatusOfOutcome(kindStatus, problem.outcome) : kindStatus;
+	const status = style.isOutcomeInStatus === true ? toOutcomeStatus(kindStatus, problem.outcome) : kindStatus;
 	const headers: Record<string, string> = {'content-type': 'application/problem+json'};
 	if (problem.retryAfterMs !== undefined) {
 		headers['retry-after'] = toRetryAfterText(problem.retryAfterMs, style);
--- a/src/domain/to-request-history/index.ts
+++ b/src/domain/to-request-history/index.ts
@@ -13,14 +13,14 @@
 };
 
 /** Time before the request, and after its end, in which beliefs of its host are shown. */
-const beliefsBeforeMs: Milliseconds = 10 * msPerSecond;
-const beliefsAfterMs: Milliseconds = 3 * msPerSecond;
+const contextBeforeMs: Milliseconds = 10 * msPerSecond;
+const contextAfterMs: Milliseconds = 3 * msPerSecond;
 
 /** Fields in which a line names servers. */
 const serverFields = ['server', 'prefillServer', 'decodeServer'] as const;
 
 /** Messages that say what a host believes of more than one server. */
-const commonBeliefs = new Set([
+const hostWideMessages = new Set([
 	'configuration in force', 'platform answers', 'platform does not answer', 'platform no longer knows what changed, reading all anew', 'woke up after a pause', 'stopping', 'listening',
 ]);
 
@@ -83,11 +83,11 @@
 
 	const servers = toServers(own);
 	const hosts = new Set(own.map(({host}) => host));
-	const until = own.at(-1)!.at + beliefsAfterMs;
+	const until = own.at(-1)!.at + contextAfterMs;
 	const beliefs = lines.filter(({at, host, message, fields}) =>
 		hosts.has(host)
 		&& fields.requestId === undefined
-		&& at >= first.at - beliefsBeforeMs && at <= until
-		&& (commonBeliefs.has(message) || serverFields.some(name => servers.has(String(fields[name])))));
+		&& at >= first.at - contextBeforeMs && at <= until
+		&& (hostWideMessages.has(message) || serverFields.some(name => servers.has(String(fields[name])))));
 	return {own, beliefs, verdict: toVerdict(own)};
 }
