--- a/src/domain/accept-config/index.ts
+++ b/src/domain/accept-config/index.ts
@@ -1,6 +1,6 @@
 /**
- * Decides whether a configuration document comes in force. Every host decides by
- * itself, from what is in force there and the document alone.
+ * Decides whether a configuration document takes effect. Every host decides by
+ * itself, from the document and the configuration in force at that host.
  */
 import {splitConfigEnd} from '../../_lib/split-config-end/index.js';
 import {toDigest} from '../../_lib/to-digest/index.js';
@@ -18,15 +18,15 @@
 /** A document from the platform or a peer. */
 export type ConfigCandidate = {
 	text: string;
-	/** Revision at which the platform served it, to this host or to the peer; 0 where unknown. */
+	/** Revision at which the platform served the document to this host or to the peer; 0 if unknown. */
 	revision: number;
-	/** Looks for parts that are not in force; needed for a document in parts alone. Their digests are checked here. */
+	/** Finds the text of parts that are not in force; needed only for a document in parts. `acceptConfig` checks the digests. */
 	findPart?: FindPart;
 };
 
 /**
- * Two documents sealed from the same edition: both operators meant theirs to
- * follow, and one edit is lost.
+ * Two documents that were sealed on top of the same edition. Only one of them
+ * can take effect, so the edit in the other one is lost.
  */
 export type ConfigConflict = {
 	winner: ConfigVersion;
@@ -35,34 +35,35 @@
 };
 
 /**
- * - `incomplete`, `altered`, `not-text`: not a whole document.
- * - `parts-missing`: a root whose parts are not all there as it names them. Offered again with them it may be accepted.
- * - `invalid`: whole, with faults of content.
- * - `older`: another document that comes later in the order of versions is in force.
- * - `rival-lost`: sealed from the same edition as the one in force, which wins.
+ * - `incomplete`, `altered`, `not-text`: the document is not whole.
+ * - `parts-missing`: at least one part is missing or does not match its digest in the root. The root may be accepted later, once all parts are found.
+ * - `invalid`: the document is whole, but its content has faults.
+ * - `older`: the document in force has a higher version.
+ * - `rival-lost`: the document in force was sealed on top of the same edition and has the higher version.
  */
 export type ConfigRefusalReason = 'incomplete' | 'altered' | 'not-text' | 'parts-missing' | 'invalid' | 'older' | 'rival-lost';
 
 export type ConfigVerdict =
 	| {status: 'accepted'; accepted: AcceptedConfig; conflict: ConfigConflict | undefined; warning: string | undefined}
-	/** The same document again. Its version may have a higher revision than before, which then bars those in between. */
+	/** The document is already in force. Its version takes the higher of both revisions, so documents with a revision in between are refused as older. */
 	| {status: 'unchanged'; accepted: AcceptedConfig}
 	| {status: 'refused'; reason: ConfigRefusalReason; message: string; faults: readonly ConfigFault[]; conflict: ConfigConflict | undefined; missing: readonly NamedPart[]};
 
 export type AcceptConfigOptions = {
-	/** `parseConfig` unless given; a reader of `createConfigReader` costs less where documents follow each other. */
+	/** Parses the document; `parseConfig` by default. A reader of `createConfigReader` costs less when each document differs little from the last. */
 	read?: ReadConfig;
 };
 
 /**
- * Decides about a document. What is in force is always the highest version among
- * the valid documents seen, so the order in which they come makes no difference,
- * and nothing ever goes back.
+ * Decides whether a document takes effect. The configuration in force is always
+ * the valid document with the highest version among those seen, so the order in
+ * which documents arrive makes no difference, and no host ever returns to an
+ * older version.
  *
- * @param current - What is in force; `undefined` before the first.
+ * @param current - The configuration in force; `undefined` before the first one.
  * @param candidate - The document.
  * @param options - How the content is read.
- * @returns Whether it is accepted, is the one in force already, or is refused and why.
+ * @returns Whether the document is accepted, is already in force, or is refused and why.
  *
  * @example
  * ```ts
@@ -100,7 +101,7 @@
 		}
 
 		const [first] = parsed.error;
-		const message = `the document has ${parsed.error.length} faults and does not come in force, the first at ${toFaultLine(first!)}: run "banyanport check" on it`;
+		const message = `the document has ${parsed.error.length} faults and was not accepted, the first at ${toFaultLine(first!)}: run "banyanport check" on it`;
 		return {...toRefusal('invalid', message), faults: parsed.error};
 	}
 
@@ -115,13 +116,13 @@
 	};
 }
 
-/** Names all that is missing up to a length that a line of a log can hold. */
+/** Number of missing parts that a message names; more would make the log line too long. */
 const maxShownParts = 8;
 
 function toMissingMessage(version: ConfigVersion, missing: readonly NamedPart[]): string {
 	const shown = missing.slice(0, maxShownParts).map(part => `${part.name} under ${toPartKey(part)}`).join(', ');
 	const more = missing.length > maxShownParts ? ` and ${missing.length - maxShownParts} more` : '';
-	return `${toVersionText(version)} does not come in force, since parts are missing or are not as it names them: ${shown}${more}. Publish them, or the root in force again`;
+	return `${toVersionText(version)} was not accepted, since these parts are missing or do not match their digests: ${shown}${more}. Publish them, or publish the root in force again`;
 }
 
 const parseUncached: ReadConfig = (text, findPart) => parseConfig(text, findPart ? {findPart} : {});
@@ -151,7 +152,7 @@
 	return `${toVersionText(version)} is older than ${toVersionText(current)}, which is in force and stays: ${remedy}`;
 }
 
-/** A document sealed on top of something else than what is in force may have been written without its edits. */
+/** Warns of a document that was sealed on top of another one than the one in force, since it may lack the edits of the latter. */
 function toWarning(current: ConfigVersion, version: ConfigVersion, seal: ConfigSeal): string | undefined {
 	const isNext = version.edition === current.edition + 1;
 	return isNext && seal.kind === 'sealed' && seal.follows !== current.digest
--- a/src/domain/accept-config/parts.test.ts
+++ b/src/domain/accept-config/parts.test.ts
@@ -33,7 +33,7 @@
 
 type ServedState = 'there' | 'missing' | 'cut' | 'older';
 
-/** What the platform serves of a part. */
+/** Returns what the platform serves for a part. */
 function toServed(fate: ServedState, text: string, older: string): string | undefined {
 	switch (fate) {
 		case 'there': {
@@ -61,7 +61,7 @@
 }
 
 describe('acceptConfig of parts', () => {
-	it('never takes a root whose parts are missing, cut off, or older, and names just those', () => {
+	it('never takes a root whose parts are missing, cut off or older, and names exactly those parts', () => {
 		const fate = fc.constantFrom<ServedState[]>('there', 'missing', 'cut', 'older');
 		fc.assert(fc.property(fc.array(fate, {minLength: first.parts.length, maxLength: first.parts.length}), fc.boolean(), (fates, isFirst) => {
 			const current = isFirst ? undefined : accept(undefined, first);
@@ -81,7 +81,7 @@
 		}), {numRuns: 200});
 	});
 
-	it('needs only the changed part of what follows the document in force', () => {
+	it('needs only the changed part of the document that follows the one in force', () => {
 		const changed = second.parts.filter(({sha256}) => !first.parts.some(part => part.sha256 === sha256));
 		const accepted = accept(accept(undefined, first), {...second, parts: changed}, 2);
 		assert.equal(changed.length, 1);
@@ -104,7 +104,7 @@
 		assert.equal(verdict.status === 'refused' && verdict.reason, 'altered');
 	});
 
-	it('comes to the newest whole document on every host, however publishes of roots and parts and the looks of hosts interleave', () => {
+	it('brings every host to the newest whole document, however publications of roots and parts interleave with reads by hosts', () => {
 		type Step = {kind: 'part' | 'root' | 'look'; edition: number; part: number; host: number};
 		const publishes: Step[] = editions.flatMap(({parts}, edition): Step[] => [
 			{
@@ -127,7 +127,7 @@
 				const before = host.accepted;
 				const verdict = acceptConfig(before, {text, revision, findPart}, {read: host.read});
 				host.accepted = verdict.status === 'refused' ? before : verdict.accepted;
-				assert.ok(!before || compareConfigVersions(host.accepted!.version, before.version) >= 0, 'it went back');
+				assert.ok(!before || compareConfigVersions(host.accepted!.version, before.version) >= 0, 'the host returned to an older version');
 			};
 
 			for (const step of run) {
@@ -142,7 +142,7 @@
 			}
 
 			const newest = hosts.map(({accepted}) => accepted).filter(accepted => accepted !== undefined);
-			// Hosts then hear each other, in any order.
+			// The hosts then exchange their documents.
 			for (const host of hosts) {
 				for (const {text, version, parts} of newest) {
 					offer(host, text, version.revision, findAmong(parts ?? []));
--- a/src/domain/accept-config/test.ts
+++ b/src/domain/accept-config/test.ts
@@ -35,8 +35,8 @@
 		['takes the first document', [plain, 1, 'accepted']],
 		['takes a plain edit at a higher revision', [plain, 1, 'accepted'], [laterPlain, 2, 'accepted']],
 		['refuses what a platform serves at an old revision after an outage', [plain, 1, 'accepted'], [laterPlain, 5, 'accepted'], [plain, 1, 'refused', 'older']],
-		['takes an old text that staff publish again on purpose', [plain, 1, 'accepted'], [laterPlain, 2, 'accepted'], [plain, 3, 'accepted']],
-		['bars revisions in between once a document was seen at a higher one', [plain, 1, 'accepted'], [plain, 7, 'unchanged'], [laterPlain, 5, 'refused', 'older']],
+		['takes an old text that an operator publishes again on purpose', [plain, 1, 'accepted'], [laterPlain, 2, 'accepted'], [plain, 3, 'accepted']],
+		['refuses revisions in between once the document in force was seen at a higher one', [plain, 1, 'accepted'], [plain, 7, 'unchanged'], [laterPlain, 5, 'refused', 'older']],
 		['does not go back when the same document is served at a lower revision', [plain, 7, 'accepted'], [plain, 1, 'unchanged'], [laterPlain, 5, 'refused', 'older']],
 		['takes editions in turn', [first, 1, 'accepted'], [second, 2, 'accepted'], [third, 3, 'accepted']],
 		['takes an edition after a missed one', [first, 1, 'accepted'], [third, 3, 'accepted']],
@@ -46,8 +46,8 @@
 		['takes a plain edit that names the edition in force', [first, 1, 'accepted'], [plainInFirst, 2, 'accepted']],
 		['refuses a plain edit that names the edition in force at a lower revision', [first, 3, 'accepted'], [plainInFirst, 2, 'refused', 'older']],
 		['takes a sealed document over plain ones', [plain, 9, 'accepted'], [first, 1, 'accepted']],
-		['takes the rival at the higher revision', [second, 2, 'accepted'], [rival, 3, 'accepted']],
-		['refuses the rival at the lower revision', [rival, 3, 'accepted'], [second, 2, 'refused', 'rival-lost']],
+		['takes the conflicting document at the higher revision', [second, 2, 'accepted'], [rival, 3, 'accepted']],
+		['refuses the conflicting document at the lower revision', [rival, 3, 'accepted'], [second, 2, 'refused', 'rival-lost']],
 		['refuses a truncated document', [first, 1, 'accepted'], [second.slice(0, -20), 2, 'refused', 'incomplete']],
 		['refuses an altered document', [first, 1, 'accepted'], [second.replace('10.0.0.1', '10.0.0.2'), 2, 'refused', 'altered']],
 		['refuses a bad edit after a good one', [plain, 1, 'accepted'], [plain.replace('pool: p}', 'pool: q}'), 2, 'refused', 'invalid'], [laterPlain, 3, 'accepted']],
@@ -64,7 +64,7 @@
 		});
 	}
 
-	it('names the losing rival, whichever came first', () => {
+	it('names the same losing document, whichever of two conflicting documents came first', () => {
 		const [byRevision, byDigest] = [[2, 3], [0, 0]].map(([revision, rivalRevision]) => {
 			const documents = [{text: second, revision: revision!}, {text: rival, revision: rivalRevision!}] as const;
 			return [documents, documents.toReversed()].map(([one, other]) => {
@@ -78,7 +78,7 @@
 		assert.match(byRevision![0]!.message, /edition 2: .* wins and .* loses/);
 	});
 
-	it('warns when a sealed document follows another one than was in force', () => {
+	it('warns when a sealed document does not follow the one in force', () => {
 		const verdict = acceptConfig(toAccepted({text: rival, revision: 1}), {text: third, revision: 2});
 		assert.ok(verdict.status === 'accepted');
 		assert.match(verdict.warning!, /follows another document/);
@@ -86,7 +86,7 @@
 		assert.equal(inLine.status === 'accepted' ? inLine.warning : 'refused', undefined);
 	});
 
-	it('ends at the same version on every host, whatever order documents come in, and never goes back', () => {
+	it('ends at the same version on every host, whatever the order of documents, and never returns to an older one', () => {
 		const texts = [
 			plain,
 			laterPlain,
--- a/src/domain/collect-parts/index.ts
+++ b/src/domain/collect-parts/index.ts
@@ -4,29 +4,30 @@
 import {type ConfigPart, type NamedPart, type FindPart} from '../../ports/config.js';
 
 export type PartCollection = {
-	/** Finds a part that has the named digest and length. */
+	/** Finds the text of a part, provided that the text has the digest and length in the root. */
 	find: FindPart;
-	/** All that were found, in the order of the first look for each. */
+	/** Returns the parts found so far, in the order in which they were first looked up. */
 	parts: () => readonly ConfigPart[];
 };
 
 /**
  * Creates a collection for one root document.
  *
- * A part that was published only in part, or an older one under its key, must
- * not come in force as if it were the one that the operator sealed; digest and
- * length tell, since the root's own seal covers both. Parts in force were
- * checked when they came, and are not digested again.
+ * The platform may serve a truncated part, or an older one under the same key.
+ * Neither may take effect in the place of the part that the operator sealed.
+ * Comparing digest and length is enough to refuse both, since the root's own seal
+ * covers them. Parts in force were checked when they arrived and are not digested
+ * again.
  *
  * @param held - Parts in force.
- * @param findText - Looks for the text of a part that is not in force.
+ * @param findText - Finds the text of a part that is not in force.
  * @returns See {@link PartCollection}.
  *
  * @example
  * ```ts
  * const collection = collectParts(accepted.parts ?? [], ({sha256}) => fetched.get(sha256));
  * parseConfig(rootText, {findPart: collection.find});
- * collection.parts(); // => those of the new document
+ * collection.parts(); // => parts of the new document
  * ```
  */
 export function collectParts(held: readonly ConfigPart[], findText: FindPart): PartCollection {
--- a/src/domain/collect-parts/test.ts
+++ b/src/domain/collect-parts/test.ts
@@ -7,7 +7,7 @@
 const two = toPart('two', 'two');
 
 describe('collectParts', () => {
-	it('takes parts that have the named digest and length, in the order of the looks', () => {
+	it('takes parts that have the named digest and length, in the order of the lookups', () => {
 		const {find, parts} = collectParts([two], ({name}) => name === 'one' ? one.text : undefined);
 		for (const part of toNamed([one, two, one])) {
 			assert.ok(find(part) !== undefined);
@@ -17,7 +17,7 @@
 	});
 
 	const wrong: Array<[title: string, held: Array<typeof one>, text: string | undefined, bytes: number]> = [
-		['is not there', [], undefined, one.bytes],
+		['is missing', [], undefined, one.bytes],
 		['has another text', [], 'čakz', one.bytes],
 		['is cut off', [], 'čak', one.bytes],
 		['has another length than the root says', [], one.text, 4],
--- a/src/domain/compile-rules/_lib/build-index.ts
+++ b/src/domain/compile-rules/_lib/build-index.ts
@@ -1,7 +1,7 @@
 /**
- * Splits rules by one condition after the other, so that a lookup visits only
- * rules whose workspace, path, header, model, zone and class can match. A rule
- * without the condition of a split stands in the part for any value.
+ * Builds a tree that splits the rules by one condition per level, so that a
+ * lookup visits only rules whose workspace, path, header, model, zone and class
+ * can match. A rule without the condition of a split goes into the branch `any`.
  */
 import {type RuleWhen} from '../../../ports/config.js';
 import {type RequestFacts} from '../index.js';
@@ -9,13 +9,13 @@
 export type IndexNode = {
 	/** Position of the first rule below this node. */
 	first: number;
-	/** Positions of rules in their order, on a leaf. */
+	/** Positions of the rules of a leaf, in their order; empty on an inner node. */
 	leaf: readonly number[];
 	split: IndexSplit | undefined;
 };
 
 export type IndexSplit = {
-	/** Values of the split's condition that the request has; a path has one for each length in use. */
+	/** Returns the request's values for the split's condition; a path has one value for each prefix length in use. */
 	toKeys: (facts: RequestFacts) => readonly string[];
 	children: ReadonlyMap<string, IndexNode>;
 	any: IndexNode | undefined;
@@ -23,19 +23,19 @@
 
 /** A condition by which rules can be split. */
 type Dimension = {
-	/** Values that the rule asks for; `undefined` when it takes any. */
+	/** Returns the values that the rule accepts; `undefined` when it accepts any. */
 	toValues: (when: RuleWhen) => readonly string[] | undefined;
-	/** Makes the lookup, given the values in use. */
+	/** Creates the lookup, given the values in use. */
 	toLookup: (values: Iterable<string>) => IndexSplit['toKeys'];
 };
 
-/** So few rules are tested faster than they are split. */
+/** Up to this many rules, testing each of them is faster than another split. */
 const leafSize = 8;
 
-/** A split must leave at most this share of the rules in its largest path, or it isn't worth its lookups. */
+/** A split must leave at most this share of the rules on its longest path; otherwise its lookups cost more than they save. */
 const maxSplitShare = 0.8;
 
-/** Headers that are tried for splits, at most. */
+/** Number of header names, the most frequent ones, that are considered for splits. */
 const maxHeaderDimensions = 4;
 
 /**
@@ -65,7 +65,7 @@
 	{toValues: when => when.class === undefined ? undefined : [when.class], toLookup: toSingle(facts => facts.class)},
 ];
 
-/** A path is looked up once for each length of prefix in use. */
+/** Looks a path up once for each prefix length in use. */
 function toPathLookup(prefixes: Iterable<string>): IndexSplit['toKeys'] {
 	const lengths = [...new Set([...prefixes].map(({length}) => length))];
 	return ({path}) => lengths.filter(length => length <= path.length).map(length => path.slice(0, length));
@@ -114,7 +114,7 @@
 	any: readonly number[];
 };
 
-/** Picks the condition that leaves the fewest rules to look at in its worst part. */
+/** Picks the condition whose largest branch leaves the fewest rules to test. */
 function pickDimension(whens: readonly RuleWhen[], positions: readonly number[], dimensions: readonly Dimension[]): Parts | undefined {
 	let best: Parts | undefined;
 	let bestSize = positions.length * maxSplitShare;
--- a/src/domain/compile-rules/_lib/to-test.ts
+++ b/src/domain/compile-rules/_lib/to-test.ts
@@ -1,15 +1,15 @@
-/** Turns the conditions of a rule into one function. */
+/** Compiles the conditions of a rule into one predicate. */
 import {type RuleWhen} from '../../../ports/config.js';
 import {type RequestFacts} from '../index.js';
 
-/** Lists longer than this are looked up in a set. */
+/** Length of a list from which on a set lookup replaces the array search. */
 const maxArraySearch = 8;
 
 /**
  * Compiles conditions.
  *
  * @param when - Conditions of a rule; absent ones match everything.
- * @returns Whether all of them hold for given facts.
+ * @returns A function that tells whether all conditions hold for given facts.
  */
 export function toTest(when: RuleWhen): (facts: RequestFacts) => boolean {
 	const inWorkspaces = toMembership(when.workspace);
@@ -29,7 +29,7 @@
 		&& headers.every(([name, value]) => hasHeader(facts.headers, name, value));
 }
 
-/** Whether a header has the value asked for; `*` asks only that it is there. */
+/** Tells whether a header has the wanted value; `*` stands for any value, but the header must be present. */
 function hasHeader(headers: Readonly<Record<string, string>>, name: string, value: string): boolean {
 	const given = Object.hasOwn(headers, name) ? headers[name] : undefined;
 	return given !== undefined && (value === '*' || value === given);
--- a/src/domain/compile-rules/index.ts
+++ b/src/domain/compile-rules/index.ts
@@ -1,11 +1,11 @@
-/** Prepares the rules of a configuration for matching, so that the first match is found without looking at each rule. */
+/** Compiles the rules of a configuration into an index, so that the first match is found without testing each rule. */
 import {type Config, type Rule, type RuleWhen} from '../../ports/config.js';
 import {type ZoneId, type WorkspaceId} from '../../ports/ids.js';
 import {type ServiceClass} from '../../ports/outcome.js';
 import {buildIndex, type IndexNode} from './_lib/build-index.js';
 import {toTest} from './_lib/to-test.js';
 
-/** What rules may look at in a request. */
+/** Attributes of a request that rules may test. */
 export type RequestFacts = {
 	workspace: WorkspaceId;
 	/** Model named in the request; `undefined` for plain services. */
@@ -18,28 +18,28 @@
 	headers: Readonly<Record<string, string>>;
 	/** Class that the caller asked for; `undefined` when it named none. */
 	class: ServiceClass | undefined;
-	/** Length of the prompt; 0 for plain services. */
+	/** Length of the prompt in tokens; 0 for plain services. */
 	promptTokens: number;
-	/** Zone of the host that decides. */
+	/** Zone of the host that routes the request. */
 	zone: ZoneId;
 };
 
 export type CompiledRule = {
 	rule: Rule;
-	/** Whether all conditions hold. */
+	/** Tells whether all conditions of the rule hold. */
 	test: (facts: RequestFacts) => boolean;
 };
 
-/** The index of some rules that follow each other. */
+/** The index of a run of consecutive rules. */
 export type RuleSegment = {
-	/** Position of its first rule. */
+	/** Position of the segment's first rule. */
 	start: number;
 	count: number;
-	/** Its positions count from `start`, so that it stays as it is when rules are put in before it. */
+	/** Root of the index. Positions in it count from `start`, so that inserting rules before the segment leaves the index valid. */
 	root: IndexNode;
 };
 
-/** Rules with their index; used with `matchRule`. */
+/** Rules with their index, for `matchRule`. */
 export type CompiledRules = {
 	rules: readonly CompiledRule[];
 	/** In the order of the rules. */
@@ -47,22 +47,22 @@
 };
 
 export type CompileRulesOptions = {
-	/** Rules of a segment; a list that is no longer has a single one. */
+	/** Rules per segment; a list of at most this length has a single segment. */
 	segmentSize?: number;
 };
 
-/** A changed condition costs the index of so many rules anew, and a lookup one step for each segment. */
+/** A changed condition rebuilds the index of this many rules, and a lookup visits every segment, so neither a small nor a large value is cheap. */
 const defaultSegmentSize = 2000;
 
 /**
- * Compiles rules. The cost grows with the number of rules and of names they
- * list. After an edit only the segments are indexed anew in which a condition
- * changed, or a rule came or went.
+ * Compiles rules. The cost grows with the number of rules and of the names that
+ * they list. After an edit only those segments are rebuilt in which a condition
+ * changed or a rule was added or removed.
  *
  * @param config - A valid configuration, or just its rules.
- * @param before - What was compiled before, to be used again as far as it goes.
+ * @param before - Result of an earlier call, whose unchanged segments and tests are reused.
  * @param options - Length of segments.
- * @returns The rules for `matchRule`.
+ * @returns The compiled rules, for `matchRule`.
  *
  * @example
  * ```ts
@@ -72,7 +72,7 @@
  */
 export function compileRules({rules}: Pick<Config, 'rules'>, before?: CompiledRules, {segmentSize = defaultSegmentSize}: CompileRulesOptions = {}): CompiledRules {
 	const next = before && compileChanged(rules, before, segmentSize);
-	// Edits that take rules away leave short segments behind; too many make each lookup long.
+	// Removed rules leave short segments behind. Each lookup visits all segments, so too many of them slow it down.
 	return next && next.segments.length <= 2 * Math.ceil(rules.length / segmentSize)
 		? next
 		: {rules: rules.map(rule => toCompiled(undefined, rule)), segments: toSegments(rules, 0, rules.length, segmentSize)};
@@ -94,7 +94,7 @@
 	return {rules: compiled, segments: [...kept, ...toSegments(rules, start, end, segmentSize), ...moved]};
 }
 
-/** Counts rules at both ends that ask for what they asked for before. */
+/** Counts the rules at both ends of the list whose conditions did not change. */
 function findUnchanged(before: readonly CompiledRule[], rules: readonly Rule[]): {head: number; tail: number} {
 	const shorter = Math.min(before.length, rules.length);
 	let head = 0;
@@ -110,12 +110,12 @@
 	return {head, tail};
 }
 
-/** Rules that were read again and not changed have the same object for their conditions, so few are compared as text. */
+/** Unchanged rules keep the same `when` object when a document is read again, so few conditions are compared as text. */
 function isSameCondition({rule: {when}}: CompiledRule, {when: other}: Rule): boolean {
 	return when === other || JSON.stringify(when) === JSON.stringify(other);
 }
 
-/** Segments of equal length for the rules from `start` up to `end`. */
+/** Builds segments of equal length for the rules from `start` up to, but not including, `end`. */
 function toSegments(rules: readonly Rule[], start: number, end: number, segmentSize: number): readonly RuleSegment[] {
 	const number = Math.ceil((end - start) / segmentSize);
 	return Array.from({length: number}, (_, i) => {
--- a/src/domain/compile-rules/test.ts
+++ b/src/domain/compile-rules/test.ts
@@ -19,7 +19,7 @@
 		assert.deepEqual(compiled.rules.map(({test}) => test(facts)), [false, true, true]);
 	});
 
-	it('uses the index again when only names and routes have changed', () => {
+	it('reuses the index when only names and routes have changed', () => {
 		const before = compileRules({rules: toRules([{workspace: ['w1']}, {}])});
 		const renamed = toRules([{workspace: ['w1']}, {}]).map(rule => ({...rule, name: `${rule.name} later`}));
 		assert.equal(compileRules({rules: renamed}, before).segments[0]!.root, before.segments[0]!.root);
@@ -31,7 +31,7 @@
 		['the number of rules', [{workspace: ['w1']}]],
 	];
 	for (const [name, whens] of changes) {
-		it(`builds the index anew when ${name} has changed`, () => {
+		it(`rebuilds the index when ${name} has changed`, () => {
 			const before = compileRules({rules: toRules([{workspace: ['w1']}, {}])});
 			const after = compileRules({rules: toRules(whens)}, before);
 			assert.notEqual(after.segments[0]!.root, before.segments[0]!.root);
@@ -39,7 +39,7 @@
 		});
 	}
 
-	it('lets the same rule be found with an index that is used again', () => {
+	it('finds the same rule with a reused index as with a new one', () => {
 		fc.assert(fc.property(fc.array(anyWhen, {maxLength: 30}), fc.array(anyWhen, {maxLength: 3}), fc.array(anyFacts, {minLength: 1, maxLength: 20}), (whens, others, samples) => {
 			const before = compileRules({rules: toRules(whens)});
 			const rules = toRules(whens.map((when, i) => others[i] ?? {...when})).map(rule => ({...rule, name: `${rule.name} later`}));
@@ -50,7 +50,7 @@
 		}), {numRuns: 200});
 	});
 
-	it('lets the same rule be found in segments that are used again, after any edits', () => {
+	it('finds the same rule with reused segments as with new ones, after any edits', () => {
 		const edit = fc.record({at: fc.nat(40), gone: fc.nat(12), come: fc.array(anyWhen, {maxLength: 8})});
 		fc.assert(fc.property(fc.array(anyWhen, {maxLength: 40}), fc.array(edit, {minLength: 1, maxLength: 5}), fc.array(anyFacts, {minLength: 1, maxLength: 20}), (whens, edits, samples) => {
 			let current = whens;
@@ -68,7 +68,7 @@
 		}), {numRuns: 300});
 	});
 
-	it('indexes anew only the segments in which conditions changed', () => {
+	it('rebuilds only the segments in which conditions changed', () => {
 		const whens = Array.from({length: 50}, (_, i): RuleWhen => ({workspace: [`w${i}`]}));
 		const before = compileRules({rules: toRules(whens)}, undefined, {segmentSize: 10});
 		const inserted = compileRules({rules: toRules(whens.toSpliced(25, 0, {model: ['m1']}))}, before, {segmentSize: 11});
--- a/src/domain/match-rule/index.ts
+++ b/src/domain/match-rule/index.ts
@@ -1,4 +1,4 @@
-/** Finds the rule that decides about a request. */
+/** Finds the rule that decides how a request is routed. */
 import {type Rule} from '../../ports/config.js';
 import {type CompiledRules, type RequestFacts, type RuleSegment} from '../compile-rules/index.js';
 
@@ -6,8 +6,8 @@
  * Finds the first rule all of whose conditions hold.
  *
  * @param compiled - Rules from `compileRules`.
- * @param facts - What is known of the request.
- * @returns The deciding rule; `undefined` when none matches, which the catch-all of a valid configuration rules out.
+ * @param facts - Attributes of the request that rules may test.
+ * @returns The deciding rule; `undefined` when none matches, which can't happen with a valid configuration, since its last rule matches every request.
  *
  * @example
  * ```ts
@@ -27,7 +27,7 @@
 
 type Search = {compiled: CompiledRules; segment: RuleSegment; facts: RequestFacts};
 
-/** The first matching position below a node, or `best` when none comes before it. */
+/** Returns the first matching position below a node, or `best` when no match comes before it. */
 function findFirst(search: Search, node: RuleSegment['root'], best: number): number {
 	const {compiled, segment, facts} = search;
 	if (node.first >= best) {
--- a/src/domain/match-rule/test.ts
+++ b/src/domain/match-rule/test.ts
@@ -22,8 +22,8 @@
 		['a longer path', {path: '/v1/completions/x'}, false],
 		['a header value', {headers: {'x-genre': 'fantasy'}}, true],
 		['another header value', {headers: {'x-genre': 'shooter'}}, false],
-		['a header that must be there', {headers: {'x-genre': '*'}}, true],
-		['a header that is not there', {headers: {'x-other': '*'}}, false],
+		['a header that must be present', {headers: {'x-genre': '*'}}, true],
+		['a header that is absent', {headers: {'x-other': '*'}}, false],
 		['a header named like a property of every object', {headers: {constructor: '*'}}, false],
 		['a class when the caller named none', {class: 'quick'}, false],
 		['a lower bound that is met exactly', {promptTokensAtLeast: 100}, true],
@@ -42,7 +42,7 @@
 		assert.equal(matchRule(compileRules({rules: []}), facts), undefined);
 	});
 
-	it('finds the rule that a look at each rule in turn finds', () => {
+	it('finds the same rule as testing each rule in order', () => {
 		fc.assert(fc.property(fc.array(anyWhen, {maxLength: 60}), fc.array(anyFacts, {minLength: 1, maxLength: 20}), (whens, samples) => {
 			const compiled = compileRules({rules: toRules(whens)});
 			for (const sample of samples) {
@@ -52,7 +52,7 @@
 		}), {numRuns: 500});
 	});
 
-	it('agrees with the explanation', () => {
+	it('picks the rule that explainRules reports as deciding', () => {
 		fc.assert(fc.property(fc.array(anyWhen, {maxLength: 20}), anyFacts, (whens, sample) => {
 			const rules = toRules(whens);
 			const explained = explainRules(rules, sample);
--- a/src/domain/parse-config/_lib/check-end.ts
+++ b/src/domain/parse-config/_lib/check-end.ts
@@ -1,11 +1,12 @@
-/** Checks the end of a document against its content. */
+/** Checks the end mark of a document, and the keys that belong to the end. */
 import {isRecord} from '../../../_lib/is-record/index.js';
 import {splitConfigEnd} from '../../../_lib/split-config-end/index.js';
 import {type FaultSink} from './faults.js';
 
 /**
- * Adds faults of the end mark. It is looked for in the text itself: a parser
- * also accepts it somewhere else, before a part that was cut off.
+ * Adds faults of the end mark. The end mark is looked for in the text itself,
+ * since a parser would also accept it earlier in the document, before content that
+ * was cut off.
  *
  * @param data - The document's plain values.
  * @param text - The document.
@@ -24,10 +25,10 @@
 	}
 
 	if ((data.edition ?? 0) !== end.edition) {
-		faults.add(['edition'], 'the edition does not stand right before the end mark', 'move it to the line before "end"', 'key');
+		faults.add(['edition'], 'the edition is not directly before the end mark', 'move it to the line before "end"', 'key');
 	}
 
 	if (end.kind === 'plain' && data.follows !== undefined) {
-		faults.add(['follows'], 'only sealed documents say what they follow', 'leave "follows" out, or seal the document with "banyanport seal"', 'key');
+		faults.add(['follows'], '"follows" is allowed in sealed documents only', 'leave "follows" out, or seal the document with "banyanport seal"', 'key');
 	}
 }
--- a/src/domain/parse-config/_lib/check-semantics.ts
+++ b/src/domain/parse-config/_lib/check-semantics.ts
@@ -1,4 +1,4 @@
-/** Checks what a schema can't: that names refer to something, and that the rules do what they say. */
+/** Runs the checks that a schema can't express: that names refer to existing entries, and that every rule can decide. */
 import {isRecord} from '../../../_lib/is-record/index.js';
 import {type PoolEntry, type RuleThen, type ServerRole} from '../../../ports/config.js';
 import {findDeadRules, type DeadRule} from '../../find-dead-rules/index.js';
@@ -9,7 +9,7 @@
 
 export type FindDeadRules = (rules: ReadonlyArray<Pick<RuleForm, 'when'>>) => readonly DeadRule[];
 
-/** Names that the document defines, also in entries with other faults, so that one fault doesn't call up others. */
+/** Names that the document defines. Entries with other faults count too, so that one fault doesn't cause further ones. */
 type KnownNames = {
 	zones: ReadonlySet<string>;
 	pools: ReadonlySet<string>;
@@ -18,12 +18,12 @@
 };
 
 /**
- * Adds faults of meaning.
+ * Adds the faults of a document whose sections have the right form.
  *
  * @param form - Sections that could be read.
  * @param data - The document's plain values.
  * @param faults - Where faults go.
- * @param findDead - Finds the rules that never decide.
+ * @param findDead - Finds the rules that can never decide.
  */
 export function addSemanticFaults(form: Partial<DocumentForm>, data: unknown, faults: FaultSink, findDead: FindDeadRules = findDeadRules): void {
 	addDuplicates(data, faults);
@@ -32,11 +32,11 @@
 }
 
 /**
- * Adds the faults that an entry has by itself or by what it names in `zones`,
- * `pools` and `routes`, whatever other entries say.
+ * Adds the faults that an entry has by itself, or by its references to `zones`,
+ * `pools` and `routes`, independent of other entries.
  *
- * @param form - As of {@link addSemanticFaults}; of the long sections some entries are enough.
- * @param data - The same as plain values.
+ * @param form - See {@link addSemanticFaults}; the long sections may be incomplete.
+ * @param data - The same entries as plain values.
  * @param faults - Where faults go.
  */
 export function addEntryFaults(form: Partial<DocumentForm>, data: unknown, faults: FaultSink): void {
@@ -53,12 +53,12 @@
 }
 
 /**
- * Adds the faults that only all entries together show, duplicates apart.
+ * Adds the faults that concern all entries together, except duplicates.
  *
- * @param form - As of {@link addSemanticFaults}.
+ * @param form - See {@link addSemanticFaults}.
  * @param data - The document's plain values.
  * @param faults - Where faults go.
- * @param findDead - Finds the rules that never decide.
+ * @param findDead - Finds the rules that can never decide.
  */
 export function addListFaults(form: Partial<DocumentForm>, data: unknown, faults: FaultSink, findDead: FindDeadRules): void {
 	addRuleOrderFaults(form, data, faults, findDead);
@@ -95,7 +95,7 @@
 	}
 }
 
-/** References are checked on plain values, so that an entry with another fault still gets them. */
+/** Checks references on plain values, so that they are checked in entries with other faults too. */
 function addUnknownReferences(data: unknown, known: KnownNames, faults: FaultSink): void {
 	const addUnknown = (kind: keyof KnownNames, name: unknown, path: Path) => {
 		if (typeof name === 'string' && !known[kind].has(name)) {
@@ -211,7 +211,7 @@
 	return form.routes && Object.hasOwn(form.routes, then) ? form.routes[then] : undefined;
 }
 
-/** The order is judged only when every rule could be read: a rule left out might be the catch-all or the one that hides. */
+/** Checks the order of rules, provided that every rule could be read: a rule left out might be the catch-all or might hide another one. */
 function addRuleOrderFaults(form: Partial<DocumentForm>, data: unknown, faults: FaultSink, findDead: FindDeadRules): void {
 	const rules = form.rules ?? [];
 	const last = rules.at(-1);
@@ -226,12 +226,12 @@
 	for (const {index, hiddenBy} of findDead(rules.map(({value}) => value))) {
 		const {name} = rules[index]!.value;
 		const hiding = rules[hiddenBy]!.value.name;
-		const problem = `rule ${JSON.stringify(name)} never decides: ${JSON.stringify(hiding)} (rule ${hiddenBy + 1}) before it takes its requests`;
+		const problem = `rule ${JSON.stringify(name)} never decides: ${JSON.stringify(hiding)} (rule ${hiddenBy + 1}) matches its requests first`;
 		faults.add(['rules', index], problem, 'move it up, narrow the earlier rule, or delete it');
 	}
 }
 
-/** A pool to which no rule sends may be empty: it may be about to be filled. */
+/** Reports pools in use that lack a server role. A pool without rules may be empty, since an operator may be about to fill it. */
 function addEmptyPools(form: Partial<DocumentForm>, data: unknown, faults: FaultSink): void {
 	const servers = form.servers ?? [];
 	if (servers.length < toEntries(data, 'servers').length) {
--- a/src/domain/parse-config/_lib/create-dead-rule-finder.ts
+++ b/src/domain/parse-config/_lib/create-dead-rule-finder.ts
@@ -1,18 +1,19 @@
-/** Finds dead rules by the difference to a list that had none. */
+/** Finds dead rules by the difference to a list without any. */
 import {type Rule} from '../../../ports/config.js';
 import {findDeadRules, findAffectedRules} from '../../find-dead-rules/index.js';
 import {type FindDeadRules} from './check-semantics.js';
 import {type LinePairs} from './pair-lines.js';
 
-/** No rule of the earlier document was dead, so only those that a new or moved one touches can be. */
+/** Creates a finder that checks only the rules affected by new or moved ones. No rule of the earlier document was dead, so no other rule can be. */
 export function createDeadRuleFinder(pairs: LinePairs, before: readonly Rule[]): FindDeadRules {
 	return rules => findDeadRules(findAffectedRules(rules, pickChangedConditions(pairs, before, rules)).map(position => rules[position]!));
 }
 
 /**
- * Takes out the rules that stand in the place of one with the same condition,
- * as after another name, decision or target: hiding is a matter of conditions
- * alone. Where other rules moved, both might be there.
+ * Leaves out the new rules that replaced a rule with the same condition, as when
+ * only a name, decision or target was edited: whether a rule is dead depends on
+ * conditions alone. This holds only when no rule moved, since otherwise the old
+ * rule may still be in the list as well.
  */
 function pickChangedConditions({from, added}: LinePairs, before: readonly Rule[], rules: ReadonlyArray<Pick<Rule, 'when'>>): readonly number[] {
 	const isInPlace = rules.length === before.length && from.every((old, position) => old === -1 || old === position);
--- a/src/domain/parse-config/_lib/document.ts
+++ b/src/domain/parse-config/_lib/document.ts
@@ -23,7 +23,7 @@
 
 const defaultWeightStoreBytesPerSecond = 500_000_000;
 
-/** Sections that grow with the fleet and its customers. */
+/** Sections whose length grows with the fleet and with its customers. */
 export type LongSection = 'hosts' | 'servers' | 'rules';
 
 const zones = required(indexedListOf(schema.zone, 1));
@@ -37,12 +37,12 @@
 	end: required(schema.endMark),
 } as const;
 
-/** Reads all sections but the long ones. */
+/** Reads all sections except the long ones. */
 export const readFrame = partialRecord<Omit<DocumentForm, LongSection>>({
 	zones, pools, routes, ...lastFields,
 });
 
-/** Reads all sections; those with faults are left out, so that the others still get their checks of meaning. */
+/** Reads all sections. Sections with faults are left out, so that the semantic checks still run on the others. */
 export const readDocument = partialRecord<DocumentForm>({
 	zones,
 	hosts: required(indexedListOf(schema.host)),
--- a/src/domain/parse-config/_lib/faults.ts
+++ b/src/domain/parse-config/_lib/faults.ts
@@ -1,6 +1,6 @@
 /**
- * Collects faults of a configuration document while it is read, so that all are
- * reported at once.
+ * Collects the faults of a configuration document while it is read, so that all
+ * of them are reported at once.
  */
 import {type NamedPart} from '../../../ports/config.js';
 
@@ -10,17 +10,17 @@
 /** A fault before its path has been turned into a line and a column. */
 export type PathFault = {
 	path: Path;
-	/** Whether the key itself is wrong, or its value. */
+	/** Whether the fault is in the key itself or in its value. */
 	at: 'key' | 'value';
 	problem: string;
 	remedy: string;
-	/** The part that is not there. */
+	/** The missing part, if that is the fault. */
 	missing?: NamedPart;
 };
 
 export type FaultSink = {
 	add: (path: Path, problem: string, remedy: string, at?: 'key' | 'value') => void;
-	/** The document names a part that is not there. */
+	/** Adds the fault that a part named by the document is missing. */
 	addMissing: (path: Path, part: NamedPart, problem: string, remedy: string) => void;
 	list: () => readonly PathFault[];
 };
@@ -28,7 +28,7 @@
 /**
  * Creates an empty collection of faults.
  *
- * @returns Functions to add one and to list all in the order of their finding.
+ * @returns Functions to add a fault, and to list all faults in the order in which they were added.
  */
 export function createFaultSink(): FaultSink {
 	const faults: PathFault[] = [];
--- a/src/domain/parse-config/_lib/find-deep-nesting.ts
+++ b/src/domain/parse-config/_lib/find-deep-nesting.ts
@@ -1,10 +1,10 @@
-/** Bounds how deep a text nests, before a parser sees it. */
+/** Bounds the nesting depth of a text before a parser sees it. */
 import {type Place, type SyntaxFault} from './place.js';
 
-/** Levels of brackets; a document needs six. */
+/** Allowed depth of brackets; a configuration document needs six levels. */
 const maxBracketDepth = 64;
 
-/** Columns of blanks, dashes and question marks before the first word of a line, each of which may open a level in YAML. */
+/** Allowed number of blanks, dashes, colons and question marks at the start of a line, each of which may open a level in YAML. */
 const maxIndentColumns = 128;
 
 const [openBracket, openBrace, closeBracket, closeBrace] = Array.from('[{]}', bracket => bracket.codePointAt(0));
@@ -12,14 +12,16 @@
 const wideIndent = new RegExp(`^[ ?:-]{${maxIndentColumns + 1}}`, 'm');
 
 /**
- * The YAML parser calls itself for each level. At some hundreds of them the
- * stack is full, and Node ends the whole process when that happens while it
+ * Finds the first place at which a text nests too deeply.
+ *
+ * The YAML parser recurses once per level. A few hundred levels overflow the
+ * stack, and Node ends the whole process when the overflow happens while it
  * compiles a regular expression: one published document would take down every
- * host. Brackets are counted wherever they stand, also in texts and comments,
- * which needs no parser and is strict enough for documents of six levels.
+ * host. Brackets are counted everywhere, also in strings and comments. That needs
+ * no parser, and the limit is still generous for documents of six levels.
  *
  * @param text - Any text.
- * @returns Where it nests too deep, if it does.
+ * @returns The fault with its place; `undefined` when the text does not nest too deeply.
  */
 export function findDeepNesting(text: string): SyntaxFault | undefined {
 	const remedy = `nest at most ${maxBracketDepth} levels`;
--- a/src/domain/parse-config/_lib/join-parts.ts
+++ b/src/domain/parse-config/_lib/join-parts.ts
@@ -1,4 +1,4 @@
-/** Joins a root document with its parts. */
+/** Joins a root document with its parts into one document. */
 import {isRecord} from '../../../_lib/is-record/index.js';
 import {splitConfigEnd} from '../../../_lib/split-config-end/index.js';
 import {type NamedPart, type FindPart} from '../../../ports/config.js';
@@ -12,18 +12,18 @@
 
 export const longSections = ['hosts', 'servers', 'rules'] as const satisfies readonly LongSection[];
 
-/** Step of a path that leads from the root's list of parts into the text of one. */
+/** Step of a path that leads from an entry in the root's list of parts into the text of that part. */
 const partTextStep = '(its text)';
 
 export type PartText = {named: NamedPart; text: string};
 
-/** A document whose parts stand in the places of their own. */
+/** A document with the entries of its parts merged into the sections. */
 export type JoinedSource = {
 	data: unknown;
 	parts: readonly PartText[] | undefined;
-	/** Faults of syntax by the part that has them. */
+	/** Syntax faults by name of the part. */
 	syntaxFaults: ReadonlyArray<{part: string; faults: readonly SyntaxFault[]}>;
-	/** The part in which a fault is, if it is in one, and its path and place there. */
+	/** Finds the text that contains a fault, the root or a part, and the path and place there. */
 	locate: (path: Path, at: PathFault['at']) => {part: string | undefined; path: Path; place: Place | undefined};
 };
 
@@ -37,13 +37,13 @@
 type Origin = {part: number; start: number; count: number};
 
 /**
- * Joins. The entries of each long section stand in the order of the parts, and
- * the root's own come last.
+ * Joins a root document with its parts. The entries of each long section follow
+ * the order of the parts, and those of the root come last.
  *
  * @param root - The root document.
- * @param rootBytes - Its length.
+ * @param rootBytes - Length of the root document, in bytes.
  * @param options - Where parts come from.
- * @param faults - Where faults of the list of parts and of their frames go.
+ * @param faults - Where faults of the list of parts and of the parts' frames go.
  * @returns The document; not to be used when there were faults.
  */
 export function joinParts(root: Source, rootBytes: number, options: JoinOptions, faults: FaultSink): JoinedSource {
@@ -57,9 +57,9 @@
 	const {parts: list, ...rest} = data;
 	const named = readNamedParts(list, rootBytes, options.isSource, faults);
 	const found = faults.list().length > 0 ? [] : findParts(named, options.findPart, faults);
-	// Without all parts nothing can be judged, and a host that has still to fetch one would read all others for nothing.
+	// A document with a missing part can't be checked, and a host that still has to fetch a part would read the others in vain.
 	const parts = faults.list().length > 0 ? [] : found;
-	// Hosts read JSON alone here: YAML takes twenty times as long, and it would be read again with each change.
+	// Hosts read parts in JSON only: YAML takes twenty times as long, and would be parsed again for each change.
 	const sources = parts.map(({text}) => readSource(text, options.isSource ? options.maxYamlBytes : 0));
 	for (const [i, {data: partData, syntaxFaults}] of sources.entries()) {
 		if (syntaxFaults.length === 0) {
@@ -100,16 +100,16 @@
 	const {name, sha256} = part;
 	return sha256 === ''
 		? [`the part ${JSON.stringify(name)} is not there`, `write the file ${name}.yaml or ${name}.json beside the root`]
-		: [`the part ${JSON.stringify(name)} (${sha256.slice(0, 12)}) is missing or is another one`, `publish it under ${toPartKey(part)}, or publish a root that does not name it`];
+		: [`the part ${JSON.stringify(name)} (${sha256.slice(0, 12)}) is missing or has another digest`, `publish it under ${toPartKey(part)}, or publish a root that does not name it`];
 }
 
 /**
- * Adds the faults of a part's frame. A part has an end mark too: its digest
- * tells hosts that it is whole, but before it was sealed only the mark does.
+ * Adds the faults of a part's frame. A part has an end mark too: hosts can tell by
+ * its digest that the part is whole, but before sealing there is no digest.
  */
 export function addPartFaults(data: unknown, text: string, path: Path, faults: FaultSink): void {
 	if (!isRecord(data)) {
-		faults.add(path, 'it is not a map', `write "key: value" pairs with keys of: ${longSections.join(', ')}, end`);
+		faults.add(path, 'the part is not a map', `write "key: value" pairs with keys of: ${longSections.join(', ')}, end`);
 		return;
 	}
 
@@ -142,7 +142,7 @@
 	const origins: Record<LongSection, Origin[]> = {hosts: [], servers: [], rules: []};
 	for (const section of longSections) {
 		const lists = sources.map(({data}) => toList(data, section));
-		// A section of the root that is no list is left as it is, to be reported.
+		// A section of the root that is not a list stays unchanged, so that it is reported.
 		if (lists.every(list => list === undefined) || (root[section] !== undefined && !Array.isArray(root[section]))) {
 			continue;
 		}
@@ -160,7 +160,7 @@
 	return {sections, origins};
 }
 
-/** Turns a path of the joined document into one of the text that it came from. */
+/** Turns a path in the joined document into a path in the text that the value came from. */
 function toOwnPath(path: Path, origins: Origins): {part: number | undefined; path: Path} {
 	const [section, index, ...rest] = path;
 	if (section === 'parts' && rest[0] === partTextStep) {
--- a/src/domain/parse-config/_lib/named-parts.ts
+++ b/src/domain/parse-config/_lib/named-parts.ts
@@ -6,10 +6,10 @@
 	listOf, type Reader, record, required, text, integer,
 } from './readers.js';
 
-/** A root of 512 parts takes some 60 KB, which every change sends anew. */
+/** A root that names 512 parts takes about 60 KB, and every change sends the whole root again. */
 const maxParts = 512;
 
-/** Of root and parts together. A host holds all of it twice while it changes, and an entry gets it in one frame of at most 2 MiB. */
+/** Limit for root and parts together. A host holds two versions of the document in memory during a change, and the entry receives a document in one frame of at most 2 MiB. */
 const maxTotalBytes = 1.5 * bytesPerMebibyte;
 
 const partName = text(/^[a-zA-Z\d][\w-]{0,63}$/, 'a name of letters, digits, "-" and "_" (at most 64)');
@@ -19,17 +19,17 @@
 	name: required(partName), sha256: required(digest), bytes: required(integer(1, bytesPerMebibyte)),
 });
 
-/** In a folder that is not sealed yet a part is a name alone. */
+/** Reads a part of a source that is not sealed yet, which is named without digest and length. */
 const unsealedPart: Reader<NamedPart> = (value, path, faults) => {
 	const name = partName(value, path, faults);
 	return name === undefined ? undefined : {name, sha256: '', bytes: 0};
 };
 
 /**
- * Reads the list.
+ * Reads the list of parts.
  *
  * @param value - The value of `parts`.
- * @param rootBytes - Length of the root document.
+ * @param rootBytes - Length of the root document, in bytes.
  * @param isSource - Whether parts may be named without digest and length.
  * @param faults - Where faults go.
  * @returns The parts; not to be used when there were faults.
@@ -56,12 +56,12 @@
 	}
 
 	if (named.length > maxParts) {
-		faults.add(path, `there are ${named.length} parts and hosts take ${maxParts}`, 'put several parts together');
+		faults.add(path, `there are ${named.length} parts, and hosts accept at most ${maxParts}`, 'merge parts');
 	}
 
 	const total = named.reduce((sum, {bytes}) => sum + bytes, rootBytes);
 	if (total > maxTotalBytes) {
-		faults.add(path, `root and parts have ${total} bytes together and hosts take ${maxTotalBytes}`, 'name workspaces in lists and share routes');
+		faults.add(path, `root and parts have ${total} bytes together, and hosts accept at most ${maxTotalBytes}`, 'name workspaces in lists and share routes');
 	}
 
 	return named;
--- a/src/domain/parse-config/_lib/pair-lines.ts
+++ b/src/domain/parse-config/_lib/pair-lines.ts
@@ -1,21 +1,21 @@
-/** Finds the lines of an earlier list in a later one. */
+/** Finds the lines of an earlier list in a later list. */
 
 export type LinePairs = {
 	/** The later lines. */
 	lines: readonly string[];
 	/** For each later line the position of the same line in the earlier list; -1 when it is new. */
 	from: readonly number[];
-	/** Positions of later lines that are new, or have changed places with others. */
+	/** Positions of later lines that are new, or that moved relative to others. */
 	added: readonly number[];
 };
 
 /**
  * Pairs the lines of two lists.
  *
- * @param before - The earlier lines, each different.
+ * @param before - The earlier lines, all different.
  * @param after - The later lines.
- * @param maxNewLines - Gives up beyond this many new lines.
- * @returns The pairs, or `undefined` when it gave up.
+ * @param maxNewLines - Largest number of new lines.
+ * @returns The pairs; `undefined` when there are more new lines.
  */
 export function pairLines(before: readonly string[], after: readonly string[], maxNewLines: number): LinePairs | undefined {
 	const shorter = Math.min(before.length, after.length);
@@ -41,7 +41,7 @@
 	return newCount > maxNewLines ? undefined : {lines: after, from, added: toAdded(from.slice(head, from.length - tail), head)};
 }
 
-/** Lines before and behind the changed ones kept their order. */
+/** Returns the positions of new and moved lines among the changed ones. Lines before and after the changed ones kept their order. */
 function toAdded(changed: readonly number[], start: number): readonly number[] {
 	const added: number[] = [];
 	let last = -1;
--- a/src/domain/parse-config/_lib/place.ts
+++ b/src/domain/parse-config/_lib/place.ts
@@ -1,10 +1,10 @@
-/** A place in the text; line and column count from 1. */
+/** A place in a text; line and column count from 1. */
 export type Place = {
 	line: number;
 	column: number;
 };
 
-/** A text that is neither YAML nor JSON. */
+/** A fault of a text that is neither valid YAML nor valid JSON. */
 export type SyntaxFault = Place & {
 	problem: string;
 	remedy: string;
--- a/src/domain/parse-config/_lib/read-json.ts
+++ b/src/domain/parse-config/_lib/read-json.ts
@@ -1,20 +1,21 @@
 /** Reads JSON without the YAML parser. */
 
 export type JsonReading = {
-	/** `other` for a text that does not start as JSON. */
+	/** `other` for a text that does not start like a JSON object. */
 	kind: 'sound' | 'broken' | 'other';
 	data: unknown;
-	/** Why it is broken. */
+	/** Why the JSON is broken; empty otherwise. */
 	problem: string;
 };
 
 /**
- * Reads JSON. `JSON.parse` drops all but the last of equal keys without a word,
- * so a document with a rule list pasted twice would lose one; the count of keys
- * tells.
+ * Reads JSON. `JSON.parse` silently keeps only the last of several equal keys, so
+ * a document into which a rule list was pasted twice would lose one of the lists.
+ * Comparing the number of keys in the text with that of the parsed value detects
+ * this.
  *
  * @param text - Any text.
- * @returns Plain values, or what is broken.
+ * @returns Plain values, or why the text is broken.
  */
 export function readJson(text: string): JsonReading {
 	if (!/^\s*{/.test(text)) {
@@ -25,7 +26,7 @@
 		const data: unknown = JSON.parse(text);
 		return countKeys(data) === countWrittenKeys(text)
 			? {kind: 'sound', data, problem: ''}
-			: {kind: 'broken', data: undefined, problem: 'a key stands twice in one map'};
+			: {kind: 'broken', data: undefined, problem: 'a key appears twice in one map'};
 	} catch (error) {
 		return {kind: 'broken', data: undefined, problem: error instanceof Error ? error.message : String(error)};
 	}
@@ -33,7 +34,7 @@
 
 const [quote, backslash, colon] = Array.from(String.raw`"\:`, character => character.codePointAt(0));
 
-/** Counts keys in sound JSON, where each colon outside of strings follows one. */
+/** Counts the keys in the text of valid JSON, where each colon outside of a string follows a key. */
 function countWrittenKeys(text: string): number {
 	let keys = 0;
 	let isInString = false;
@@ -42,7 +43,7 @@
 		if (code === quote) {
 			isInString = !isInString;
 		} else if (code === backslash) {
-			// Only strings have backslashes; the character behind one may be a quote.
+			// Backslashes occur in strings only. The escaped character may be a quote, so skip it.
 			i++;
 		} else if (code === colon && !isInString) {
 			keys++;
--- a/src/domain/parse-config/_lib/read-next.ts
+++ b/src/domain/parse-config/_lib/read-next.ts
@@ -1,4 +1,4 @@
-/** Reads a document that differs little from one that was read before. */
+/** Reads a document by its difference to the last one, for documents that differ little. */
 import {Buffer} from 'node:buffer';
 import {isRecord} from '../../../_lib/is-record/index.js';
 import {
@@ -24,7 +24,7 @@
 
 /** A document without faults. */
 export type ValidDocument = {
-	/** Its lines; `undefined` where it is not JSON with one entry a line. */
+	/** Lines of the document; `undefined` when it is not JSON with one entry per line. */
 	lines: SplitDocument | undefined;
 	config: Config;
 	/** Entries of the long sections with their positions. */
@@ -39,7 +39,7 @@
 	frameKey: string;
 };
 
-/** With more new lines than this, reading all of the document takes no longer. */
+/** With more new lines than this, reading the whole document takes no longer. */
 const maxNewLines = 500;
 
 type Section<T> = {
@@ -57,22 +57,22 @@
 
 /**
  * Reads a document by its difference to an earlier one. Both must be JSON with
- * one entry a line, as `toConfigText` writes it.
+ * one entry per line, as `toConfigText` writes it.
  *
- * That each line of the earlier document is one entry follows from its being
- * valid: a line that starts with a brace behind one that ends in brace and
- * comma begins an entry, since lists inside of entries hold texts alone; so
- * lines hold whole entries, and there are as many lines as entries. New lines
- * are parsed one by one. What is left of the text once the lines are taken out
- * must be sound JSON by itself, so the whole is.
+ * Each line of the earlier document is exactly one entry. This follows from its
+ * validity: lists inside of entries contain only strings, so a line that starts
+ * with a brace, after a line that ends with a brace and a comma, begins an entry.
+ * Lines therefore contain whole entries, and there are as many lines as entries.
+ * New lines are parsed one by one. The frame, which is the text without the lines
+ * of entries, must be valid JSON by itself, so the whole text is valid JSON too.
  *
- * The same holds for a document in parts, text by text. Parts that were in the
- * earlier document are not looked at again.
+ * The same holds for each text of a document in parts. Parts that were in the
+ * earlier document are not read again.
  *
  * @param last - The earlier document.
- * @param text - The new one, or its root.
- * @param findPart - Looks for its parts.
- * @returns What a full reading gives, or `undefined` where only that can tell: the text is written in another way, has changed too much, or has a fault.
+ * @param text - The new document, or the root of a document in parts.
+ * @param findPart - Finds the text of a part.
+ * @returns The same document as a full reading gives; `undefined` when a full reading is needed, because the text is laid out in another way, has changed too much, or has a fault.
  */
 export function readNext(last: ValidDocument, text: string, findPart: FindPart): ValidDocument | undefined {
 	const before = last.lines;
@@ -107,11 +107,11 @@
 }
 
 /**
- * Puts a document without faults together.
+ * Assembles a document without faults.
  *
- * @param form - Its sections.
- * @param lines - The lines of its text.
- * @param known - As of `toConfig`.
+ * @param form - Sections of the document.
+ * @param lines - Lines of the document's text.
+ * @param known - See `toConfig`.
  * @returns The document, or `undefined` when a section is missing.
  */
 export function toValidDocument(form: Partial<DocumentForm>, lines: SplitDocument | undefined, known?: ReadonlyArray<Rule | undefined>): ValidDocument | undefined {
@@ -134,7 +134,7 @@
 	after: SplitDocument;
 	/** Plain values of the frame. */
 	data: Record<string, unknown>;
-	/** The same without long sections and parts. */
+	/** Plain values of the frame without long sections and parts. */
 	rest: Record<string, unknown>;
 };
 
@@ -157,12 +157,12 @@
 	return areFullySplit ? {after, data, rest} : undefined;
 }
 
-/** Whether the lines were all that stood in a section; in one file each must be there, in parts somewhere. */
+/** Tells whether a section had no entries but the lines. In one file each section must be present; in a document in parts it must be in the root or in a part. */
 function isFullySplit(section: unknown, isInPart: boolean): boolean {
 	return Array.isArray(section) ? section.length === 0 : section === undefined && isInPart;
 }
 
-/** `undefined` when the list has a fault or a part is not there. */
+/** Finds all parts; `undefined` when the list has a fault or a part is missing. */
 function findParts(list: unknown, rootText: string, findPart: FindPart): readonly PartText[] | undefined {
 	const faults = createFaultSink();
 	const named = readNamedParts(list, Buffer.byteLength(rootText), false, faults);
@@ -186,7 +186,7 @@
 		: undefined;
 	const hosts = readSection(pair('hosts'), placed.hosts, schema.host, faults);
 	const servers = readSection(pair('servers'), placed.servers, schema.server, faults);
-	// With the same routes a rule may stand for its own form, its decision in the place of the name.
+	// When routes did not change, the rules of the configuration are used as their own form, with the decision in the place of the route's name.
 	const rules = readSection<schema.RuleForm>(pair('rules'), isSameFrame ? placed.rules : toRuleForms(config.rules, routes), schema.rule, faults);
 	return hosts && servers && rules && {hosts, servers, rules};
 }
@@ -197,9 +197,9 @@
 }
 
 /**
- * Entries whose lines are old are taken from `known`, others read. What keeps
- * its place stays the same object: a full document has 11,000 entries, and
- * making them anew for each edit cost more than the reading.
+ * Takes entries whose lines did not change from `known`, and reads the others. An
+ * entry that keeps its position stays the same object: a full document has 11,000
+ * entries, and creating all of them again for each edit cost more than reading.
  */
 function readSection<T>(pairs: LinePairs | undefined, known: ReadonlyArray<Indexed<T>>, read: Reader<T>, faults: FaultSink): Section<T> | undefined {
 	if (!pairs) {
@@ -224,7 +224,7 @@
 	return json.kind === 'sound' ? read(json.data, [], faults) : undefined;
 }
 
-/** Decisions that say the same stay the same objects, and with them the rules that name them. */
+/** Reuses the objects of unchanged decisions, so that the rules that name them are reused too. */
 function reuseRoutes(routes: DocumentForm['routes'], before: DocumentForm['routes']): DocumentForm['routes'] {
 	return Object.fromEntries(Object.entries(routes).map(([name, then]) => {
 		const old = Object.hasOwn(before, name) ? before[name] : undefined;
@@ -232,7 +232,7 @@
 	}));
 }
 
-/** The plain values that checks of meaning look at; entries without faults name in their typed form what they name in the text. */
+/** Returns the plain values for the semantic checks. Entries without faults refer to the same names in their typed form as in the text. */
 function toPlainValues(rest: Record<string, unknown>, {hosts, servers, rules}: Pick<DocumentForm, LongSection>): Record<string, unknown> {
 	const toValues = (section: ReadonlyArray<Indexed<unknown>>) => section.map(({value}) => value);
 	return {
@@ -241,9 +241,9 @@
 }
 
 /**
- * Checks of meaning where zones, pools and routes are what they were: an old
- * entry that named nothing wrong still does not. What all entries say together
- * is checked as ever.
+ * Runs the semantic checks when zones, pools and routes did not change: the
+ * references of an unchanged entry are then still valid, so only new entries are
+ * checked one by one. Checks that concern all entries together run in full.
  */
 function addNewEntryFaults(form: Partial<DocumentForm> & Pick<DocumentForm, LongSection>, rest: Record<string, unknown>, sections: Sections & {toDead: FindDeadRules}, faults: FaultSink): void {
 	const {hosts, servers, rules, toDead} = sections;
@@ -254,12 +254,12 @@
 	addListFaults(form, undefined, faults, toDead);
 	for (const [section, key] of uniqueKeys) {
 		if ((section === 'hosts' || section === 'servers' || section === 'rules') && hasDuplicate(form[section], newForm[section], key)) {
-			faults.add([section], 'two entries have one name', 'give one of them another');
+			faults.add([section], 'two entries have the same name', 'give one of them another name');
 		}
 	}
 }
 
-/** The old entries differ from each other, so one of two equal names is new. */
+/** Tells whether a new entry repeats a name. Old entries have different names, so one of two equal names is always new. */
 function hasDuplicate(all: ReadonlyArray<Indexed<object>>, fresh: ReadonlyArray<Indexed<object>>, key: string): boolean {
 	const toName = ({value}: Indexed<object>) => (value as Record<string, unknown>)[key];
 	const names = new Set(fresh.map(entry => toName(entry)));
--- a/src/domain/parse-config/_lib/readers.ts
+++ b/src/domain/parse-config/_lib/readers.ts
@@ -1,8 +1,8 @@
 /**
- * Readers of plain values: each takes what YAML or JSON gave, and returns the
- * typed value, or `undefined` after having reported a fault. They are written
- * out here, and not with a schema library, because the agent reads documents
- * too and a schema library costs it 13 MB of its 64 MB.
+ * Readers of plain values. Each takes a value that was parsed from YAML or JSON,
+ * and returns the typed value, or reports a fault and returns `undefined`. No
+ * schema library is used, because the agent reads documents too and a schema
+ * library takes 13 MB of its 64 MB of memory.
  */
 import {isRecord} from '../../../_lib/is-record/index.js';
 import {pickNearestName} from '../../../_lib/pick-nearest-name/index.js';
@@ -17,17 +17,17 @@
 
 type Fields<T> = {[Key in keyof T]: Field<T[Key]>};
 
-/** A field that must be there. */
+/** Describes a field that must be present. */
 export function required<T>(read: Reader<T>): Field<T> {
 	return {read, required: true};
 }
 
-/** A field that may be left out, and what it is then. */
+/** Describes a field that may be left out, with its default value. */
 export function optional<T>(read: Reader<T>, fallback: T): Field<T> {
 	return {read, fallback, required: false};
 }
 
-/** Words for a value in a message, short and on one line. */
+/** Formats a value for a message, on one line and cut to 60 characters. */
 export function toValueText(value: unknown): string {
 	if (value === undefined || value === null) {
 		return 'nothing';
@@ -37,7 +37,7 @@
 	return text.length > 60 ? `${text.slice(0, 57)}...` : text;
 }
 
-/** The remedy for an unknown name: the nearest known one, or all of them when they are few. */
+/** Returns the remedy for an unknown name: the nearest known name, or else the first known ones. */
 export function toNameRemedy(name: string, known: Iterable<string>): string {
 	const names = [...known];
 	const nearest = pickNearestName(name, names);
@@ -53,7 +53,7 @@
 	return `write one of: ${shown}${names.length > 8 ? ', ...' : ''}`;
 }
 
-/** Text that matches a pattern; `wanted` says in words what the pattern asks for. */
+/** Reads text that matches a pattern; `wanted` describes the pattern in messages. */
 export function text(pattern: RegExp, wanted: string): Reader<string> {
 	return (value, path, faults) => {
 		if (typeof value === 'number' || typeof value === 'boolean') {
@@ -70,7 +70,7 @@
 	};
 }
 
-/** One of a few words. */
+/** Reads one of several allowed words. */
 export function oneOf<const T extends string>(...allowed: readonly T[]): Reader<T> {
 	return (value, path, faults) => {
 		const found = allowed.find(word => word === value);
@@ -82,7 +82,7 @@
 	};
 }
 
-/** A whole number within bounds. */
+/** Reads a whole number within bounds. */
 export function integer(min: number, max: number): Reader<number> {
 	return (value, path, faults) => {
 		if (typeof value !== 'number' || !Number.isInteger(value) || value < min || value > max) {
@@ -94,7 +94,7 @@
 	};
 }
 
-/** `true` or `false`. */
+/** Reads `true` or `false`. */
 export const flag: Reader<boolean> = (value, path, faults) => {
 	if (typeof value !== 'boolean') {
 		faults.add(path, `${toValueText(value)} is neither true nor false`, 'write true or false, without quotes');
@@ -112,7 +112,7 @@
 	B: 1, kB: 1e3, MB: 1e6, GB: 1e9, KiB: bytesPerKibibyte, MiB: bytesPerMebibyte, GiB: bytesPerGibibyte,
 };
 
-/** A number with its unit, such as `1.3s`, in the smallest unit of its kind. */
+/** Reads a number with its unit, such as `1.3s`, and converts it to the smallest unit. */
 function quantity(units: Readonly<Record<string, number>>, example: string): Reader<number> {
 	const pattern = /^(\d+(?:\.\d+)?) ?([a-zA-Z]+)$/;
 	return (value, path, faults) => {
@@ -128,13 +128,13 @@
 	};
 }
 
-/** A duration such as `1.3s` or `61ms`, in milliseconds. */
+/** Reads a duration such as `1.3s` or `61ms` into milliseconds. */
 export const duration = quantity(durationUnits, '61ms, 1.3s, 5m or 2h');
 
-/** A size such as `500MB`, in bytes. */
+/** Reads a size such as `500MB` into bytes. */
 export const size = quantity(sizeUnits, '500MB or 64MiB');
 
-/** A list; entries with faults are left out of the result and reported. */
+/** Reads a list; entries with faults are reported and left out of the result. */
 export function listOf<T>(read: Reader<T>, min = 0): Reader<readonly T[]> {
 	return (value, path, faults) => {
 		if (!Array.isArray(value)) {
@@ -159,13 +159,13 @@
 	};
 }
 
-/** An entry of a list with its position, which faults of meaning need after faulty entries were left out. */
+/** An entry of a list with its position in the document. The semantic checks report that position, which differs from the one in the result when faulty entries were left out. */
 export type Indexed<T> = {
 	index: number;
 	value: T;
 };
 
-/** Like {@link listOf}, with positions. */
+/** Like {@link listOf}, but returns each entry with its position. */
 export function indexedListOf<T>(read: Reader<T>, min = 0): Reader<ReadonlyArray<Indexed<T>>> {
 	return listOf((value, path, faults) => {
 		const item = read(value, path, faults);
@@ -173,7 +173,7 @@
 	}, min);
 }
 
-/** One value or a list of them, always returned as a list. */
+/** Reads one value or a list of values, and always returns a list. */
 export function oneOrMore<T>(read: Reader<T>): Reader<readonly T[]> {
 	const readList = listOf(read, 1);
 	return (value, path, faults) => {
@@ -186,7 +186,7 @@
 	};
 }
 
-/** A map from free keys to values of one kind. */
+/** Reads a map with arbitrary keys that match a pattern and values of one type. */
 export function mapOf<T>(key: {pattern: RegExp; wanted: string}, read: Reader<T>): Reader<Readonly<Record<string, T>>> {
 	return (value, path, faults) => {
 		if (!isRecord(value)) {
@@ -210,7 +210,7 @@
 	};
 }
 
-/** A map with known keys alone; an unknown key is a fault that names the nearest known one. */
+/** Reads a map with a fixed set of keys. An unknown key is a fault, whose remedy names the nearest known key. */
 export function record<T extends Record<string, unknown>>(fields: Fields<T>): Reader<T> {
 	const readPartial = partialRecord(fields);
 	const names = Object.keys(fields);
@@ -220,7 +220,7 @@
 	};
 }
 
-/** Like {@link record}, but fields with faults are left out and the sound ones returned. */
+/** Like {@link record}, but returns the valid fields when others have faults. */
 export function partialRecord<T extends Record<string, unknown>>(fields: Fields<T>): Reader<Partial<T>> {
 	const entries = Object.entries(fields) as Array<[string, Field<unknown>]>;
 	const names = Object.keys(fields);
--- a/src/domain/parse-config/_lib/schema.ts
+++ b/src/domain/parse-config/_lib/schema.ts
@@ -1,4 +1,4 @@
-/** The document form of a configuration: which keys it has, and what they may hold. */
+/** The keys of a configuration document and the values that they may have. */
 import {
 	type HostEntry, type LatencyTarget, type PoolEntry, type RolloutPolicy, type RuleThen, type RuleWhen, type ServerEntry, type ZoneEntry,
 } from '../../../ports/config.js';
@@ -117,13 +117,13 @@
 	complete: optional<number | undefined>(duration, undefined),
 });
 
-/** Latency targets of rules that state none. The quick ones are the users' own: 1.3 s and 61 ms. */
+/** Latency targets of rules that state none. The quick ones are the users' requirements: 1.3 s and 61 ms. */
 export const defaultTargets: Readonly<Record<ServiceClass, LatencyTarget>> = {
 	quick: {firstTokenMs: 1300, perTokenMs: 61, completeMs: 10_000},
 	batch: {firstTokenMs: 60_000, perTokenMs: 250, completeMs: 600_000},
 };
 
-/** Requests that one host lets wait for a rule that states no bound. */
+/** Number of requests that may wait at one host for a rule that states no limit. */
 export const defaultQueueLimits: Readonly<Record<ServiceClass, number>> = {quick: 64, batch: 1000};
 
 type ThenForm = Omit<RuleThen, 'target' | 'queueLimit' | 'versions'> & {
@@ -174,7 +174,7 @@
 export type RuleForm = {
 	name: string;
 	when: RuleWhen;
-	/** A route's name, or the decision written out. */
+	/** Name of a route, or the decision itself. */
 	then: string | RuleThen;
 };
 
--- a/src/domain/parse-config/_lib/source.ts
+++ b/src/domain/parse-config/_lib/source.ts
@@ -1,4 +1,4 @@
-/** Reads YAML or JSON text into plain values, and finds the line and column of each. */
+/** Reads YAML or JSON text into plain values, and finds the line and column of each value. */
 import {Buffer} from 'node:buffer';
 import {
 	isAlias, isMap, isNode, isScalar, isSeq, LineCounter, parseDocument, visit, type Document, type Node, type Pair,
@@ -10,22 +10,23 @@
 
 export type Source = {
 	data: unknown;
-	/** Whether the text is sound JSON. */
+	/** Whether the text is valid JSON. */
 	isJson: boolean;
 	syntaxFaults: readonly SyntaxFault[];
-	/** The place of a value or key; for something missing, the place of the nearest thing around it. `undefined` in a text too large to look. */
+	/** Finds the place of a value or key; for a missing one, the place of the nearest value around it. `undefined` when the text is too large for the YAML parser. */
 	toPlace: (path: Path, at: PathFault['at']) => Place | undefined;
 };
 
 /**
- * Reads a text. Sound JSON goes the short way, which the largest documents
- * need. The YAML parser takes some twenty times as long and about 95 bytes of
- * heap a byte: 250 KB of YAML end a process with a heap of 24 MB. It therefore
- * sees only texts up to a limit; larger JSON with faults gets no places.
+ * Reads a text. Valid JSON bypasses the YAML parser, which would be too expensive
+ * for the largest documents: it takes about twenty times as long as `JSON.parse`,
+ * and about 95 bytes of heap per byte of text, so that 250 KB of YAML end a
+ * process with a heap of 24 MB. The YAML parser therefore gets only texts up to a
+ * limit, and faults in larger JSON are reported without line and column.
  *
- * @param text - YAML 1.2 or JSON, which YAML contains.
- * @param maxYamlBytes - The largest text for the YAML parser.
- * @returns Plain values, faults of syntax, and the places of values.
+ * @param text - YAML 1.2 or JSON, which is a subset of YAML.
+ * @param maxYamlBytes - The largest text for the YAML parser, in bytes.
+ * @returns Plain values, syntax faults, and a function that finds the places of values.
  */
 export function readSource(text: string, maxYamlBytes: number): Source {
 	const tooDeep = findDeepNesting(text);
@@ -85,7 +86,7 @@
 		remedy: 'check indentation, quotes, colons and brackets at this place and on the line before',
 	}));
 	syntaxFaults.push(...findDuplicateKeys(doc).map(({offset, name}) => ({
-		...toLinePlace(offset), problem: `the key ${JSON.stringify(name)} stands twice in one map`, remedy: 'keep one of the two',
+		...toLinePlace(offset), problem: `the key ${JSON.stringify(name)} appears twice in one map`, remedy: 'keep one of the two',
 	})));
 	let data: unknown;
 	if (syntaxFaults.length === 0) {
@@ -104,8 +105,9 @@
 }
 
 /**
- * The parser's own look for equal keys compares each with each: 20,000 keys in
- * one map, such as a list of callers' tokens, took it thirteen seconds.
+ * Finds keys that a map has more than once. The parser's own check compares each
+ * key with every other: it took thirteen seconds for a map of 20,000 keys, such as
+ * the callers' tokens.
  */
 function findDuplicateKeys(doc: Document): ReadonlyArray<{offset: number; name: string}> {
 	const duplicates: Array<{offset: number; name: string}> = [];
--- a/src/domain/parse-config/_lib/split-lines.ts
+++ b/src/domain/parse-config/_lib/split-lines.ts
@@ -1,10 +1,10 @@
-/** Takes a JSON document apart whose long sections have one entry on each line. */
+/** Splits a JSON document whose long sections have one entry per line. */
 import {type LongSection} from './document.js';
 
 export type SplitText = {
-	/** Lines of entries, each ending in a comma. */
+	/** Lines of the entries by section, each ending with a comma. */
 	entries: Readonly<Record<LongSection, readonly string[]>>;
-	/** The rest of the document, its long sections empty. */
+	/** The document with its long sections empty. */
 	frame: string;
 };
 
@@ -15,11 +15,11 @@
 };
 
 /**
- * Splits a document. It looks at lines alone: that each of them is one entry is
- * for the caller to make sure.
+ * Splits a document. Only line starts and ends are checked: callers must make sure
+ * that each line is one entry.
  *
  * @param text - A document.
- * @returns Its lines, none for a section that it has not; or `undefined` for one that is written in another way.
+ * @returns The lines, none for a section that the document lacks; `undefined` when the document is laid out in another way.
  */
 export function splitLines(text: string): SplitText | undefined {
 	const lines = text.split('\n');
--- a/src/domain/parse-config/_lib/split-parts.ts
+++ b/src/domain/parse-config/_lib/split-parts.ts
@@ -1,4 +1,4 @@
-/** Takes a document in parts apart by lines, as `splitLines` does with one in a file. */
+/** Splits a document in parts by lines, as `splitLines` does with a document in one file. */
 import {isRecord} from '../../../_lib/is-record/index.js';
 import {type LongSection} from './document.js';
 import {createFaultSink} from './faults.js';
@@ -8,17 +8,17 @@
 import {splitLines, type SplitText} from './split-lines.js';
 
 export type SplitDocument = SplitText & {
-	/** Lines of each part by the part's digest; `undefined` for a document in one file. */
+	/** Lines of each part, by digest of the part; `undefined` for a document in one file. */
 	parts: ReadonlyMap<string, SplitText> | undefined;
 };
 
 /**
- * Puts the lines of root and parts together.
+ * Joins the lines of root and parts.
  *
- * @param root - Lines of the root; its frame becomes that of the whole.
+ * @param root - Lines of the root, whose frame becomes the frame of the result.
  * @param parts - The parts in their order; `undefined` for a document in one file.
- * @param toLines - Takes one part apart.
- * @returns The lines of the whole, or `undefined` when a part is written in another way.
+ * @param toLines - Splits one part.
+ * @returns The lines of the whole document; `undefined` when a part is laid out in another way.
  */
 export function splitDocument(root: SplitText, parts: readonly PartText[] | undefined, toLines: (part: PartText) => SplitText | undefined): SplitDocument | undefined {
 	if (!parts) {
@@ -36,10 +36,10 @@
 }
 
 /**
- * Takes a part apart that was not read before.
+ * Splits and checks a part that was not read before.
  *
  * @param text - The part.
- * @returns Its lines, or `undefined` where only a full reading can tell whether it is sound.
+ * @returns The lines of the part; `undefined` when a full reading is needed to tell whether the part is valid.
  */
 export function splitNewPart(text: string): SplitText | undefined {
 	const lines = findDeepNesting(text) ? undefined : splitLines(text);
--- a/src/domain/parse-config/_lib/to-config.ts
+++ b/src/domain/parse-config/_lib/to-config.ts
@@ -1,13 +1,13 @@
-/** Turns the sections of a document without faults into the configuration that decisions use. */
+/** Turns the sections of a document without faults into a configuration. */
 import {type Config, type Rule} from '../../../ports/config.js';
 import {type DocumentForm} from './document.js';
 import {type RuleForm} from './schema.js';
 
 /**
- * Puts routes in the place of their names, and drops positions and end mark.
+ * Replaces names of routes by the routes themselves, and drops positions and the end mark.
  *
  * @param form - Sections of a document in which no fault was found.
- * @param known - Rules to use again where they say the same, by their place in the document.
+ * @param known - Earlier rule objects by position in the document; one whose decision did not change is reused.
  * @returns The configuration, or `undefined` when a section is missing.
  */
 export function toConfig(form: Partial<DocumentForm>, known?: ReadonlyArray<Rule | undefined>): Config | undefined {
--- a/src/domain/parse-config/index.ts
+++ b/src/domain/parse-config/index.ts
@@ -1,6 +1,6 @@
 /**
- * Reads a configuration document, in YAML or JSON, and reports everything that
- * is wrong with it at once, each with line, column and remedy.
+ * Reads a configuration document in YAML or JSON, and reports all of its faults at
+ * once, each with line, column and remedy.
  */
 import {Buffer} from 'node:buffer';
 import {err, ok, type Result} from 'neverthrow';
@@ -17,9 +17,9 @@
 import {readSource} from './_lib/source.js';
 import {splitDocument} from './_lib/split-parts.js';
 
-/** One thing that is wrong with a configuration document. */
+/** A fault in a configuration document. */
 export type ConfigFault = {
-	/** Name of the file or source; `undefined` where the text came without one. */
+	/** Name of the file or source; `undefined` for a text without a name. */
 	file: string | undefined;
 	/** From 1. */
 	line: number;
@@ -29,40 +29,40 @@
 	problem: string;
 	/** What to write instead. */
 	remedy: string;
-	/** The part that is not there, where that is the fault. */
+	/** The missing part, if that is the fault. */
 	missing?: NamedPart;
 };
 
 /**
- * The largest document in YAML, in bytes. Hosts keep to it, whose memory is
- * small; operators' tools read larger ones to turn them into JSON.
+ * Size of the largest YAML document that hosts read, in bytes, since their memory
+ * is small. Operators' tools read larger ones, to convert them to JSON.
  */
 export const maxYamlBytes = 65_536;
 
 export type ParseConfigOptions = {
 	/** Name of the file or source, for the faults. */
 	file?: string;
-	/** The largest text that the YAML parser sees, in bytes; {@link maxYamlBytes} unless given. */
+	/** Size of the largest text that the YAML parser may get, in bytes; {@link maxYamlBytes} by default. */
 	maxYamlBytes?: number;
-	/** Looks for the parts that a root document names; without it none is there. Who gives it sees to the parts' digests, see `collectParts`. */
+	/** Finds the parts that a root document names; without this function all parts are missing. It must check the parts' digests, see `collectParts`. */
 	findPart?: FindPart;
-	/** Reads what is not sealed yet: parts may be named without digest, and may be YAML. */
+	/** Whether the document is a source that is not sealed yet: parts may be named without digest, and may be YAML. */
 	isSource?: boolean;
-	/** Name of a part's file, for the faults; `part` and its name unless given. */
+	/** Returns the name of a part's file, for the faults; `part` and the part's name by default. */
 	toPartFile?: (name: string) => string;
 };
 
-/** Reads a document; `findPart` looks for its parts if it has any. */
+/** Reads a document; `findPart` finds the document's parts, if there are any. */
 export type ReadConfig = (text: string, findPart?: FindPart) => Result<Config, readonly ConfigFault[]>;
 
 const findNoPart: FindPart = () => undefined;
 
 /**
- * Parses and validates a configuration document. Whether its seal holds is
- * `checkSeal`'s to say; this function checks that the document has an end mark
- * and that all of its content is valid.
+ * Parses and validates a configuration document. This function checks that the
+ * document has an end mark and that its content is valid; `checkSeal` verifies the
+ * seal.
  *
- * @param text - The whole document, YAML 1.2 or JSON; of a document in parts its root, which means the same as the document that has the entries of all parts, in their order, before its own.
+ * @param text - The whole document, YAML 1.2 or JSON. Of a document in parts, the root; it is equivalent to a document in one file that has the entries of all parts, in their order, before those of the root.
  * @param options - Name of the file for the faults.
  * @returns The configuration, or all faults in the order of their lines.
  *
@@ -79,19 +79,18 @@
 }
 
 /**
- * Creates a reader that uses again what it has read: entries of `hosts`,
- * `servers` and `rules` whose lines stand in the last valid document are not
- * read and checked anew. What it returns equals what {@link parseConfig}
- * returns for the same text, faults included. Entries that did not change stay
- * the same objects.
+ * Creates a reader that reuses the last valid document: entries of `hosts`,
+ * `servers` and `rules` whose lines did not change are not read and checked again.
+ * The result is the same as that of {@link parseConfig} for the same text, faults
+ * included. Entries that did not change stay the same objects.
  *
- * @param options - As of {@link parseConfig}.
- * @returns A function in the place of `parseConfig`; it keeps the last valid document.
+ * @param options - See {@link parseConfig}.
+ * @returns A function to use instead of `parseConfig`; it keeps the last valid document in memory.
  *
  * @example
  * ```ts
  * const read = createConfigReader();
- * read(text); // reads all
+ * read(text); // reads the whole text
  * read(textWithOneMoreRule); // reads one line
  * ```
  */
@@ -109,10 +108,10 @@
 }
 
 /**
- * Reads the plain values of a text, for programs that write a document in another form.
+ * Reads the plain values of a text, for programs that convert documents.
  *
- * @param text - A document or a part of one.
- * @returns The values, or `undefined` where `parseConfig` reports faults of syntax.
+ * @param text - A document or a part.
+ * @returns The values; `undefined` when `parseConfig` reports syntax faults.
  */
 export function readPlainValues(text: string): Record<string, unknown> | undefined {
 	const {data, syntaxFaults} = readSource(text, Infinity);
@@ -138,7 +137,7 @@
 }
 
 /**
- * Writes a fault on one line, in the form that editors and terminals link.
+ * Formats a fault on one line, in a form that editors and terminals turn into a link.
  *
  * @param fault - A fault of {@link parseConfig}.
  * @returns `file:line:column: problem; remedy`.
--- a/src/domain/parse-config/next.test.ts
+++ b/src/domain/parse-config/next.test.ts
@@ -22,7 +22,7 @@
 }
 
 describe('createConfigReader', () => {
-	it('reads what parseConfig reads, faults included, after any edits', () => {
+	it('returns the same as parseConfig, faults included, after any edits', () => {
 		fc.assert(fc.property(fc.array(edits, {minLength: 1, maxLength: 4}), rounds => {
 			const read = createConfigReader();
 			assertSame(read, sound);
@@ -35,7 +35,7 @@
 		}), {numRuns: 200});
 	});
 
-	it('finds the rules that single new or moved rules make dead', () => {
+	it('finds the rules that a single new or moved rule makes dead', () => {
 		const rules = soundLines.flatMap((line, i) => line.startsWith('{"name"') && !line.includes('"kind"') ? [i] : []);
 		fc.assert(fc.property(fc.constantFrom(...rules), fc.constantFrom(...rules), fc.constantFrom(...strayLines.slice(0, 4)), fc.boolean(), (at, to, line, isMove) => {
 			const read = createConfigReader();
@@ -44,7 +44,7 @@
 		}), {numRuns: 150});
 	});
 
-	it('finds the rules that a rule makes dead which got other conditions in its place', () => {
+	it('finds the rules that a rule makes dead when its conditions are edited in place', () => {
 		const at = soundLines.findIndex(line => line.includes('"r0"'));
 		for (const line of strayLines.slice(2, 4)) {
 			const read = createConfigReader();
@@ -55,7 +55,7 @@
 		}
 	});
 
-	it('finds a rule that is dead although one of the same condition stands in its old place', () => {
+	it('finds a dead rule when a copy with the same condition took its old place', () => {
 		const read = createConfigReader();
 		assertSame(read, sound);
 		const at = soundLines.findIndex(line => line.includes('"r3"'));
@@ -82,7 +82,7 @@
 		});
 	}
 
-	it('keeps entries whose lines did not change the same objects, also when another route changes', () => {
+	it('keeps unchanged entries the same objects, also when another route changes', () => {
 		const read = createConfigReader();
 		const first = read(sound)._unsafeUnwrap();
 		const second = read(sound.replace('"firstToken":"1300ms"', '"firstToken":"1200ms"'))._unsafeUnwrap();
--- a/src/domain/parse-config/parts.test.ts
+++ b/src/domain/parse-config/parts.test.ts
@@ -31,11 +31,11 @@
 	7,
 ];
 
-/** Which fault, wherever it is. */
+/** Returns the texts of faults without their places. */
 const toProblems = (faults: readonly ConfigFault[]) => faults.map(({problem, remedy}) => `${problem}; ${remedy}`).toSorted();
 
 describe('parseConfig of parts', () => {
-	it('reads any split of a document as the whole one, faults included', () => {
+	it('reads any split of a document like the document in one file, faults included', () => {
 		const anyRules = fc.array(fc.record({at: fc.nat(24), stray: fc.constantFrom(...strays)}), {maxLength: 2})
 			.map(list => {
 				const rules = [...values.rules];
@@ -55,7 +55,7 @@
 		}), {numRuns: 200});
 	});
 
-	it('reads what parseConfig reads by the difference to the document before, after any edits of root and parts', () => {
+	it('returns the same as parseConfig when it reads only the difference, after any edits of root and parts', () => {
 		const cuts = {hosts: [1, 1, 1], servers: [0, 1, 2], rules: [7, 15, 22]};
 		const start = toPartDocument(values, cuts);
 		const edit = fc.record({file: fc.nat(3), edits: anyEdits(18)});
@@ -89,12 +89,12 @@
 		['has lost its end', text => text.replace('"end": "banyanport"}\n', '"end": ""}\n')],
 		['ends as a sealed document', text => text.replace('"end": "banyanport"', `"edition": 1,\n"follows": "none",\n"end": "sealed-${'a'.repeat(64)}"`)],
 		['has a section that only the root may have', text => text.replace('"end"', '"zones": [],\n"end"')],
-		['has a section that is no list', text => text.replace('"hosts": []', '"hosts": {}')],
-		['has entries that do not stand on lines', text => text.replace('"hosts": []', '"hosts": [{"id":"a-9","zone":"nowhere"}]')],
-		['nests too deep, in texts', text => text.replace('"r8"', `"${'['.repeat(65)}"`)],
+		['has a section that is not a list', text => text.replace('"hosts": []', '"hosts": {}')],
+		['has entries that are not on lines of their own', text => text.replace('"hosts": []', '"hosts": [{"id":"a-9","zone":"nowhere"}]')],
+		['nests too deeply within a string', text => text.replace('"r8"', `"${'['.repeat(65)}"`)],
 	];
 	for (const [title, toText] of freshParts) {
-		it(`reads what parseConfig reads when a changed part ${title}`, () => {
+		it(`returns the same as parseConfig when a changed part ${title}`, () => {
 			const read = createConfigReader();
 			const {root, parts} = toPartDocument(values, {hosts: [0, 0], servers: [0, 2], rules: [7, 15]});
 			assert.ok(read(root, findAmong(parts)).isOk());
@@ -107,7 +107,7 @@
 		});
 	}
 
-	it('reads what parseConfig reads when a section is in no file any more', () => {
+	it('returns the same as parseConfig when a section is gone from all files', () => {
 		const read = createConfigReader();
 		const {root, parts} = toPartDocument(values, {hosts: [0, 0], servers: [0, 2], rules: [7, 15]});
 		assert.ok(read(root, findAmong(parts)).isOk());
@@ -119,7 +119,7 @@
 		assert.match(found._unsafeUnwrapErr()[0]!.problem, /"hosts" is missing/);
 	});
 
-	it('keeps all entries but the changed one the same objects', () => {
+	it('keeps all entries except the changed one the same objects', () => {
 		const read = createConfigReader();
 		const cuts = {hosts: [1, 1], servers: [1, 2], rules: [12, 23]};
 		const before = toPartDocument(values, cuts);
@@ -134,10 +134,10 @@
 	const badRoots: Array<[title: string, parts: unknown, problem: RegExp]> = [
 		['a part without its digest', ['one'], /named without its digest/],
 		['a part twice', [named, named], /named twice/],
-		['more parts than hosts take', Array.from({length: 513}, (_, i) => ({...named, name: `p${i}`})), /513 parts/],
-		['parts that are too long together', [named, {...named, name: 'two', bytes: 1_000_000}, {...named, name: 'three', bytes: 1_000_000}], /together and hosts take/],
+		['more parts than hosts accept', Array.from({length: 513}, (_, i) => ({...named, name: `p${i}`})), /513 parts/],
+		['parts that are too large together', [named, {...named, name: 'two', bytes: 1_000_000}, {...named, name: 'three', bytes: 1_000_000}], /together, and hosts accept at most/],
 		['no part in its list', [], /empty/],
-		['parts that are no list', null, /not a list/],
+		['parts that are not a list', null, /not a list/],
 	];
 	for (const [title, parts, problem] of badRoots) {
 		it(`refuses a root that names ${title}`, () => {
@@ -148,11 +148,11 @@
 	}
 
 	const badParts: Array<[title: string, text: string, problem: RegExp]> = [
-		['lost its end', '{"rules": []}', /end mark/],
+		['has lost its end', '{"rules": []}', /end mark/],
 		['is sealed by itself', '{"rules": [],\n"edition": 1,\n"follows": "none",\n"end": "sealed-' + 'a'.repeat(64) + '"}\n', /not a key of a part/],
 		['has a section that only the root may have', '{"pools": [],\n"end": "banyanport"}\n', /"pools" is not a key of a part/],
-		['has a section that is no list', '{"rules": {},\n"end": "banyanport"}\n', /not a list/],
-		['is no map', '[]', /./],
+		['has a section that is not a list', '{"rules": {},\n"end": "banyanport"}\n', /not a list/],
+		['is not a map', '[]', /./],
 		['is YAML', 'rules: []\nend: banyanport\n', /hosts do not read parts in YAML/],
 	];
 	for (const [title, text, problem] of badParts) {
@@ -165,7 +165,7 @@
 		});
 	}
 
-	it('gives faults in the file, line and column of the part that has them', () => {
+	it('reports a fault with the file, line and column in its part', () => {
 		const part = toPart('one', 'rules:\n  - {name: early, when: {path: /early/}, then: route-1}\n  - {name: lost, when: {path: /x/}, then: nowhere}\nend: banyanport\n');
 		const root = addPlainEnd(toConfigBody({...values, parts: ['one']}), 'json');
 		const [fault] = parseConfig(root, {findPart: () => part.text, isSource: true, toPartFile: name => `folder/${name}.yaml`})._unsafeUnwrapErr();
--- a/src/domain/parse-config/test.ts
+++ b/src/domain/parse-config/test.ts
@@ -35,7 +35,7 @@
 		assert.deepEqual(config.servers.map(({slots}) => slots), [4, 20, 64]);
 	});
 
-	it('reads how a pool is rolled out', () => {
+	it('reads the rollout policy of a pool', () => {
 		const toRollout = (text: string) => parseConfig(text)._unsafeUnwrap().pools[0]?.rollout;
 		assert.equal(toRollout(sound), undefined);
 		assert.equal(toRollout(sound.replace('classes: batch, ', 'classes: batch, rollout: allow-gap, ')), 'allow-gap');
@@ -60,7 +60,7 @@
 		assert.deepEqual(parseConfig(json)._unsafeUnwrap(), config);
 	});
 
-	/** An edit of the sound document, and for each fault expected the text to which line and column must point. */
+	/** An edit of the valid document, and for each expected fault the text to which line and column must point. */
 	type FaultCase = [title: string, from: string, to: string, ...faults: Array<[place: string, message: RegExp]>];
 
 	const cases: FaultCase[] = [
@@ -73,21 +73,21 @@
 		['a missing catch-all', 'rest, then', 'rest, when: {zone: a}, then', ['{name: rest', /the last rule, "rest", does not match every request/]],
 		['a quick rule to a batch-only pool', 'class: batch, rep', 'class: quick, rep', ['quick, repeatable: true, target', /quick work is sent to pool "summaries", which takes only batch/]],
 		['a duplicate name', 'id: d1', 'id: p1', ['p1, zone: a, url: \'http://10.0.0.2', /"p1" is already the id of entry 1 of servers/]],
-		['a duplicate key', 'then: lookup', 'then: lookup, then: lookup', ['then: lookup}', /the key "then" stands twice in one map; keep one/]],
+		['a duplicate key', 'then: lookup', 'then: lookup, then: lookup', ['then: lookup}', /the key "then" appears twice in one map; keep one/]],
 		['a dead rule', 'rules:\n', 'rules:\n  - {name: all, then: lookup}\n', ['{name: letters', /"letters" never decides: "all" \(rule 1\)/], ['{name: rest', /"rest" never decides/]],
 		['a pool without a needed role', 'role: decode', 'role: prefill', ['{name: summaries', /pool "summaries" has no decode server/]],
-		['a role that the pool has no use for', 'role: plain', 'role: decode', ['{name: desk', /pool "desk" has no plain server/], ['decode, pool: desk', /a decode server can't work in pool "desk"/]],
-		['a way to roll out that is none', 'classes: batch, ', 'classes: batch, rollout: allow-gaps, ', ['allow-gaps', /"allow-gaps" is not known here; write "allow-gap"/]],
-		['a way to roll out weights to a plain pool', 'kind: plain}', 'kind: plain, rollout: allow-gap}', ['allow-gap', /a plain pool loads no weights; leave "rollout" out/]],
+		['a role that the pool does not use', 'role: plain', 'role: decode', ['{name: desk', /pool "desk" has no plain server/], ['decode, pool: desk', /a decode server can't work in pool "desk"/]],
+		['an unknown rollout policy', 'classes: batch, ', 'classes: batch, rollout: allow-gaps, ', ['allow-gaps', /"allow-gaps" is not known here; write "allow-gap"/]],
+		['a rollout policy for a plain pool', 'kind: plain}', 'kind: plain, rollout: allow-gap}', ['allow-gap', /a plain pool loads no weights; leave "rollout" out/]],
 		['a number that should be text', 'version: \'1\'', 'version: 1.5', ['1.5', /1.5 is read as a number, not as text; put it in quotes, as in '1.5'/]],
 		['a duration without unit', 'firstToken: 1.3s', 'firstToken: 1.3', ['1.3}', /1.3 is not a number with one of the units ms, s, m, h/]],
-		['a word for a truth value', 'repeatable: true}\n', 'repeatable: yes}\n', ['yes', /"yes" is neither true nor false/]],
+		['a word in the place of true or false', 'repeatable: true}\n', 'repeatable: yes}\n', ['yes', /"yes" is neither true nor false/]],
 		['an adapter that the pool lacks', 'class: batch, rep', 'adapter: y, class: batch, rep', ['y, class', /pool "summaries" has no adapter "y"; write "x"/]],
 		['a URL with a host name', 'http://10.0.0.3:80', 'http://desk:80', ['\'http://desk', /"http:\/\/desk:80" is not an address like/]],
 		['an empty section', 'hosts:\n  - {id: a-1, zone: a}', 'hosts:', ['hosts:', /"hosts" is empty; give it a value/]],
 		['no end mark', 'end: banyanport\n', '', ['zones:', /"end" is missing/], ['zones:', /does not end with its end mark/]],
-		['a second end mark', 'routes:\n', 'end: "banyanport"\nroutes:\n', ['end: banyanport', /stands twice in one map/]],
-		['an edition that is not before the end mark', 'zones:\n', 'edition: 4\nzones:\n', ['edition', /the edition does not stand right before the end mark/]],
+		['a second end mark', 'routes:\n', 'end: "banyanport"\nroutes:\n', ['end: banyanport', /appears twice in one map/]],
+		['an edition that is not before the end mark', 'zones:\n', 'edition: 4\nzones:\n', ['edition', /the edition is not directly before the end mark/]],
 	];
 	for (const [title, from, to, ...expected] of cases) {
 		it(`reports ${title}`, () => {
@@ -104,9 +104,9 @@
 		});
 	}
 
-	it('reports a key that JSON has twice, also when both say the same', () => {
+	it('reports a key that JSON has twice, also when both have the same value', () => {
 		for (const twice of ['"a": 1, "a": 1', '"routes": {"x": 1, "x": 2}']) {
-			assert.match(toFaults(`{${twice}, "end": "banyanport"}`)[0]!, /stands twice in one map/);
+			assert.match(toFaults(`{${twice}, "end": "banyanport"}`)[0]!, /appears twice in one map/);
 		}
 
 		assert.doesNotMatch(toFaults(String.raw`{"zones": [{"id": "a\":\\", "region": ":"}], "end": "banyanport"}`).join('\n'), /twice/);
@@ -125,23 +125,23 @@
 		assert.deepEqual(faults.map(fault => Number(fault.split(':')[1])), [2, 15, 15, 16]);
 	});
 
-	it('refuses an end mark that is not last, since what follows it may be cut off unnoticed', () => {
+	it('refuses an end mark that is not last, since a truncation after it would go unnoticed', () => {
 		const moved = `end: banyanport\n${sound.replace('end: banyanport\n', '')}`;
 		assert.match(toFaults(moved).join('\n'), /^rules\.yaml:1:6: the document does not end with its end mark/);
 	});
 
-	it('takes no proper prefix of a document for whole', () => {
+	it('accepts no proper prefix of a document', () => {
 		for (let length = 0; length < sound.length - 1; length++) {
 			assert.ok(parseConfig(sound.slice(0, length)).isErr(), `the first ${length} characters were accepted`);
 		}
 	});
 
-	// Without the bound on depth the first three end the process: the YAML parser's stack is full in the middle of a regular expression.
+	// Without the limit on depth the first three end the process: the YAML parser overflows the stack while Node compiles a regular expression.
 	const hostile: Array<[title: string, text: string, fault: RegExp]> = [
 		['many open lists', `a: ${'['.repeat(200_000)}`, /:1:68: more than 64 brackets are open/],
 		['many open maps', `${'{"a":'.repeat(100_000)}1${'}'.repeat(100_000)}`, /:1:321: more than 64 brackets are open/],
 		['many dashes on a line', '- '.repeat(100_000), /:1:1: a line is indented by more than 128 columns/],
-		['an ever deeper indent', Array.from({length: 3000}, (_, i) => `${' '.repeat(i)}-`).join('\n'), /:129:1: a line is indented by more than 128 columns/],
+		['an indent that grows with each line', Array.from({length: 3000}, (_, i) => `${' '.repeat(i)}-`).join('\n'), /:129:1: a line is indented by more than 128 columns/],
 		['aliases of aliases', Array.from({length: 9}, (_, i) => `a${i}: &a${i} [${Array.from({length: 10}, () => i === 0 ? 'x' : `*a${i - 1}`).join(', ')}]`).join('\n'), /alias/],
 		['a string without end', `{"a${String.raw`\"`.repeat(300_000)}`, /./],
 	];
@@ -151,26 +151,26 @@
 		});
 	}
 
-	it('refuses YAML that is too large for the memory of hosts, and reads it for tools', () => {
+	it('refuses YAML that is too large for the memory of hosts, and reads it when the limit is raised', () => {
 		const large = `${`# ${'x'.repeat(98)}\n`.repeat(700)}${sound}`;
 		assert.deepEqual(toFaults(large), ['rules.yaml:1:1: YAML of more than 65536 bytes is too large for hosts; publish it as JSON, written by "banyanport seal --to json"']);
 		assert.ok(parseConfig(large, {maxYamlBytes: Infinity}).isOk());
 	});
 
-	it('names the path of a fault in JSON that is too large to find its line', () => {
+	it('names the path of a fault in JSON that is too large for the YAML parser', () => {
 		const blanks = ' '.repeat(70_000);
 		const faults = toFaults(`{${blanks}"zones": [{"id": "a", "region": "r"}, {"id": "a", "region": "r"}], "end": "banyanport"}`);
 		assert.ok(faults.some(fault => fault.startsWith('rules.yaml:1:1: zones 2 id: "a" is already the id of entry 1')), faults.join('\n'));
-		assert.match(toFaults(`{${blanks}"a": 1, "a": 1, "end": "banyanport"}`)[0]!, /the JSON is broken: a key stands twice/);
+		assert.match(toFaults(`{${blanks}"a": 1, "a": 1, "end": "banyanport"}`)[0]!, /the JSON is broken: a key appears twice/);
 	});
 
-	it('reports the first 200 faults and the number of the others', () => {
+	it('reports the first 200 faults and the number of further ones', () => {
 		const faults = toFaults(`${Array.from({length: 2000}, (_, i) => `k${i}: 1`).join('\n')}\nend: banyanport\n`);
 		assert.equal(faults.length, 201);
-		assert.match(faults.at(-1)!, /: 1805 more faults were found; mend these first/);
+		assert.match(faults.at(-1)!, /: 1805 more faults were found; fix these first/);
 	});
 
-	it('returns faults, and never throws, for any text', () => {
+	it('returns faults and does not throw, for any invalid text', () => {
 		const pieces = fc.constantFrom('zones:', '\n', ' ', '- ', '{', '}', '[', ']', '&a', '*a', ':', 'rules', '"', '\'', '\t', '<<: ', '!!set', '|', 'end: banyanport', '1', '\0');
 		fc.assert(fc.property(fc.array(fc.oneof(pieces, fc.string()), {maxLength: 30}), parts => {
 			assert.ok(parseConfig(parts.join('')).isErr());
