--- a/src/domain/check-seal/index.ts
+++ b/src/domain/check-seal/index.ts
@@ -1,36 +1,36 @@
-/** Tells whether a configuration document is whole, by its seal or its plain end mark. */
+/** Checks by the seal or the plain end mark that a configuration document is whole. */
 import {err, ok, type Result} from 'neverthrow';
 import {splitConfigEnd} from '../../_lib/split-config-end/index.js';
 import {toDigest} from '../../_lib/to-digest/index.js';
 
-/** What the end of a whole document says. */
+/** Values from the end of a whole document. */
 export type ConfigSeal = {
 	kind: 'sealed' | 'plain';
-	/** Edition sealed in, or written by hand in a plain document; 0 when it has none. */
+	/** Edition from the seal, or written by hand in a plain document; 0 when the document has none. */
 	edition: number;
-	/** SHA-256 of the text that a sealed document follows; `undefined` for the first one and for plain documents. */
+	/** SHA-256 of the document that a sealed document follows; `undefined` for the first edition and for plain documents. */
 	follows: string | undefined;
 };
 
 /**
- * - `incomplete`: the end is missing, so the document was cut off or is half finished.
- * - `altered`: the seal does not fit the text.
- * - `not-text`: the bytes were no UTF-8.
+ * - `incomplete`: the end mark is missing, so the document was cut off or is unfinished.
+ * - `altered`: the seal does not match the text.
+ * - `not-text`: the bytes were not valid UTF-8.
  */
 export type SealFault = {
 	kind: 'incomplete' | 'altered' | 'not-text';
 	message: string;
 };
 
-/** What a decoder puts in the place of bytes that are no UTF-8. Different bytes become this one character, so a digest of the text can't tell them apart. */
+/** Character by which a decoder replaces invalid UTF-8. Different bytes are replaced by the same character, so a digest of the decoded text would not detect such a change. */
 const replacementCharacter = '\uFFFD';
 
 /**
- * Checks that a document is whole and, when sealed, unaltered. Its content is
- * `parseConfig`'s to check.
+ * Checks that a document is whole and, when sealed, unaltered. `parseConfig`
+ * checks the content.
  *
- * @param text - The document as it came.
- * @returns What its end says, or why it is not whole.
+ * @param text - The document as received.
+ * @returns The values from the document's end, or why the document is not whole.
  *
  * @example
  * ```ts
--- a/src/domain/check-seal/test.ts
+++ b/src/domain/check-seal/test.ts
@@ -3,7 +3,7 @@
 import {toYamlDocument} from '../_test/documents.js';
 import {checkSeal} from './index.js';
 
-// What a seal makes visible is shown beside `sealConfig`, which writes it.
+// The tests of `sealConfig`, which writes seals, show which changes a seal detects.
 describe('checkSeal', () => {
 	it('reads the edition of a plain document', () => {
 		assert.deepEqual(checkSeal(toYamlDocument())._unsafeUnwrap(), {kind: 'plain', edition: 0, follows: undefined});
@@ -17,7 +17,7 @@
 		}
 	});
 
-	it('refuses a document whose bytes were no UTF-8', () => {
+	it('refuses a document whose bytes were not valid UTF-8', () => {
 		assert.equal(checkSeal(toYamlDocument('\uFFFD'))._unsafeUnwrapErr().kind, 'not-text');
 	});
 });
--- a/src/domain/compare-config-versions/index.ts
+++ b/src/domain/compare-config-versions/index.ts
@@ -2,12 +2,12 @@
 
 /**
  * Orders two versions of the configuration: by edition, then by the platform's
- * revision, then by digest. The order is total and looks at nothing but the two
- * versions, so every host picks the same one, in whatever order they came.
+ * revision, then by digest. The order is total and depends on the two versions
+ * only, so every host picks the same one, whatever the order of arrival.
  *
  * @param left - A version.
  * @param right - Another version.
- * @returns Below 0 when `left` is older, above 0 when it is newer, 0 when both are the same.
+ * @returns A number below 0 when `left` is older, above 0 when it is newer, 0 when both are the same.
  *
  * @example
  * ```ts
--- a/src/domain/count-prompt-tokens/index.ts
+++ b/src/domain/count-prompt-tokens/index.ts
@@ -1,9 +1,9 @@
-/** Characters that one token covers on average; engines report the exact count after prefill. */
+/** Average number of characters per token; engines report the exact count after prefill. */
 const charactersPerToken = 4;
 
 /**
- * Estimates the tokens of a prompt before any engine has seen it. Rules,
- * admission and placement use the estimate; the answer's usage carries the
+ * Estimates the number of tokens in a prompt before an engine has tokenized it.
+ * Rules, admission and placement use the estimate; the usage in the answer is the
  * engine's own count.
  *
  * @param prompt - The prompt as text.
--- a/src/domain/diff-configs/_lib/to-samples.ts
+++ b/src/domain/diff-configs/_lib/to-samples.ts
@@ -1,9 +1,9 @@
-/** Makes requests that the rules of one or several configurations tell apart. */
+/** Generates requests that the rules of one or more configurations distinguish. */
 import {type Random} from '../../../ports/clock.js';
 import {type Config, type Rule, type RuleWhen} from '../../../ports/config.js';
 import {type RequestFacts} from '../../compile-rules/index.js';
 
-/** Values that rules look at, and for each condition one that no rule names. */
+/** Values that rules test, and others that no rule names. */
 type Vocabulary = {
 	workspaces: readonly string[];
 	models: ReadonlyArray<string | undefined>;
@@ -16,13 +16,13 @@
 const classes = ['quick', 'batch', undefined] as const;
 
 /**
- * Makes samples: one that fits each rule, and mixtures of all values that rules
- * name, prompt sizes right at the bounds included.
+ * Generates samples: one that matches each rule, and random mixtures of all values
+ * that rules name, including prompt sizes at the bounds.
  *
- * @param configs - Configurations whose rules the samples shall tell apart.
+ * @param configs - Configurations whose rules the samples should distinguish.
  * @param mixtures - Number of mixtures.
  * @param random - Picks the values of mixtures.
- * @returns Facts of requests, each once.
+ * @returns Attributes of requests, without duplicates.
  */
 export function toSamples(configs: readonly Config[], mixtures: number, random: Random): readonly RequestFacts[] {
 	const vocabulary = toVocabulary(configs);
@@ -53,7 +53,7 @@
 	return [...new Set(values)];
 }
 
-/** A request that all conditions of the rule fit; an earlier rule may still take it. */
+/** Returns a request that meets all conditions of a rule; an earlier rule may match it too. */
 function toMatchingRequest({when}: Rule, vocabulary: Vocabulary): RequestFacts {
 	return {
 		workspace: when.workspace?.[0] ?? 'any-other-workspace',
--- a/src/domain/diff-configs/index.ts
+++ b/src/domain/diff-configs/index.ts
@@ -1,30 +1,30 @@
-/** Compares two configurations by what they do with requests. */
+/** Compares two configurations by their decisions about sample requests. */
 import {type Random} from '../../ports/clock.js';
 import {type Config, type Rule, type RuleThen} from '../../ports/config.js';
 import {compileRules, type RequestFacts} from '../compile-rules/index.js';
 import {matchRule} from '../match-rule/index.js';
 import {toSamples} from './_lib/to-samples.js';
 
-/** One part of a decision that is another one now. */
+/** A field of a decision that changed. */
 export type DecisionChange = {
-	/** Key of the decision, for example `pool`. */
+	/** Name of the field, for example `pool`. */
 	key: string;
 	before: string;
 	after: string;
 };
 
-/** Requests that changed in the same way. */
+/** Sample requests whose decisions changed in the same way. */
 export type ChangedRequests = {
 	ruleBefore: string;
 	ruleAfter: string;
 	changes: readonly DecisionChange[];
-	/** Samples that changed so. */
+	/** Number of these samples. */
 	count: number;
-	/** One of them. */
+	/** One of these samples. */
 	example: RequestFacts;
 };
 
-/** An entry of a section that came, went or changed. */
+/** An entry of a section that was added, removed or changed. */
 export type ChangedEntry = {
 	section: 'zones' | 'hosts' | 'servers' | 'pools' | 'rules';
 	name: string;
@@ -32,30 +32,30 @@
 };
 
 export type ConfigDiff = {
-	/** Requests that were tried. They are made from both rule lists; their shares say nothing of real traffic. */
+	/** Number of sample requests. They are generated from both rule lists, so their shares say nothing about real traffic. */
 	sampled: number;
 	changed: number;
-	/** The largest group first. */
+	/** Groups of changed requests, the largest first. */
 	requests: readonly ChangedRequests[];
 	entries: readonly ChangedEntry[];
 };
 
 export type DiffConfigsOptions = {
-	/** Mixtures of values that are tried, beside one request for each rule. */
+	/** Number of samples with random values, in addition to one sample for each rule. */
 	mixtures?: number;
 };
 
 const defaultMixtures = 5000;
 
 /**
- * Tries requests on both configurations. A request that another rule decides in
- * the same way did not change.
+ * Compares the decisions of two configurations about sample requests. A request
+ * counts as unchanged when another rule makes the same decision.
  *
  * @param before - The configuration in force.
- * @param after - The one that shall follow.
+ * @param after - The configuration that is to follow.
  * @param random - Picks the values of the samples.
- * @param options - How much is tried.
- * @returns Requests whose way changes, and entries that differ.
+ * @param options - Number of samples.
+ * @returns Requests whose decision changes, and entries that differ.
  *
  * @example
  * ```ts
@@ -102,7 +102,7 @@
 		.filter(change => change.before !== change.after);
 }
 
-/** A decision in words that compare and read well. */
+/** Formats the fields of a decision, for comparing and printing them. */
 function toParts(then: RuleThen | undefined): Readonly<Record<string, string>> {
 	if (!then) {
 		return {};
--- a/src/domain/diff-configs/test.ts
+++ b/src/domain/diff-configs/test.ts
@@ -28,19 +28,19 @@
 		assert.equal(toCatchAll?.example.workspace, 'ws-00003');
 	});
 
-	it('finds that two rules changed places', () => {
+	it('finds requests that change when rules are reordered', () => {
 		const after = changeRules(rules => [...rules].toReversed().toSorted((left, right) => Number(left.name === 'everything else') - Number(right.name === 'everything else')));
 		assert.ok(diffConfigs(config, after, createRandom()).changed > 0);
 	});
 
-	it('takes a renamed rule for no change of requests', () => {
+	it('reports no changed requests when rules are only renamed', () => {
 		const after = changeRules(rules => rules.map(rule => ({...rule, name: `new ${rule.name}`})));
 		const diff = diffConfigs(config, after, createRandom());
 		assert.equal(diff.changed, 0);
 		assert.equal(diff.entries.length, 2 * config.rules.length);
 	});
 
-	it('tries prompt sizes on both sides of a bound', () => {
+	it('samples prompt sizes on both sides of a bound', () => {
 		const after = changeRules(rules => rules.map(rule => rule.name === 'r1' ? {...rule, when: {...rule.when, promptTokensBelow: 1000}} : rule));
 		const {requests} = diffConfigs(config, after, createRandom());
 		assert.deepEqual(new Set(requests.map(({example}) => example.promptTokens)), new Set([1000]));
--- a/src/domain/explain-rules/index.ts
+++ b/src/domain/explain-rules/index.ts
@@ -6,9 +6,9 @@
 export type UnmetCondition = {
 	/** Key of the condition, for example `model` or `headers.x-genre`. */
 	condition: string;
-	/** What the rule asks for. */
+	/** Value that the rule requires. */
 	wanted: string;
-	/** What the request has. */
+	/** Value that the request has. */
 	got: string;
 };
 
@@ -23,14 +23,14 @@
 	passedOver: readonly PassedOverRule[];
 };
 
-/** Longer lists of names are cut in an explanation. */
+/** Number of names after which an explanation cuts a list. */
 const maxShownNames = 5;
 
 /**
- * Explains a decision, looking at each rule in turn.
+ * Explains a decision by testing each rule in order.
  *
  * @param rules - Rules in their order.
- * @param facts - What is known of the request.
+ * @param facts - Attributes of the request.
  * @returns The deciding rule, and each earlier one with the conditions that do not hold.
  *
  * @example
--- a/src/domain/explain-rules/test.ts
+++ b/src/domain/explain-rules/test.ts
@@ -8,7 +8,7 @@
 		workspace: 'w1', model: undefined, path: '/desk/a', headers: {}, class: undefined, promptTokens: 10, zone: 'z1',
 	};
 
-	it('names every condition that does not hold, with what was wanted and what was there', () => {
+	it('names every condition that does not hold, with the required and the actual value', () => {
 		const explained = explainRules(toRules([
 			{workspace: ['a', 'b', 'c', 'd', 'e', 'f', 'g'], promptTokensBelow: 10},
 			{model: ['m'], headers: {'x-genre': '*', 'x-tone': 'dry'}},
--- a/src/domain/find-dead-rules/_lib/find-affected-rules.ts
+++ b/src/domain/find-dead-rules/_lib/find-affected-rules.ts
@@ -1,20 +1,20 @@
-/** Finds the rules that an edit may have made dead, and those that decide it. */
+/** Finds the rules that an edit may have made dead, and the earlier rules that hide them. */
 import {type Rule, type RuleWhen} from '../../../ports/config.js';
 
 type Whens = ReadonlyArray<Pick<Rule, 'when'>>;
 
-/** Beyond this many rules to look at, all are: each of them is compared with every other. */
+/** With more suspects than this all rules are checked, since each suspect is compared with every other rule. */
 const maxSuspects = 16;
 
 /**
- * Picks the rules to look at after an edit of a list without dead rules. A rule
- * that was alive can only have died by a new or moved rule before it that takes
- * at least one combination of its workspaces, models and zones; and whether a
- * rule is dead depends on those earlier ones alone that take a combination of it.
+ * Picks the rules to check after an edit of a list without dead rules. A rule can
+ * only become dead by a new or moved rule before it that matches at least one
+ * combination of its workspaces, models and zones. Whether a rule is dead depends
+ * only on the earlier rules that match such a combination.
  *
  * @param rules - All rules in their order.
- * @param added - Positions of new and moved ones; without them the list has no dead rule.
- * @returns Positions in their order; `findDeadRules` finds a dead rule among these exactly when it finds one among all.
+ * @param added - Positions of new and moved rules; without these the list has no dead rule.
+ * @returns Positions in ascending order. `findDeadRules` finds a dead rule among these exactly when it finds one among all rules.
  */
 export function findAffectedRules(rules: Whens, added: readonly number[]): readonly number[] {
 	if (added.length > maxSuspects) {
@@ -49,16 +49,16 @@
 }
 
 type Comparison = {
-	/** Whether this condition takes all requests of at least one combination of the other. */
+	/** Tells whether this condition matches all requests of at least one combination of the other condition. */
 	takesSomeOf: (inner: RuleWhen) => boolean;
-	/** The other way round. */
+	/** Tells whether the other condition matches all requests of at least one combination of this one. */
 	isPartlyTakenBy: (outer: RuleWhen) => boolean;
 };
 
-/** Lists may have thousands of workspaces, so those of the one side are looked up in a set. */
+/** Prepares a condition for many comparisons. Lists may have thousands of workspaces, so those of the condition are looked up in a set. */
 function toComparison(when: RuleWhen): Comparison {
 	const workspaces = new Set(when.workspace);
-	// One function for all rules: one a rule was a megabyte of garbage for each edit of a full document.
+	// All rules share one function: a closure for each rule made a megabyte of garbage for each edit of a full document.
 	const isListed = (name: string) => workspaces.has(name);
 	const isShared = ({workspace}: RuleWhen) => workspace?.some(isListed) ?? false;
 	return {
--- a/src/domain/find-dead-rules/index.ts
+++ b/src/domain/find-dead-rules/index.ts
@@ -1,4 +1,4 @@
-/** Finds rules that can never decide, because earlier ones take all of their requests. */
+/** Finds rules that can never decide, because earlier rules match all of their requests. */
 import {type Rule, type RuleWhen} from '../../ports/config.js';
 
 export {findAffectedRules} from './_lib/find-affected-rules.js';
@@ -6,20 +6,20 @@
 export type DeadRule = {
 	/** Position of the rule that never decides. */
 	index: number;
-	/** Position of an earlier rule that hides it, wholly or with others. */
+	/** Position of an earlier rule that hides this one, alone or together with others. */
 	hiddenBy: number;
 };
 
-/** Bounds the work for a rule with long lists; beyond it only a single hiding rule is looked for. */
+/** Limits the work for a rule with long lists. A rule with more combinations counts as dead only if a single rule hides it. */
 const maxCombinations = 20_000;
 
 /**
- * Finds rules hidden wholly by earlier ones. Lists of workspaces, models and
- * zones are taken apart, so a rule is also found that several earlier ones hide
- * together; ranges of prompt sizes and path prefixes are not joined up.
+ * Finds rules that earlier rules hide completely. Each combination of workspace,
+ * model and zone is checked by itself, so rules that several earlier rules hide
+ * together are found too. Ranges of prompt sizes and path prefixes are not combined.
  *
  * @param rules - Rules in their order.
- * @returns Each dead rule with one that hides it, in the order of the rules.
+ * @returns Each dead rule with a rule that hides it, in the order of the rules.
  *
  * @example
  * ```ts
@@ -42,7 +42,7 @@
 	return dead;
 }
 
-/** Files a rule under its most telling condition, so that only rules which may hide a later one are looked at. */
+/** Adds a rule to the buckets of its most selective condition, so that only rules that may hide a later one are compared with it. */
 function addToBuckets(buckets: Map<string, number[]>, when: RuleWhen, index: number): void {
 	for (const key of toBucketKeys(when)) {
 		const bucket = buckets.get(key);
@@ -71,7 +71,7 @@
 	return when.model?.map(name => `model ${name}`) ?? ['other'];
 }
 
-/** Buckets of all rules that may cover a combination; most rules name a workspace and little else. */
+/** Returns the buckets of all rules that may cover a combination. */
 function * toCoveringKeys({workspace, path, headers, model}: RuleWhen): Iterable<string> {
 	for (const name of workspace ?? []) {
 		yield `workspace ${name}`;
@@ -118,7 +118,7 @@
 	return undefined;
 }
 
-/** The condition once for each workspace, model and zone that it lists. */
+/** Returns the condition once for each combination of the workspaces, models and zones that it lists. */
 function toCombinations(when: RuleWhen): Iterable<RuleWhen> {
 	const count = (when.workspace?.length ?? 1) * (when.model?.length ?? 1) * (when.zone?.length ?? 1);
 	return count === 1 || count > maxCombinations ? [when] : expand(when);
@@ -139,7 +139,7 @@
 	}
 }
 
-/** Whether all that `inner` matches, `outer` matches too. */
+/** Tells whether `outer` matches all requests that `inner` matches. */
 function covers(outer: RuleWhen, inner: RuleWhen): boolean {
 	return coversWorkspaces(outer, inner)
 		&& coversList(outer.model, inner.model)
@@ -155,7 +155,7 @@
 		});
 }
 
-/** A single workspace found the candidate by its bucket, whose list may have thousands and need not be searched. */
+/** Tells whether `outer` accepts all workspaces of `inner`. A rule that lists workspaces was found in the bucket of the only workspace of `inner`, so its list, which may have thousands of names, need not be searched. */
 function coversWorkspaces(outer: RuleWhen, inner: RuleWhen): boolean {
 	return outer.workspace === undefined || inner.workspace?.length === 1 || coversList(outer.workspace, inner.workspace);
 }
--- a/src/domain/find-dead-rules/test.ts
+++ b/src/domain/find-dead-rules/test.ts
@@ -13,7 +13,7 @@
 		['different workspaces', [{workspace: ['a']}, {workspace: ['b']}, {}], []],
 		['a workspace taken earlier', [{workspace: ['a', 'b']}, {workspace: ['b']}, {}], [[1, 0]]],
 		['workspaces taken by two rules together', [{workspace: ['a']}, {workspace: ['b']}, {workspace: ['a', 'b']}, {}], [[2, 0]]],
-		['a workspace that is left over', [{workspace: ['a']}, {workspace: ['a', 'b']}, {}], []],
+		['a workspace that the earlier rule leaves over', [{workspace: ['a']}, {workspace: ['a', 'b']}, {}], []],
 		['models and zones taken by several rules together', [{model: ['m']}, {zone: ['z']}, {model: ['m', 'n'], zone: ['z']}, {}], [[2, 0]]],
 		['a longer path after its prefix', [{path: '/desk/'}, {path: '/desk/a'}, {path: '/d'}, {}], [[1, 0]]],
 		['a header value after "present"', [{headers: {a: '*'}}, {headers: {a: '1'}}, {}], [[1, 0]]],
@@ -23,12 +23,12 @@
 		['a second catch-all', [{}, {}], [[1, 0]]],
 	];
 	for (const [title, whens, dead] of cases) {
-		it(`judges ${title}`, () => {
+		it(`finds the dead rules of ${title}`, () => {
 			assert.deepEqual(findDeadRules(whens.map(when => ({when}))).map(({index, hiddenBy}) => [index, hiddenBy]), dead);
 		});
 	}
 
-	it('calls no rule dead that decides about some request', () => {
+	it('does not report a rule that decides about some request', () => {
 		fc.assert(fc.property(fc.array(anyWhen, {maxLength: 20}), fc.array(anyFacts, {minLength: 300, maxLength: 300}), (whens, samples) => {
 			const rules = toRules(whens);
 			const compiled = compileRules({rules});
--- a/src/domain/from-config-chunks/index.ts
+++ b/src/domain/from-config-chunks/index.ts
@@ -1,13 +1,13 @@
-/** Puts a document together again from its chunks. */
+/** Reassembles a document from its chunks. */
 import {Buffer} from 'node:buffer';
 import {err, ok, type Result} from 'neverthrow';
 import {toDigest} from '../../_lib/to-digest/index.js';
 import {chunkDigestBytes, type ConfigManifest} from '../to-config-chunks/index.js';
 
 /**
- * - `missing`: chunks are not there; fetch those and try again.
- * - `altered`: the chunks don't make up the text that the manifest names; fetch the whole document.
- * - `invalid-manifest`: the manifest itself is malformed.
+ * - `missing`: some chunks were not found; fetch them and try again.
+ * - `altered`: the joined chunks don't have the digest of the manifest; fetch the whole document.
+ * - `invalid-manifest`: the manifest is malformed.
  */
 export type ChunksFault =
 	| {kind: 'missing'; digests: readonly string[]}
@@ -15,11 +15,11 @@
 	| {kind: 'invalid-manifest'};
 
 /**
- * Puts a document together.
+ * Reassembles a document.
  *
  * @param manifest - The document's manifest, from a peer.
- * @param findChunk - Looks up a chunk by its truncated digest in hex, among those of the document in force and those received.
- * @returns The text, checked by its own digest, or what is missing.
+ * @param findChunk - Finds a chunk by truncated digest in hex, among the chunks of the document in force and those received.
+ * @returns The text, verified by the digest of the whole, or why the text can't be assembled.
  *
  * @example
  * ```ts
--- a/src/domain/from-config-chunks/test.ts
+++ b/src/domain/from-config-chunks/test.ts
@@ -9,7 +9,7 @@
 const anyText = fc.array(anyPart, {maxLength: 60}).map(parts => parts.join(''));
 
 describe('fromConfigChunks', () => {
-	it('gives back any text byte for byte', () => {
+	it('restores any text byte for byte', () => {
 		fc.assert(fc.property(anyText, fc.integer({min: 1, max: 200}), (text, averageLength) => {
 			const {manifest, chunks} = toConfigChunks(text, {averageLength});
 			assert.equal(fromConfigChunks(manifest, digest => chunks.get(digest))._unsafeUnwrap(), text);
@@ -23,12 +23,12 @@
 		assert.deepEqual(fromConfigChunks(manifest, digest => digest === gone ? undefined : chunks.get(digest))._unsafeUnwrapErr(), {kind: 'missing', digests: [gone]});
 	});
 
-	it('refuses chunks that make up another text', () => {
+	it('refuses chunks that join to another text', () => {
 		const {manifest, chunks} = toConfigChunks('a: 1\nb: 2\n');
 		assert.equal(fromConfigChunks(manifest, digest => `${chunks.get(digest)}x`)._unsafeUnwrapErr().kind, 'altered');
 	});
 
-	it('refuses a manifest with half a digest', () => {
+	it('refuses a manifest whose last digest is truncated', () => {
 		assert.equal(fromConfigChunks({digest: '', chunkDigests: new Uint8Array(9)}, () => '')._unsafeUnwrapErr().kind, 'invalid-manifest');
 	});
 });
--- a/src/domain/identify-caller/index.ts
+++ b/src/domain/identify-caller/index.ts
@@ -2,17 +2,17 @@
 import {err, ok, type Result} from 'neverthrow';
 import {type WorkspaceId} from '../../ports/ids.js';
 
-/** Workspace of callers that name none, where callers need no token. */
+/** Workspace of callers that name none, used when callers need no token. */
 export const anonymousWorkspace: WorkspaceId = 'anonymous';
 
 /**
- * Finds the workspace on whose behalf a request is made. Where the
- * configuration has callers' tokens, the token alone decides; what the caller
- * says in `x-workspace` must agree with it.
+ * Finds the workspace on whose behalf a request is made. When the configuration
+ * has callers' tokens, the token alone determines the workspace, and an
+ * `x-workspace` header must name the same one.
  *
  * @param headers - Request headers by lower-case name.
  * @param callerTokens - Workspace by SHA-256 of the token, hex.
- * @returns The workspace, or what the caller has to do.
+ * @returns The workspace, or a message that tells the caller what to do.
  *
  * @example
  * ```ts
--- a/src/domain/identify-caller/test.ts
+++ b/src/domain/identify-caller/test.ts
@@ -7,8 +7,8 @@
 
 describe('identifyCaller', () => {
 	const cases: ReadonlyArray<[string, Record<string, string>, Record<string, string>, string | RegExp]> = [
-		['takes x-workspace where there are no tokens', {'x-workspace': 'glossworks'}, {}, 'glossworks'],
-		['calls others anonymous', {}, {}, 'anonymous'],
+		['takes x-workspace when no tokens are configured', {'x-workspace': 'glossworks'}, {}, 'glossworks'],
+		['uses the anonymous workspace without x-workspace and tokens', {}, {}, 'anonymous'],
 		['takes the token\'s workspace', {authorization: 'Bearer t1'}, tokens, 'naslovnik'],
 		['accepts x-workspace that agrees', {authorization: 'bearer t1', 'x-workspace': 'naslovnik'}, tokens, 'naslovnik'],
 		['refuses x-workspace that disagrees', {authorization: 'Bearer t1', 'x-workspace': 'glossworks'}, tokens, /another workspace/v],
--- a/src/domain/parse-completion-request/index.ts
+++ b/src/domain/parse-completion-request/index.ts
@@ -5,7 +5,7 @@
 import {isRecord} from '../../_lib/is-record/index.js';
 import {type AnswerKind} from '../create-sse-encoder/index.js';
 
-/** What the engines need of a request, whatever endpoint it came by. */
+/** The fields of a completion or chat request that engines need. */
 export type CompletionRequest = {
 	kind: AnswerKind;
 	model: string;
@@ -18,18 +18,18 @@
 
 export type CompletionFault = {
 	kind: 'bad-json' | 'bad-request';
-	/** What is wrong where, and what to send instead. */
+	/** Names the invalid field, and says what to send instead. */
 	message: string;
 };
 
 export type ParseCompletionOptions = {
-	/** Tokens generated when the request names no limit. */
+	/** Limit on generated tokens when the request names none. */
 	defaultMaxTokens: number;
-	/** Largest limit a request may name. */
+	/** Largest limit that a request may name. */
 	maxTokensLimit: number;
 };
 
-/** Fields that change what an answer means and that engines of this system do not take, with the one value that asks for nothing. */
+/** Fields that change the meaning of an answer and that the engines do not support, each with the value that has no effect. */
 const neutralValues: Readonly<Record<string, unknown>> = {
 	n: 1, best_of: 1, echo: false, suffix: '', logprobs: false, stop: [], tools: [], functions: [],
 };
@@ -114,13 +114,13 @@
 
 /**
  * Reads a request to `/v1/completions` or `/v1/chat/completions`. Sampling
- * hints (`temperature`, `seed` and the like) are passed over; fields that change
- * what the answer means are refused, because ignoring them would return an
- * answer to another question.
+ * parameters (`temperature`, `seed` and the like) are ignored. Unsupported fields
+ * that change the meaning of the answer are refused, because an answer that ignores
+ * them would not be the one that the caller asked for.
  *
- * @param kind - The endpoint.
+ * @param kind - Kind of answer, which the endpoint determines.
  * @param text - The body.
- * @param options - Bounds on tokens.
+ * @param options - Limits on tokens.
  * @returns The request, or the first fault with its remedy.
  *
  * @example
@@ -134,7 +134,7 @@
 	try {
 		body = JSON.parse(text);
 	} catch {
-		// The parser's own message quotes the body, which may hold a prompt.
+		// The parser's own message quotes the body, which may contain a prompt.
 		return err({kind: 'bad-json', message: 'The body is not JSON. Send a JSON object with content-type application/json.'});
 	}
 
--- a/src/domain/parse-completion-request/test.ts
+++ b/src/domain/parse-completion-request/test.ts
@@ -39,7 +39,7 @@
 		});
 	}
 
-	it('returns a value for any text, and never quotes it', () => {
+	it('refuses any text that is not JSON, and never quotes it', () => {
 		fc.assert(fc.property(fc.string(), text => {
 			const result = parseCompletionRequest('completion', `secret${text}`, options);
 			assert.ok(result.isErr() && !result.error.message.includes('secret'));
--- a/src/domain/parse-idempotency-key/index.ts
+++ b/src/domain/parse-idempotency-key/index.ts
@@ -1,6 +1,6 @@
 /**
- * Reads an idempotency key. Keys are UUIDs of version 7 (RFC 9562), so that the
- * time at which a caller minted one can be read from it.
+ * Reads an idempotency key. Keys are UUIDs of version 7 (RFC 9562), which contain
+ * the time of their creation.
  */
 import {type Result, err, ok} from 'neverthrow';
 import {validate, version} from 'uuid';
@@ -10,9 +10,9 @@
 const timeDigits = 12;
 
 export type IdempotencyKey = {
-	/** The UUID in lower case, so that two spellings name one key. */
+	/** The UUID in lower case, so that upper and lower case spellings are the same key. */
 	key: string;
-	/** Wall-clock milliseconds since the Unix epoch, by the caller's clock. */
+	/** Time of creation by the caller's clock, milliseconds since the Unix epoch. */
 	mintedAt: Milliseconds;
 };
 
@@ -26,7 +26,7 @@
  * quotes (the header is a structured-field string in its draft) are dropped.
  *
  * @param text - The header's value, `undefined` when absent.
- * @returns The key and its time, or why it cannot name a request.
+ * @returns The key and its time of creation, or why the value is not a valid key.
  *
  * @example
  * ```ts
@@ -37,11 +37,11 @@
 export function parseIdempotencyKey(text: string | undefined): Result<IdempotencyKey, IdempotencyKeyFault> {
 	const key = (text ?? '').trim().replace(/^"(?<inner>.*)"$/v, '$<inner>').toLowerCase();
 	if (key === '') {
-		return err({kind: 'missing', message: 'The header Idempotency-Key is missing: send a UUID of version 7, new for each piece of work.'});
+		return err({kind: 'missing', message: 'The header Idempotency-Key is missing: send a UUID of version 7, a new one for each piece of work.'});
 	}
 
 	if (!validate(key)) {
-		return err({kind: 'malformed', message: 'Idempotency-Key is no UUID: send one of version 7, such as 01890a5d-ac96-774b-bcce-b302099a8057.'});
+		return err({kind: 'malformed', message: 'Idempotency-Key is not a UUID: send one of version 7, such as 01890a5d-ac96-774b-bcce-b302099a8057.'});
 	}
 
 	if (version(key) !== wantedVersion) {
--- a/src/domain/parse-idempotency-key/test.ts
+++ b/src/domain/parse-idempotency-key/test.ts
@@ -5,7 +5,7 @@
 import {parseIdempotencyKey} from './index.js';
 
 describe('parseIdempotencyKey', () => {
-	it('reads back the time of any version 7 UUID, whatever its case and quotes', () => {
+	it('reads the time of any version 7 UUID, in either case and with or without quotes', () => {
 		fc.assert(fc.property(fc.integer({min: 0, max: (2 ** 48) - 1}), fc.boolean(), fc.boolean(), (msecs, isUpper, isQuoted) => {
 			const minted = v7({msecs});
 			const spelled = isUpper ? minted.toUpperCase() : minted;
--- a/src/domain/pick-newer-config/index.ts
+++ b/src/domain/pick-newer-config/index.ts
@@ -4,9 +4,9 @@
 /**
  * Picks the newer of two accepted configurations.
  *
- * @param current - The one in force, if any.
- * @param candidate - Another one that was accepted somewhere, if any.
- * @returns The newer one; `current` itself when both are the same version.
+ * @param current - The configuration in force, if any.
+ * @param candidate - Another accepted configuration, if any, for example a peer's.
+ * @returns The newer configuration; `current` when both have the same version.
  *
  * @example
  * ```ts
--- a/src/domain/pick-newer-config/test.ts
+++ b/src/domain/pick-newer-config/test.ts
@@ -18,14 +18,14 @@
 		['the one in force when there is no other', older, undefined, older],
 		['the newer candidate', older, newer, newer],
 		['the one in force when the candidate is older', newer, older, newer],
-		['the one in force when both are the same', newer, toAccepted('newer', 2), newer],
+		['the one in force when both have the same version', newer, toAccepted('newer', 2), newer],
 	] as const) {
 		it(`picks ${title}`, () => {
 			assert.equal(pickNewerConfig(current, candidate), expected);
 		});
 	}
 
-	it('picks nothing of nothing', () => {
+	it('returns undefined when there is neither', () => {
 		assert.equal(pickNewerConfig(undefined, undefined), undefined);
 	});
 });
--- a/src/domain/seal-config/index.ts
+++ b/src/domain/seal-config/index.ts
@@ -1,4 +1,4 @@
-/** Seals a configuration document, so that no part of it can be lost or changed unnoticed. */
+/** Seals a configuration document, so that hosts detect any lost or changed content. */
 import {err, ok, type Result} from 'neverthrow';
 import {splitConfigEnd, addPlainEnd, type ConfigFormat} from '../../_lib/split-config-end/index.js';
 import {toDigest} from '../../_lib/to-digest/index.js';
@@ -9,7 +9,7 @@
 	/** The complete sealed document. */
 	text: string;
 	edition: number;
-	/** SHA-256 of the document that it follows. */
+	/** SHA-256 of the document that this one follows; `undefined` for the first. */
 	follows: string | undefined;
 	/** SHA-256 of the sealed document. */
 	digest: string;
@@ -17,7 +17,7 @@
 
 /**
  * - `invalid`: the document to seal has faults.
- * - `previous-broken`: the document that it shall follow is not whole, so its edition can't be trusted.
+ * - `previous-broken`: the document to follow is not whole, so its edition can't be trusted.
  */
 export type SealFailure = {
 	kind: 'invalid' | 'previous-broken';
@@ -26,9 +26,9 @@
 };
 
 /**
- * Seals a document. An earlier seal or edition of its own is replaced.
+ * Seals a document. A seal or edition that the document already has is replaced.
  *
- * @param text - A valid document, plain or sealed before and edited since.
+ * @param text - A valid document, either plain or sealed and edited afterwards.
  * @param previous - Text of the document in force, whose edition this one follows; `undefined` for the first.
  * @param options - Name of the file for faults.
  * @returns The sealed document, or why it can't be sealed.
@@ -63,12 +63,12 @@
 }
 
 /**
- * Writes the seal after a body.
+ * Appends a seal to the body of a document.
  *
  * @param body - Text of the document without its end.
  * @param format - Format of the body.
- * @param edition - Edition that is sealed in.
- * @param follows - SHA-256 of the document that it follows, or `none`.
+ * @param edition - Edition of the document.
+ * @param follows - SHA-256 of the document that this one follows, or `none`.
  * @returns The whole document.
  */
 export function addSeal(body: string, format: ConfigFormat, edition: number, follows: string): string {
--- a/src/domain/seal-config/test.ts
+++ b/src/domain/seal-config/test.ts
@@ -31,14 +31,14 @@
 			assert.equal(toSealed(edited, first.text).text, toSealed(plain.replace('10.0.0.1', '10.0.0.9'), first.text).text);
 		});
 
-		it(`makes every truncation of a ${format} document visible`, () => {
+		it(`detects every truncation of a ${format} document`, () => {
 			const {text} = toSealed(plain, plain);
 			for (let length = 0; length < text.length; length++) {
 				assert.ok(checkSeal(text.slice(0, length)).isErr(), `the first ${length} characters were accepted`);
 			}
 		});
 
-		it(`makes every single changed byte of a ${format} document visible`, () => {
+		it(`detects every single changed byte of a ${format} document`, () => {
 			const bytes = Buffer.from(toSealed(plain, plain).text);
 			fc.assert(fc.property(fc.nat(bytes.length - 1), fc.integer({min: 1, max: 255}), (position, added) => {
 				const changed = Buffer.from(bytes);
@@ -47,7 +47,7 @@
 			}), {numRuns: 2000});
 		});
 
-		it(`makes a byte more or less in a ${format} document visible`, () => {
+		it(`detects inserted and deleted characters in a ${format} document`, () => {
 			const {text} = toSealed(plain);
 			fc.assert(fc.property(fc.nat(text.length), fc.string({minLength: 1, maxLength: 3}), (position, added) => {
 				assert.ok(checkSeal(text.slice(0, position) + added + text.slice(position)).isErr());
@@ -61,7 +61,7 @@
 		assert.equal(toSealed(toYamlDocument(), toYamlDocument('', 7)).edition, 8);
 	});
 
-	it('refuses a document with faults, and names them', () => {
+	it('refuses a document with faults, and lists the faults', () => {
 		const failure = sealConfig(toYamlDocument().replace('pool: p,', 'pool: q,'), undefined, {file: 'a.yaml'})._unsafeUnwrapErr();
 		assert.equal(failure.kind, 'invalid');
 		assert.match(failure.faults[0]!.problem, /no pool "q"/);
--- a/src/domain/seal-parts/index.ts
+++ b/src/domain/seal-parts/index.ts
@@ -1,4 +1,4 @@
-/** Seals a root document with its parts, so that none of them can be lost, altered or of another edition unnoticed. */
+/** Seals a root document with its parts, so that hosts detect a part that is lost, altered or from another edition. */
 import {Buffer} from 'node:buffer';
 import {err, ok, type Result} from 'neverthrow';
 import {addPlainEnd, splitConfigEnd} from '../../_lib/split-config-end/index.js';
@@ -10,19 +10,20 @@
 import {toConfigBody} from '../to-config-body/index.js';
 
 export type SealedParts = SealedConfig & {
-	/** In the root's order, JSON with one entry a line. */
+	/** Parts in the order of the root, in JSON with one entry per line. */
 	parts: readonly ConfigPart[];
 };
 
 /**
- * Seals. The root's text names each part with digest and length, and its own
- * seal covers that, so the root's digest stands for the whole document.
+ * Seals a root with its parts. The root names each part with digest and length, and
+ * the seal of the root covers these, so the digest of the root identifies the whole
+ * document.
  *
- * @param root - The root document, YAML or JSON; it names its parts, with or without digests.
- * @param findText - The text of a part by its name, YAML or JSON.
+ * @param root - The root document, YAML or JSON, which names the parts with or without digests.
+ * @param findText - Returns the text of a part by name, YAML or JSON.
  * @param previous - Text of the document in force, or of its root; `undefined` for the first.
  * @param options - Names of the files for faults.
- * @returns Root and parts to publish, the parts first; or why it can't be sealed.
+ * @returns Root and parts, of which the parts must be published first; or why the document can't be sealed.
  *
  * @example
  * ```ts
@@ -57,20 +58,20 @@
 	const edition = previousEdition.value + 1;
 	const follows = previous === undefined ? undefined : toDigest(previous);
 	const text = addSeal(toConfigBody({...values, parts: named}), 'json', edition, follows ?? 'none');
-	// What hosts will read: sizes are known only now.
+	// Read the result as hosts will: sizes, which hosts limit, are known only after sealing.
 	const texts = new Map(parts.map(part => [part.sha256, part.text]));
 	return parseConfig(text, {...options, findPart: ({sha256}) => texts.get(sha256)})
 		.map(() => ({
 			text, edition, follows, digest: toDigest(text), parts,
 		}))
-		.mapErr((faults): SealFailure => ({kind: 'invalid', message: 'the sealed document would not be taken by hosts', faults}));
+		.mapErr((faults): SealFailure => ({kind: 'invalid', message: 'hosts would refuse the sealed document', faults}));
 }
 
 function toNames(list: unknown): readonly string[] {
 	return (list as ReadonlyArray<string | NamedPart>).map(part => typeof part === 'string' ? part : part.name);
 }
 
-/** The same entries give the same text and so the same digest, in whatever form they were written. */
+/** Writes a part in canonical form, so that the same entries give the same digest whether they were written in YAML or JSON. */
 function toPart(name: string, source: string): ConfigPart {
 	const text = addPlainEnd(toConfigBody(readPlainValues(source)!), 'json');
 	return {
--- a/src/domain/seal-parts/test.ts
+++ b/src/domain/seal-parts/test.ts
@@ -13,7 +13,7 @@
 const whole = toConfigText(config);
 
 describe('sealParts', () => {
-	it('seals any split of a document as what the whole one means', () => {
+	it('seals any split of a document to the same configuration as the document in one file', () => {
 		fc.assert(fc.property(fc.array(fc.boolean(), {minLength: 24, maxLength: 24}), cuts => {
 			const {root, parts} = splitConfig(whole, (_, position) => cuts[position]!)._unsafeUnwrap();
 			const texts = new Map(parts.map(({name, text}) => [name, text]));
@@ -25,7 +25,7 @@
 	const {root, parts} = splitConfig(whole, (_, position) => position % 5 === 0)._unsafeUnwrap();
 	const find = (name: string) => parts.find(part => part.name === name)?.text;
 
-	it('counts editions, and gives parts that did not change the same digest', () => {
+	it('counts editions, and gives unchanged parts the same digest', () => {
 		const first = sealParts(root, find, undefined)._unsafeUnwrap();
 		const edited = (name: string) => name === 'rules-002' ? find(name)!.replace('"r7"', '"renamed"') : find(name);
 		const second = sealParts(first.text, edited, first.text)._unsafeUnwrap();
--- a/src/domain/split-config/index.ts
+++ b/src/domain/split-config/index.ts
@@ -1,4 +1,4 @@
-/** Splits a document in one file into a root and parts, not sealed yet. */
+/** Splits a document in one file into a root and parts that are not sealed yet. */
 import {err, ok, type Result} from 'neverthrow';
 import {addPlainEnd, splitConfigEnd} from '../../_lib/split-config-end/index.js';
 import {
@@ -6,11 +6,11 @@
 } from '../parse-config/index.js';
 import {toConfigBody} from '../to-config-body/index.js';
 
-/** A section whose entries may stand in parts. */
+/** A section whose entries may be in parts. */
 export type PartSection = 'hosts' | 'servers' | 'rules';
 
 export type SplitConfig = {
-	/** Names the parts, and has all that does not stand in them. */
+	/** The root, which names the parts and has all sections and entries that are not in a part. */
 	root: string;
 	parts: ReadonlyArray<{name: string; text: string}>;
 };
@@ -18,12 +18,12 @@
 const sections: readonly PartSection[] = ['hosts', 'servers', 'rules'];
 
 /**
- * Splits a document. The last rule stays in the root, since it takes whatever
- * no rule before it takes. Put together by `sealParts` the document means what
- * it meant.
+ * Splits a document. The last rule stays in the root, since it is the catch-all and
+ * must follow the rules of all parts. `sealParts` joins root and parts to an
+ * equivalent document.
  *
  * @param text - A valid document in one file; its seal is not kept.
- * @param isCut - Whether a new part begins with an entry, by section and position; it begins with the first in any case.
+ * @param isCut - Tells by section and position whether an entry begins a new part; the first entry of a section always does.
  * @param options - Name of the file for faults.
  * @returns Root and parts in JSON, or the faults of the document.
  *
--- a/src/domain/split-config/test.ts
+++ b/src/domain/split-config/test.ts
@@ -12,12 +12,12 @@
 		assert.ok(root.includes('everything else') && !root.includes('"r0"'));
 	});
 
-	it('leaves a document of one rule without hosts as good as whole', () => {
+	it('makes no part for the only rule, nor for an empty list of hosts', () => {
 		const {parts} = splitConfig(toYamlDocument(), () => true)._unsafeUnwrap();
 		assert.deepEqual(parts.map(({name}) => name), ['servers-001']);
 	});
 
-	it('reports the faults of a document that has some', () => {
+	it('reports the faults of an invalid document', () => {
 		assert.ok(splitConfig('zones: []\n', () => true).isErr());
 	});
 });
--- a/src/domain/to-config-chunks/_lib/cut-text.ts
+++ b/src/domain/to-config-chunks/_lib/cut-text.ts
@@ -1,19 +1,20 @@
-/** Where a text is cut, decided line by line from the line alone. */
+/** Content-defined chunking: whether a text is cut after a line depends on that line alone. */
 
 /**
- * Chunks are at most this many times as long as the average, so that no message
- * gets too long. Cuts made for this do not follow the content, and one in 55
- * chunks would need one at a factor of 4, against one in 3,000 at 8.
+ * Chunks are at most this many times as long as the average, which bounds the size
+ * of a message. A cut that enforces the limit does not follow the content. With a
+ * factor of 4 one in 55 chunks would need such a cut, with 8 only one in 3,000.
  */
 const maxLengthFactor = 8;
 
 /**
- * Cuts a text behind lines that their own content picks: each with a chance
- * that grows with its length, so that the average holds for long and short lines.
+ * Cuts a text after lines that a hash of their content selects. The probability of
+ * a cut grows with the length of the line, so the average holds for long and for
+ * short lines.
  *
  * @param text - Any text.
- * @param averageLength - Wanted average, in characters.
- * @returns Pieces that make up the text.
+ * @param averageLength - Average length of a piece, in characters.
+ * @returns Pieces that join to the text.
  */
 export function cutText(text: string, averageLength: number): readonly string[] {
 	const pieces: string[] = [];
@@ -38,7 +39,7 @@
 	return start < text.length ? [...pieces, text.slice(start)] : pieces;
 }
 
-/** The end of a line; of one that is longer than a chunk, the end of its next part. */
+/** Returns the end of a line; a line longer than an average chunk is cut there. */
 function toLineEnd(text: string, from: number, longest: number): number {
 	const lineBreak = text.indexOf('\n', from);
 	const lineEnd = lineBreak === -1 ? text.length : lineBreak + 1;
@@ -46,19 +47,19 @@
 	return isInsidePair(text, end) ? end + 1 : end;
 }
 
-/** A cut between the two halves of a surrogate pair would make text that UTF-8 can't carry. */
+/** Tells whether an offset is between the halves of a surrogate pair. A cut there would give pieces that UTF-8 can't encode. */
 function isInsidePair(text: string, end: number): boolean {
 	const code = text.codePointAt(end - 1);
 	return end < text.length && code !== undefined && code > 0xFF_FF;
 }
 
-/** Prime below 2 to the 26th, so that the products below stay exact. */
+/** A prime below 2 to the 26th, so that the products in `toHash` are exact integers. */
 const hashModulus = 67_108_859;
 
 function toHash(text: string, from: number, to: number): number {
 	let hash = 7;
 	for (let i = from; i < to; i++) {
-		// eslint-disable-next-line unicorn/prefer-code-point -- hashes UTF-16 units; code points would cost a second look at each
+		// eslint-disable-next-line unicorn/prefer-code-point -- hashes UTF-16 units; reading code points would cost a second access per unit
 		hash = ((hash * 31) + text.charCodeAt(i)) % hashModulus;
 	}
 
--- a/src/domain/to-config-chunks/index.ts
+++ b/src/domain/to-config-chunks/index.ts
@@ -1,24 +1,24 @@
 /**
- * Cuts a document into chunks, so that a peer which has an earlier one is sent
- * only what changed. The cuts follow the content: an edit moves the cuts beside
- * it and no others.
+ * Cuts a document into chunks, so that a peer that has an earlier document receives
+ * only the changed chunks. The cuts depend on the content: an edit moves only the
+ * cuts next to it.
  */
 import {createHash} from 'node:crypto';
 import {Buffer} from 'node:buffer';
 import {toDigest} from '../../_lib/to-digest/index.js';
 import {cutText} from './_lib/cut-text.js';
 
-/** Bytes of a chunk's digest in a manifest. A collision is found by the digest of the whole text. */
+/** Length of a chunk's digest in a manifest, in bytes. The digest of the whole text detects a collision. */
 export const chunkDigestBytes = 8;
 
-/** Average length of a chunk. Shorter ones make a longer manifest, longer ones more text around an edit. */
+/** Average length of a chunk, in characters. Shorter chunks make the manifest longer; longer chunks send more unchanged text with each edit. */
 export const defaultChunkLength = 2048;
 
-/** Names all chunks of a document in their order; about 4 KB for a document of 1 MB. */
+/** Lists all chunks of a document in their order; takes about 4 KB for a document of 1 MB. */
 export type ConfigManifest = {
 	/** SHA-256 of the whole text, hex. */
 	digest: string;
-	/** Truncated SHA-256 digests of the chunks, one after the other. */
+	/** Truncated SHA-256 digests of the chunks, concatenated. */
 	chunkDigests: Uint8Array;
 };
 
@@ -34,10 +34,10 @@
 };
 
 /**
- * Cuts a document.
+ * Cuts a document into chunks.
  *
  * @param text - A whole document.
- * @param options - Average length of a chunk; hosts that use different ones still understand each other.
+ * @param options - Average length of a chunk; hosts with different values can still exchange documents.
  * @returns The manifest and the chunks.
  *
  * @example
--- a/src/domain/to-config-chunks/test.ts
+++ b/src/domain/to-config-chunks/test.ts
@@ -7,7 +7,7 @@
 const text = lines.join('');
 
 describe('toConfigChunks', () => {
-	it('keeps chunks near the average and never over eight times of it', () => {
+	it('keeps the chunk length near the average and at most eight times as long', () => {
 		const {chunks} = toConfigChunks(text, {averageLength: 1000});
 		const lengths = [...chunks.values()].map(({length}) => length);
 		const average = text.length / lengths.length;
@@ -20,7 +20,7 @@
 		assert.ok([...chunks.values()].every(({length}) => length <= 8000));
 	});
 
-	it('leaves all but a few chunks as they are when a line is changed, added or taken away', () => {
+	it('changes only a few chunks when a line is changed, added or removed', () => {
 		const before = toConfigChunks(text).chunks;
 		fc.assert(fc.property(fc.nat(lines.length - 1), fc.constantFrom('', '- {name: new}\n', '- {name: a}\n- {name: b}\n'), (position, added) => {
 			const after = toConfigChunks([...lines.slice(0, position), added, ...lines.slice(position + 1)].join('')).chunks;
--- a/src/domain/to-config-text/index.ts
+++ b/src/domain/to-config-text/index.ts
@@ -1,10 +1,10 @@
-/** Writes a configuration as a document, for programs that make configurations. */
+/** Writes a configuration as a document, for programs that generate configurations. */
 import {addPlainEnd} from '../../_lib/split-config-end/index.js';
 import {type Config, type Rule, type RuleThen} from '../../ports/config.js';
 
 /**
- * Writes a plain JSON document with one entry on each line, so that a small
- * change of the configuration is a small change of the text.
+ * Writes a plain JSON document with one entry per line, so that a small change of
+ * the configuration is a small change of the text.
  *
  * @param config - A valid configuration.
  * @returns A document that `parseConfig` reads back to an equal configuration.
@@ -41,7 +41,7 @@
 	return entries.length > 0 ? `\n${entries.join(',\n')}\n` : '';
 }
 
-/** Names each different decision once; thousands of rules share a few. */
+/** Names each distinct decision once, since thousands of rules share a few decisions. */
 function toRoutes(rules: readonly Rule[]): ReadonlyMap<string, string> {
 	const decisions = new Set(rules.map(({then}) => toDecision(then)));
 	return new Map([...decisions].map((decision, i) => [decision, `route-${i + 1}`]));
--- a/src/domain/to-part-key/index.ts
+++ b/src/domain/to-part-key/index.ts
@@ -4,11 +4,12 @@
 const shownDigestLength = 16;
 
 /**
- * Names the platform's key of a part. It holds a piece of the part's digest, so
- * that what was published under a key is never written over: until the new root
- * is there, the root in force finds all of its parts as they were.
+ * Returns the key under which the platform stores a part. The key contains the
+ * start of the part's digest, so publishing a changed part does not overwrite the
+ * earlier one: until the new root is published, the root in force still finds all
+ * of its parts unchanged.
  *
- * @param part - A part as the root names it.
+ * @param part - A part as named in the root.
  * @returns The key.
  *
  * @example
