--- a/src/domain/add-slo-documents/index.ts
+++ b/src/domain/add-slo-documents/index.ts
@@ -1,5 +1,5 @@
 /**
- * Adds what several hosts counted into one document.
+ * Adds up the counts of several hosts.
  */
 import {
 	addCounts, type Counts, emptyCounts, type SloDocument, type SloSeries, type WindowName, windowNames,
@@ -8,12 +8,12 @@
 /**
  * Adds documents series by series.
  *
- * Hosts choose for themselves which workspaces have series of their own, so
- * the sum for a workspace is what the hosts say that track it, and the rest is
- * under `other-workspaces`. Sums by class and rule are exact. Steps are aligned
- * by age, so a point of a plot is off by at most one step.
+ * Each host decides which workspaces have series of their own. The sum for a
+ * workspace therefore covers only the hosts that track it; the other hosts count
+ * its requests in `other-workspaces`. Sums by class and rule are exact. Steps are
+ * aligned by age, so a point of a plot is off by at most one step.
  *
- * @param documents - One from each host; a host that stands twice is counted once, by its first document.
+ * @param documents - One document from each host; of several from one host, only the first is counted.
  * @returns The sum.
  *
  * @example
--- a/src/domain/add-slo-documents/test.ts
+++ b/src/domain/add-slo-documents/test.ts
@@ -15,7 +15,7 @@
 }
 
 describe('addSloDocuments', () => {
-	it('adds what hosts counted apart to what one would have counted', () => {
+	it('adds the documents of two hosts up to the document of one host with all requests', () => {
 		fc.assert(fc.property(steps, given => {
 			const [left, right, both] = ['left', 'right', 'both'].map(host => createSloLedger({host}));
 			let now = 0;
@@ -30,7 +30,7 @@
 		}));
 	});
 
-	it('counts a host that answers twice once', () => {
+	it('counts a host with two documents once', () => {
 		const {document} = runSteps([{sample: toSample(), gapMs: 0}]);
 		const sum = addSloDocuments([document, document]);
 		assert.deepEqual([sum.hosts, pickSeries(sum, 'class', 'quick')!.windows['1h'].total], [['a-1'], 1]);
--- a/src/domain/compile-rules/_lib/to-test.ts
+++ b/src/domain/compile-rules/_lib/to-test.ts
@@ -2,7 +2,7 @@
 import {type RuleWhen} from '../../../ports/config.js';
 import {type RequestFacts} from '../index.js';
 
-/** Length of a list from which on a set lookup replaces the array search. */
+/** Longest list that is searched as an array; longer ones are looked up in a set. */
 const maxArraySearch = 8;
 
 /**
--- a/src/domain/create-slo-ledger/_lib/create-counts-ring.ts
+++ b/src/domain/create-slo-ledger/_lib/create-counts-ring.ts
@@ -6,25 +6,25 @@
 const width = countFields.length;
 const neverUsed = -1;
 
-/** Counts of the last so many steps of time, in fixed memory. */
+/** Counts of a fixed number of recent time steps, in constant memory. */
 export type CountsRing = {
 	add: (causes: readonly BadCause[], now: Milliseconds) => void;
-	/** Counts of one step; age 0 is the step in progress. */
+	/** Returns the counts of one step; age 0 is the step in progress. */
 	at: (age: number, now: Milliseconds) => Counts;
-	/** Counts of the newest so many steps together. */
+	/** Returns the sum over the given number of newest steps. */
 	sum: (steps: number, now: Milliseconds) => Counts;
-	/** Adds all that another ring of the same shape holds. */
+	/** Adds all counts of another ring with the same step and number of slots. */
 	merge: (other: CountsRing, now: Milliseconds) => void;
-	/** Adds counts to the step of an age. */
+	/** Adds counts to the step of the given age. */
 	addAt: (age: number, counts: Counts, now: Milliseconds) => void;
 };
 
 /**
- * Creates a ring of counts. A step's slot is cleared when it is first used
- * again, so a process that slept for hours reads no counts of the past as new.
+ * Creates a ring of counts. Each slot remembers the number of its step, so old
+ * counts are never taken for new ones, even after a process was suspended for hours.
  *
- * @param step - Length of one step, milliseconds.
- * @param slots - Steps kept.
+ * @param step - Length of one step, in milliseconds.
+ * @param slots - Number of steps kept.
  * @returns The ring.
  */
 export function createCountsRing(step: Milliseconds, slots: number): CountsRing {
--- a/src/domain/create-slo-ledger/_lib/create-series.ts
+++ b/src/domain/create-slo-ledger/_lib/create-series.ts
@@ -9,7 +9,7 @@
 export const quarterMs = 15 * msPerMinute;
 export const quarterSlots = (24 * msPerHour) / quarterMs;
 
-/** One series at two resolutions: a fine one for the short windows, a coarse one for the long. */
+/** Counts of one series at two resolutions: by minute for windows of up to an hour, by quarter of an hour for longer ones. */
 export type Series = {
 	minutes: CountsRing;
 	quarters: CountsRing;
--- a/src/domain/create-slo-ledger/index.ts
+++ b/src/domain/create-slo-ledger/index.ts
@@ -1,6 +1,6 @@
 /**
- * Counts ended requests against their targets, by class, rule and workspace,
- * over the last day, in bounded memory.
+ * Counts the requests of the last day that met or missed their targets, by class,
+ * rule and workspace, in bounded memory.
  */
 import {type BadCause, type SloDocument, type SloSeries} from '../../_lib/slo/index.js';
 import {judgeSample, type SloSample} from '../judge-sample/index.js';
@@ -17,29 +17,29 @@
 
 export type SloLedgerOptions = {
 	host: HostId;
-	/** Workspaces with series of their own; all others share one. */
+	/** Number of workspaces with series of their own; all others share one series. */
 	topWorkspaces?: number;
-	/** Rules with series of their own; later ones are counted by class and workspace alone. */
+	/** Number of rules with series of their own; requests of further rules are counted by class and workspace only. */
 	maxRules?: number;
 };
 
 export type SloLedger = {
 	/** Counts a request that has ended. */
 	addSample: (sample: SloSample, now: Milliseconds) => void;
-	/** Counts over all windows, for burn rates and to be added to those of other hosts. */
+	/** Returns the counts over all windows, for burn rates and for adding up the documents of several hosts. */
 	toDocument: (now: Milliseconds) => SloDocument;
 };
 
 type Tracked = {
 	series: Record<ServiceClass, Series | undefined>;
-	/** Weight of samples, halved once a minute, by which workspaces compete for a series. */
+	/** Weighted number of recent requests, halved once a minute, by which workspaces compete for a series. */
 	weight: number;
 };
 
 const defaultTopWorkspaces = 200;
 const defaultMaxRules = 500;
 const classes: readonly ServiceClass[] = ['quick', 'batch'];
-// A workspace whose requests go wrong is what staff look for, also when it is a small one.
+// Operators look for workspaces with bad requests, also for small ones, so a bad request weighs more than a good one.
 const badWeight = 20;
 const maxCandidates = 20_000;
 
@@ -47,12 +47,13 @@
  * Creates the ledger of a process.
  *
  * Memory is bounded whatever callers send: a series takes about 4.4 KB, and
- * workspaces beyond the bound share one. Which ones have their own is a contest
- * by recent weight, bad requests counting most. The counts of one that loses its
- * series go to the shared one, so that all workspaces together are always the
- * class, and no bad request is lost from the report.
+ * workspaces beyond the limit share one series. The workspaces with the highest
+ * recent weight, in which bad requests count most, have series of their own. When a
+ * workspace loses its series, the counts are added to the shared one, so the sum
+ * over all workspaces always equals the count of the class, and no bad request is
+ * lost from the report.
  *
- * @param options - Host, and bounds.
+ * @param options - Host, and limits.
  * @returns The ledger.
  *
  * @example
@@ -110,7 +111,7 @@
 		addToSeries(own.series[sample.class]!, causes, now);
 	}
 
-	/** Gives a workspace a series, at the cost of the lightest one where none is free. */
+	/** Gives a workspace a series of its own; when all are taken, only if its weight exceeds that of the lightest workspace, which then loses its series. */
 	function startTracking(workspace: WorkspaceId, weight: number, now: Milliseconds): Tracked | undefined {
 		const total = (candidates.get(workspace) ?? 0) + weight;
 		if (tracked.size >= topWorkspaces) {
@@ -150,7 +151,7 @@
 		}
 	}
 
-	/** A full map is emptied: the names come from callers, and whoever is heavy is soon heavy again. */
+	/** Records the weight of a workspace without a series. A full map is cleared, since the names come from callers and could fill the memory; a busy workspace soon regains its weight. */
 	function addCandidate(workspace: WorkspaceId, weight: number): void {
 		if (candidates.size >= maxCandidates && !candidates.has(workspace)) {
 			candidates.clear();
@@ -159,7 +160,7 @@
 		candidates.set(workspace, weight);
 	}
 
-	/** Halves weights once a minute, so that the contest is about the last minutes. */
+	/** Halves weights once a minute, so that only the last minutes count. */
 	function decayWeights(now: Milliseconds): void {
 		const minute = Math.floor(now / msPerMinute);
 		if (minute === lastMinute) {
--- a/src/domain/create-slo-ledger/test.ts
+++ b/src/domain/create-slo-ledger/test.ts
@@ -9,7 +9,7 @@
 import {createSloLedger} from './index.js';
 
 describe('createSloLedger', () => {
-	it('counts by class, rule and workspace, with causes', () => {
+	it('counts requests by class, rule and workspace, with causes', () => {
 		const {document} = runSteps([{sample: toSample(), gapMs: 0}, {sample: toSample({end: 'failed', perTokenMs: 90}), gapMs: 0}, {sample: toSample({end: 'gone'}), gapMs: 0}]);
 		const expected = {
 			...emptyCounts, total: 2, bad: 1, failed: 1, latePerToken: 1,
@@ -28,7 +28,7 @@
 		[25 * msPerHour, []],
 		[1000 * msPerHour, []],
 	] as const) {
-		it(`has a request ${ageMs / msPerMinute} minutes old in the windows ${inWindows.join(', ') || 'none'}`, () => {
+		it(`counts a request ${ageMs / msPerMinute} minutes old in the windows ${inWindows.join(', ') || 'none'}`, () => {
 			const ledger = createSloLedger({host: 'a-1'});
 			ledger.addSample(toSample(), 1000);
 			const {windows} = pickSeries(ledger.toDocument(1000 + ageMs), 'class', 'quick')!;
@@ -36,7 +36,7 @@
 		});
 	}
 
-	it('keeps all workspaces together equal to the class, whoever has a series', () => {
+	it('keeps the sum over workspaces equal to the class, whichever workspaces have series', () => {
 		fc.assert(fc.property(steps, fc.integer({min: 1, max: 6}), (given, topWorkspaces) => {
 			const {document} = runSteps(given, {topWorkspaces});
 			assert.equal(new Set(document.series.filter(series => series.scope === 'workspace').map(series => series.name)).size <= topWorkspaces, true);
@@ -54,7 +54,7 @@
 		}));
 	});
 
-	it('counts no more in a window than in a longer one', () => {
+	it('counts no more requests in a window than in a longer one', () => {
 		fc.assert(fc.property(steps, given => {
 			for (const {windows} of runSteps(given).document.series) {
 				const totals = windowNames.map(name => windows[name].total);
@@ -63,7 +63,7 @@
 		}));
 	});
 
-	it('gives a series to a small workspace whose requests go wrong', () => {
+	it('gives a series to a small workspace with bad requests', () => {
 		const ledger = createSloLedger({host: 'a-1', topWorkspaces: 2});
 		for (let i = 0; i < 30; i++) {
 			ledger.addSample(toSample({workspace: i % 2 === 0 ? 'large-1' : 'large-2'}), 0);
@@ -73,7 +73,7 @@
 		assert.equal(pickSeries(ledger.toDocument(0), 'workspace', 'small')!.windows['5m'].bad, 1);
 	});
 
-	it('keeps its memory bounded when names come without end', () => {
+	it('bounds the number of series for an unlimited number of names', () => {
 		const ledger = createSloLedger({host: 'a-1', topWorkspaces: 3, maxRules: 3});
 		for (let i = 0; i < 2000; i++) {
 			ledger.addSample(toSample({workspace: `w${i}`, rule: `r${i}`, end: i % 7 === 0 ? 'failed' : 'complete'}), i * 100);
@@ -82,7 +82,3 @@
 		assert.equal(ledger.toDocument(200_000).series.length, 3 + 3 + 3);
 	});
 });
-
-/** The document as another process reads it. */
-
-/** Series by name, in a fixed order and without fields that are absent. */
--- a/src/domain/create-sse-encoder/index.ts
+++ b/src/domain/create-sse-encoder/index.ts
@@ -1,12 +1,12 @@
 /**
- * Server-sent events of a streamed answer, in the shape of the OpenAI-compatible API.
+ * Writes answers in the form of the OpenAI-compatible API, as server-sent events or in one piece.
  */
 import {type FinishReason} from '../../ports/engine.js';
 import {type ProblemDocument} from '../to-problem/index.js';
 
 export type AnswerKind = 'completion' | 'chat';
 
-/** What stands the same in every event of an answer. */
+/** Fields that are the same in every event of an answer. */
 export type AnswerHead = {
 	kind: AnswerKind;
 	/** The `id` field. */
@@ -27,12 +27,12 @@
 	finish: (reason: FinishReason) => string;
 	usage: (usage: Usage) => string;
 	done: () => string;
-	/** Ends a broken answer: an `error` event, and never `[DONE]` after it. */
+	/** Writes the `error` event that ends a broken answer; `[DONE]` must not follow. */
 	error: (problem: ProblemDocument) => string;
 };
 
 /**
- * Writes usage as the OpenAI-compatible API does.
+ * Converts usage to the fields of the OpenAI-compatible API.
  *
  * @param usage - Counts of tokens.
  * @returns Fields of the `usage` object.
@@ -52,8 +52,8 @@
 }
 
 /**
- * Creates the encoder of one answer. What does not change is written once, so
- * that a token costs one JSON string and one concatenation.
+ * Creates the encoder of one answer. The constant parts are serialized only once, so
+ * that an event costs one JSON string and one concatenation.
  *
  * @param head - Fields that all events share.
  * @returns Functions that return the text of one event each.
@@ -85,7 +85,7 @@
 }
 
 /**
- * Writes the event that ends an answer which can't go on.
+ * Writes the event that ends an answer which can't be completed.
  *
  * @param problem - The problem document, as JSON.
  * @returns The text of the event.
@@ -100,10 +100,10 @@
 }
 
 /**
- * Writes an answer in one piece.
+ * Writes an answer in one piece, for requests that do not stream.
  *
- * @param head - Fields as in each event of a streamed answer.
- * @param answer - The whole text, why it ended, and the usage.
+ * @param head - The fields that every event of a streamed answer has.
+ * @param answer - The whole text, the reason for its end, and the usage.
  * @returns The JSON body.
  *
  * @example
--- a/src/domain/create-sse-encoder/test.ts
+++ b/src/domain/create-sse-encoder/test.ts
@@ -35,13 +35,13 @@
 		});
 	}
 
-	it('names the error event', () => {
+	it('writes an event named error', () => {
 		assert.equal(createSseEncoder(head('chat')).error({status: 502, headers: {}, body: '{}'}), 'event: error\ndata: {}\n\n');
 	});
 });
 
 describe('toAnswerBody', () => {
-	it('holds the whole text', () => {
+	it('contains the whole text', () => {
 		const body = toAnswerBody(head('chat'), {text: 'Dober dan', finish: 'stop', usage: {promptTokens: 1, cachedTokens: 0, completionTokens: 2}});
 		assert.deepEqual(JSON.parse(body).choices, [{index: 0, message: {role: 'assistant', content: 'Dober dan'}, finish_reason: 'stop'}]);
 	});
--- a/src/domain/judge-sample/index.ts
+++ b/src/domain/judge-sample/index.ts
@@ -1,5 +1,5 @@
 /**
- * Judges one ended request against its rule's target.
+ * Judges whether an ended request met the target of its rule.
  */
 import {type BadCause} from '../../_lib/slo/index.js';
 import {type Milliseconds} from '../../ports/clock.js';
@@ -11,9 +11,9 @@
  * How a request ended.
  *
  * - `complete`: the whole answer went to the caller.
- * - `refused`: it got a refusal that is not the caller's fault, such as a full queue.
- * - `failed`: its answer broke off.
- * - `gone`: the caller left first.
+ * - `refused`: the request was refused for a reason that is not the caller's fault, such as a full queue.
+ * - `failed`: the answer broke off.
+ * - `gone`: the caller disconnected before the end.
  */
 export type SampleEnd = 'complete' | 'refused' | 'failed' | 'gone';
 
@@ -26,23 +26,23 @@
 	firstTokenMs: Milliseconds | undefined;
 	/** Mean time between the tokens of the answer; `undefined` with fewer than two tokens. */
 	perTokenMs: Milliseconds | undefined;
-	/** Time to the end, however it ended. */
+	/** Time to the end of the request, however it ended. */
 	completeMs: Milliseconds;
-	/** Target of the rule that decided. */
+	/** Target of the rule that matched the request. */
 	target: LatencyTarget;
 };
 
-/** Causes of a bad request; none is a good one. `undefined` where nobody can say, and the request is not counted. */
+/** Causes for which a request is bad; an empty list for a good request. `undefined` for a request that can't be judged and is not counted. */
 export type Verdict = readonly BadCause[] | undefined;
 
 /**
- * Judges a request. A good one was answered whole, and within all three times
- * of its target. A caller that left before its target had passed is not counted;
- * one that left afterwards is bad, because a lookup that hangs shows in no other
- * way than in people who leave.
+ * Judges a request. A request is good if it was answered completely and within all
+ * three times of its target. A request whose caller disconnected before the target
+ * had passed is not counted. If the caller disconnected later, the request is bad:
+ * requests that hang can only be noticed by callers who give up.
  *
- * @param sample - How the request went.
- * @returns Causes for which it is bad, or `undefined` when it is not counted.
+ * @param sample - End and latencies of the request.
+ * @returns Causes for which the request is bad, or `undefined` when it is not counted.
  *
  * @example
  * ```ts
--- a/src/domain/parse-log-lines/index.ts
+++ b/src/domain/parse-log-lines/index.ts
@@ -1,28 +1,28 @@
-/** Log lines of the programs, read back for whoever looks for a cause. */
+/** Parses log lines of the programs, for the analysis of failures. */
 import {isRecord} from '../../_lib/is-record/index.js';
 
 export type LogLine = {
-	/** Time of day at the host that wrote it, milliseconds since 1970. */
+	/** Wall-clock time at the host that wrote the line, milliseconds since 1970. */
 	at: number;
 	level: string;
 	message: string;
 	host: string;
-	/** Everything else that the line says, in the order written. */
+	/** All other fields of the line, in the order written. */
 	fields: Readonly<Record<string, string | number | boolean>>;
 };
 
 export type ParsedLog = {
-	/** In the order of their times; those of one moment in the order written. */
+	/** Lines ordered by time; lines with the same time in the order written. */
 	lines: LogLine[];
-	/** Lines that are none of ours. */
+	/** Number of lines that are not log lines of these programs. */
 	unreadable: number;
 };
 
-/** What a line says of its writer, which a reader of many lines doesn't want repeated. */
+/** Fields that identify the program that wrote a line; they are left out because they repeat on every line. */
 const omittedFields = new Set(['time', 'level', 'message', 'host', 'program', 'zone', 'incarnation']);
 
 function parseLine(text: string): LogLine | undefined {
-	// Collectors put a time or a name of their own before the line.
+	// Log collectors may write a time or a name before the line.
 	const start = text.indexOf('{');
 	if (start === -1) {
 		return undefined;
@@ -54,10 +54,10 @@
 const toText = (value: unknown): string => typeof value === 'string' ? value : '';
 
 /**
- * Reads the lines of one or several hosts.
+ * Parses the log lines of one or more hosts.
  *
- * @param texts - Contents of files, one line an entry; a collector's own words before a line are passed over.
- * @returns The lines in order, and how many could not be read.
+ * @param texts - Contents of log files, one entry per line; text that a collector wrote before an entry is ignored.
+ * @returns The lines in order, and the number of unreadable lines.
  *
  * @example
  * ```ts
--- a/src/domain/parse-log-lines/test.ts
+++ b/src/domain/parse-log-lines/test.ts
@@ -8,7 +8,7 @@
 });
 
 describe('parseLogLines', () => {
-	it('puts the lines of several hosts in order, and passes over what a collector wrote before them', () => {
+	it('orders the lines of several hosts, and ignores text that a collector wrote before them', () => {
 		const {lines, unreadable} = parseLogLines([
 			`  3.25 front-a-1 ${toText('sent', '2026-12-02T10:00:02.000Z', {server: 's1', attempt: 1})}\n`,
 			`${toText('listening', '2026-12-02T10:00:01.000Z', {host: 'front-b-1'})}\nbuilt in 2 s\n\n`,
@@ -18,7 +18,7 @@
 		assert.equal(unreadable, 1);
 	});
 
-	it('never fails, whatever it is given', () => {
+	it('does not throw for any text', () => {
 		fc.assert(fc.property(fc.array(fc.oneof(fc.string(), fc.json(), fc.json().map(text => `x ${text}`))), texts => {
 			const {lines} = parseLogLines(texts);
 			assert.ok(lines.every(({at}) => Number.isFinite(at)));
--- a/src/domain/parse-slo-document/index.ts
+++ b/src/domain/parse-slo-document/index.ts
@@ -1,5 +1,5 @@
 /**
- * Reads a document of counts that came from another process.
+ * Validates a document of counts from another process.
  */
 import {err, ok, type Result} from 'neverthrow';
 import {z} from 'zod';
@@ -25,8 +25,8 @@
 /**
  * Checks a decoded document.
  *
- * @param value - What JSON decoding gave.
- * @returns The document, or where it is wrong.
+ * @param value - The decoded JSON.
+ * @returns The document, or a message that names the first invalid field.
  *
  * @example
  * ```ts
--- a/src/domain/to-burn-page/_lib/to-plot.ts
+++ b/src/domain/to-burn-page/_lib/to-plot.ts
@@ -9,15 +9,15 @@
 
 export type PlotOptions = {
 	title: string;
-	/** Words for the ends of the time axis. */
+	/** Label at the start of the time axis. */
 	from: string;
 	to: string;
 	objective: number;
 };
 
 /**
- * Draws the share of bad requests over time as bars, with the objective's
- * budget as a line. Bars over the line are those that burn faster than 1.
+ * Draws the share of bad requests over time as bars, and the error budget as a line.
+ * Bars above the line stand for a burn rate above 1.
  *
  * @param points - Counts by step, newest first.
  * @param options - Title, axis and objective.
@@ -50,7 +50,7 @@
 
 type Bar = {counts: Counts; share: number; x: number; y: number; step: number; budget: number};
 
-/** A step without requests is left blank, and one without bad ones gets a mark on the axis: the two must not look alike. */
+/** Draws a bar. A step without requests is left blank, while a step without bad requests gets a mark on the axis, so that the two look different. */
 function toBar({counts, share, x, y, step, budget}: Bar): string {
 	if (counts.total === 0) {
 		return '';
--- a/src/domain/to-burn-page/index.ts
+++ b/src/domain/to-burn-page/index.ts
@@ -1,6 +1,6 @@
 /**
- * Writes a burn report as an HTML page that stands alone: no script, nothing
- * fetched, plots as inline SVG.
+ * Writes a burn report as a self-contained HTML page, without scripts or external
+ * resources and with plots as inline SVG.
  */
 import {type SloDocument, type SloSeries, windowNames} from '../../_lib/slo/index.js';
 import {type BurnReport, type BurnRow} from '../to-burn-rates/index.js';
@@ -23,7 +23,7 @@
 const causeWords = {
 	lateFirstToken: 'late first token',
 	latePerToken: 'slow between tokens',
-	lateComplete: 'late to the end',
+	lateComplete: 'late completion',
 	refused: 'refused',
 	failed: 'broken off',
 } as const;
@@ -33,7 +33,7 @@
  *
  * @param document - Counts, for the plots.
  * @param report - Burn rates of the same counts.
- * @param options - `writtenAt`, wall-clock milliseconds shown on the page; `rowsPerScope` cuts rules and workspaces to the fastest burning.
+ * @param options - `writtenAt`, wall-clock milliseconds shown on the page; `rowsPerScope` limits rules and workspaces to the fastest burning ones, 50 by default.
  * @returns An HTML document.
  *
  * @example
@@ -96,7 +96,7 @@
 		return [];
 	}
 
-	const head = ['', 'class', 'asked', ...windowNames, 'causes in 1h'].map(text => `<th>${text}</th>`).join('');
+	const head = ['', 'class', 'objective', ...windowNames, 'causes in 1h'].map(text => `<th>${text}</th>`).join('');
 	return [
 		`<h2>${headings[scope]}</h2>`,
 		`<table><thead><tr>${head}</tr></thead><tbody>`,
@@ -124,7 +124,7 @@
 	return scope === 'other-workspaces' ? 'other workspaces' : escapeText(name.length > 60 ? `${name.slice(0, 59)}…` : name);
 }
 
-/** Names of workspaces come from callers; none may become markup. */
+/** Escapes text for HTML, since names of workspaces come from callers. */
 function escapeText(text: string): string {
 	return text.replaceAll('&', '&amp;').replaceAll('<', '&lt;').replaceAll('>', '&gt;').replaceAll('"', '&quot;').replaceAll('\'', '&#39;');
 }
--- a/src/domain/to-burn-page/test.ts
+++ b/src/domain/to-burn-page/test.ts
@@ -7,7 +7,7 @@
 import {toBurnPage} from './index.js';
 
 describe('toBurnPage', () => {
-	it('is a page with plots, alerts and tables, and nothing fetched', () => {
+	it('writes a page with plots, alerts and tables, and without external resources', () => {
 		const points = Array.from({length: 60}, (_, i) => ({...emptyCounts, total: i, bad: i % 3}));
 		const document = toDocument(toSeries({'5m': [30, 99], '1h': [300, 999]}, {minutes: points, quarters: points}), toSeries({'1h': [1, 2]}, {scope: 'rule', name: 'desk'}));
 		const page = toBurnPage(document, toBurnRates(document), {writtenAt: 0});
@@ -17,7 +17,7 @@
 		assert.doesNotMatch(page, /https?:|<script|NaN|undefined/);
 	});
 
-	it('turns no name into markup', () => {
+	it('escapes names', () => {
 		fc.assert(fc.property(fc.string(), name => {
 			const hostile = `${name}<img src=x>"'&`;
 			const document = toDocument(toSeries({'1h': [1, 2]}, {scope: 'workspace', name: hostile}));
@@ -26,7 +26,7 @@
 		}));
 	});
 
-	it('draws any counts without a number that is none', () => {
+	it('draws any counts without NaN or Infinity', () => {
 		const counts = fc.record({bad: fc.nat(10), good: fc.nat(10)}).map(({bad, good}) => ({...emptyCounts, total: bad + good, bad}));
 		fc.assert(fc.property(fc.array(counts, {maxLength: 100}), points => {
 			const document = toDocument(toSeries({}, {minutes: points, quarters: points}));
--- a/src/domain/to-burn-rates/index.ts
+++ b/src/domain/to-burn-rates/index.ts
@@ -9,24 +9,25 @@
 /** Share of requests that must be good, by class. */
 export type Objectives = Readonly<Record<ServiceClass, number>>;
 
-/** 95 in 100, as the users ask of both classes. */
+/** The users require 95% for both classes. */
 export const defaultObjectives: Objectives = {quick: 0.95, batch: 0.95};
 
-/** `page` needs a person now, `ticket` in working hours. */
+/** `page` requires action now, `ticket` during working hours. */
 export type AlertLevel = 'page' | 'ticket' | 'none';
 
 export type AlertRule = {
 	level: Exclude<AlertLevel, 'none'>;
-	/** Both windows must burn at this rate: the long one says that it matters, the short one that it still goes on. */
+	/** Burn rate that both windows must reach: the long window shows that the burn is significant, the short one that it is still going on. */
 	burn: number;
 	short: WindowName;
 	long: WindowName;
 };
 
 /**
- * With 95 in 100 a burn can't exceed 20, so the usual factor of 14.4, made for
- * 99.9, would stay silent until 72 in 100 are bad. These page at 30 and at 15
- * in 100; `docs/design/008-operations.md` says how they were chosen.
+ * Alert rules for an objective of 95%. The burn rate can't exceed 20 then, so the
+ * usual factor of 14.4, which is meant for 99.9%, would not page before 72% of the
+ * requests are bad. These rules page at 30% and at 15%;
+ * `docs/design/008-operations.md` explains the choice.
  */
 export const defaultAlertRules: readonly AlertRule[] = [
 	{
@@ -46,7 +47,7 @@
 	bad: number;
 	/** Share of good requests; `undefined` without requests. */
 	goodShare: number | undefined;
-	/** Share of bad requests over the share that the objective allows: at 1 the budget is spent just as fast as it is given. */
+	/** Share of bad requests divided by the share that the objective allows. At 1 the error budget is spent exactly by the end of its period. */
 	burn: number;
 };
 
@@ -59,19 +60,19 @@
 	alert: AlertLevel;
 	/** Rule that raised the alert. */
 	alertRule: AlertRule | undefined;
-	/** Causes of the last hour's bad requests, the most frequent first. */
+	/** Causes of bad requests in the last hour, the most frequent first. */
 	causes: ReadonlyArray<{cause: BadCause; count: number}>;
 };
 
 export type BurnReport = {
 	hosts: readonly string[];
-	/** Rows by class, then rules, then workspaces; in each the fastest burning first. */
+	/** Rows of classes, then rules, then workspaces; in each group the fastest burning first. */
 	rows: readonly BurnRow[];
 };
 
 export type BurnOptions = {
 	alertRules?: readonly AlertRule[];
-	/** Requests below which a window raises no alert: one bad request of two is no trend. */
+	/** Number of requests below which a window raises no alert, since one bad request of two is no trend. */
 	minRequests?: number;
 };
 
@@ -79,11 +80,11 @@
 const scopeOrder: readonly SeriesScope[] = ['class', 'rule', 'workspace', 'other-workspaces'];
 
 /**
- * Computes burn rates over all windows and the alerts that they raise.
+ * Computes burn rates over all windows, and the resulting alerts.
  *
  * @param document - Counts of one host, or of several added together.
- * @param objectives - Share of good requests asked for, by class, above 0 and below 1.
- * @param options - Alert rules and the least number of requests.
+ * @param objectives - Required share of good requests by class, above 0 and below 1.
+ * @param options - Alert rules and the minimum number of requests.
  * @returns The report.
  *
  * @example
--- a/src/domain/to-burn-rates/test.ts
+++ b/src/domain/to-burn-rates/test.ts
@@ -17,12 +17,12 @@
 
 	const alerts: Array<[string, Partial<Record<WindowName, [number, number]>>, AlertLevel]> = [
 		['nothing', {}, 'none'],
-		['a burn that goes on and matters', {'5m': [30, 99], '1h': [300, 999]}, 'page'],
+		['a significant burn that is still going on', {'5m': [30, 99], '1h': [300, 999]}, 'page'],
 		['a burn that is over', {'5m': [0, 100], '1h': [300, 900]}, 'none'],
 		['a burn that has only begun', {'5m': [50, 100], '1h': [50, 1000]}, 'none'],
 		['a slower burn over hours', {'30m': [16, 100], '6h': [160, 1000]}, 'page'],
-		['a budget that will not last', {'6h': [51, 1000], '24h': [51, 1000]}, 'ticket'],
-		['too few requests to tell', {'5m': [19, 19], '1h': [19, 19]}, 'none'],
+		['a slow burn that would use up the budget', {'6h': [51, 1000], '24h': [51, 1000]}, 'ticket'],
+		['too few requests to judge', {'5m': [19, 19], '1h': [19, 19]}, 'none'],
 	];
 	for (const [name, badOf, expected] of alerts) {
 		it(`raises ${expected} for ${name}`, () => {
--- a/src/domain/to-burn-table/index.ts
+++ b/src/domain/to-burn-table/index.ts
@@ -4,11 +4,11 @@
 import {type BurnReport, type BurnRow} from '../to-burn-rates/index.js';
 
 /**
- * Writes the report, the classes first, one line a series.
+ * Writes the report with one line per series, the classes first.
  *
  * @param report - Burn rates.
- * @param options - `rowsPerScope` cuts rules and workspaces to the fastest burning; 20 unless given.
- * @returns Text that ends with a line break; burn rate and bad of total for each window.
+ * @param options - `rowsPerScope` limits rules and workspaces to the fastest burning ones; 20 by default.
+ * @returns Text that ends with a line break, with burn rate and bad/total for each window.
  *
  * @example
  * ```ts
@@ -23,7 +23,7 @@
 	}
 
 	const shown = report.rows.filter((row, i) => report.rows.slice(0, i).filter(other => other.scope === row.scope).length < rowsPerScope);
-	const header = ['what', 'class', 'asked', ...report.rows[0]!.windows.map(each => each.window), 'alert', 'causes in 1h'];
+	const header = ['series', 'class', 'objective', ...report.rows[0]!.windows.map(each => each.window), 'alert', 'causes in 1h'];
 	const cells = [header, ...shown.map(row => toCells(row))];
 	const widths = header.map((_, column) => Math.max(...cells.map(line => line[column]!.length)));
 	const lines = cells.map(line => line.map((cell, column) => cell.padEnd(widths[column]!)).join('  ').trimEnd());
@@ -43,7 +43,7 @@
 	];
 }
 
-/** Names come from callers: control characters could rewrite a terminal. */
+/** Returns the label of a row. Names come from callers, and control characters in them could manipulate the terminal, so they are replaced. */
 function toLabel({scope, name}: BurnRow): string {
 	const printable = [...name].map(char => /[\p{C}\p{Z}]/u.test(char) && char !== ' ' ? '?' : char).join('');
 	const short = printable.length > 40 ? `${printable.slice(0, 39)}…` : printable;
--- a/src/domain/to-config-body/index.ts
+++ b/src/domain/to-config-body/index.ts
@@ -1,13 +1,13 @@
 /**
- * Writes the body of a JSON document with one entry on each line, so that hosts
- * read it by lines and a small change is a small change of the text.
+ * Writes the body of a JSON document with one entry per line, so that hosts can read
+ * it line by line, and a small change of the values is a small change of the text.
  *
- * @param values - Plain values of a document or a part; what its end says is left out.
- * @returns The document without its end, for `addPlainEnd` or a seal.
+ * @param values - Plain values of a document or a part; `edition`, `follows` and `end` are left out.
+ * @returns The document without its end, which `addPlainEnd` or a seal appends.
  *
  * @example
  * ```ts
- * toLinesText({hosts: [{id: 'a-1', zone: 'a'}]}); // => '{\n"hosts": [\n{"id":"a-1","zone":"a"}\n]'
+ * toConfigBody({hosts: [{id: 'a-1', zone: 'a'}]}); // => '{\n"hosts": [\n{"id":"a-1","zone":"a"}\n]'
  * ```
  */
 export function toConfigBody(values: Readonly<Record<string, unknown>>): string {
--- a/src/domain/to-event-timeline/index.ts
+++ b/src/domain/to-event-timeline/index.ts
@@ -1,23 +1,24 @@
-/** What hosts believed when: the same change at several hosts is one row, with the first and the last to know. */
+/** Merges log lines of several hosts into a timeline, in which the same change at several hosts is one row. */
 import {type Milliseconds} from '../../ports/clock.js';
 import {msPerSecond} from '../../ports/units.js';
 import {type LogLine} from '../parse-log-lines/index.js';
 
 export type TimelineRow = {
 	message: string;
-	/** What tells this change from others: server, state, edition and the like. */
+	/** Fields that identify the change, such as server, state and edition. */
 	subject: string;
-	/** Time at which the first host wrote of it, milliseconds since 1970. */
+	/** Time at which the first host logged the change, milliseconds since 1970. */
 	firstAt: number;
+	/** Time at which the last host logged the change, milliseconds since 1970. */
 	lastAt: number;
-	/** Hosts in the order in which they wrote of it. */
+	/** Hosts in the order in which they logged the change. */
 	hosts: string[];
 };
 
-/** Fields that name what changed; numbers such as revisions and counts differ from host to host. */
+/** Fields that identify a change; others, such as revisions and counts, differ between hosts. */
 const subjectFields = ['server', 'state', 'edition', 'peer', 'kind', 'signal', 'reason'] as const;
 
-/** Longest time between two hosts' words for the same change; what comes later is another one, such as a server's second restart. */
+/** Longest time between the first and the last host that log the same change; a later line is another change, such as a second restart of a server. */
 const sameChangeWindowMs: Milliseconds = 15 * msPerSecond;
 
 function toSubject({fields}: LogLine): string {
@@ -25,14 +26,14 @@
 }
 
 /**
- * Makes the timeline.
+ * Creates the timeline.
  *
- * @param lines - Lines of all hosts, in order; those of requests are left out.
- * @returns Rows in the order of their first word.
+ * @param lines - Log lines of all hosts, in order; lines about requests are left out.
+ * @returns Rows in the order of their first lines.
  *
  * @example
  * ```ts
- * toBeliefTimeline(parseLogLines(texts).lines)[0]?.hosts; // => ['front-a-1', 'front-b-1']
+ * toEventTimeline(parseLogLines(texts).lines)[0]?.hosts; // => ['front-a-1', 'front-b-1']
  * ```
  */
 export function toEventTimeline(lines: readonly LogLine[]): TimelineRow[] {
--- a/src/domain/to-event-timeline/test.ts
+++ b/src/domain/to-event-timeline/test.ts
@@ -7,8 +7,8 @@
 	at, message, host, fields, level: 'info',
 });
 
-describe('toBeliefTimeline', () => {
-	it('makes one row of one change, and tells who knew first and who last', () => {
+describe('toEventTimeline', () => {
+	it('merges one change at several hosts into one row, with first and last time', () => {
 		const rows = toEventTimeline([
 			toLine(0, 'a', 'server changed', {server: 's', state: 'gone', revision: 4}),
 			toLine(300, 'b', 'server changed', {server: 's', state: 'gone', revision: 5}),
@@ -19,7 +19,7 @@
 		}]);
 	});
 
-	it('keeps apart what one host says twice, and what comes much later', () => {
+	it('keeps lines apart that one host repeats, or that come much later', () => {
 		const lines = [0, 100, 40_000].map(at => toLine(at, 'a', 'platform does not answer'));
 		assert.equal(toEventTimeline(lines).length, 3);
 		assert.equal(toEventTimeline([toLine(0, 'a', 'stopping'), toLine(20_000, 'b', 'stopping')]).length, 2);
--- a/src/domain/to-fingerprint/index.ts
+++ b/src/domain/to-fingerprint/index.ts
@@ -1,7 +1,7 @@
 import {createHash} from 'node:crypto';
 import {type Fingerprint, type WorkspaceId} from '../../ports/ids.js';
 
-/** Enough that two requests of a fleet's day hardly ever share one, and short enough for a log line and a datagram. */
+/** Long enough that two of the requests that a fleet gets in a day hardly ever collide, and short enough for a log line and a datagram. */
 const fingerprintBytes = 9;
 
 export type FingerprintInput = {
@@ -9,16 +9,16 @@
 	method: string;
 	/** Value of the `Host` header, in any case. */
 	host: string | undefined;
-	/** Path and query as they came. */
+	/** Path and query as received. */
 	target: string;
 	body: Uint8Array;
 };
 
 /**
- * Names what a caller asks for, whatever id the request has and whichever host
- * it reaches. Nothing of the body can be read from it.
+ * Hashes the content of a request. The fingerprint does not depend on the request's
+ * id or on the host that receives the request, and reveals nothing of the body.
  *
- * @param input - Who asks, and for what.
+ * @param input - The parts of the request that identify the work.
  * @returns 12 characters, base64url.
  *
  * @example
--- a/src/domain/to-fingerprint/test.ts
+++ b/src/domain/to-fingerprint/test.ts
@@ -8,11 +8,11 @@
 };
 
 describe('toFingerprint', () => {
-	it('is the same for the same request, however the name of the service is written', () => {
+	it('is the same for the same request, in whatever case the host name is written', () => {
 		assert.equal(toFingerprint({...input, host: 'Desk.Example', body: new Uint8Array(Buffer.from('a scene'))}), toFingerprint(input));
 	});
 
-	it('fits into a log line and a datagram, and shows nothing of the body', () => {
+	it('has 12 characters, which fit into a log line and a datagram', () => {
 		assert.match(toFingerprint(input), /^[\w\-]{12}$/v);
 	});
 
@@ -23,7 +23,7 @@
 		{host: undefined},
 		{target: '/scenes/1'},
 		{body: Buffer.from('another scene')},
-		// Where one part ends and the next begins counts too.
+		// The boundary between two fields is part of the hash.
 		{method: 'POS', host: 'Tdesk.example'},
 	];
 	for (const other of others) {
--- a/src/domain/to-forward-headers/index.ts
+++ b/src/domain/to-forward-headers/index.ts
@@ -1,15 +1,15 @@
-/** Headers that speak of one connection only (RFC 9110, 7.6.1). */
+/** Hop-by-hop headers, which concern one connection only (RFC 9110, 7.6.1). */
 const hopByHop = new Set(['connection', 'keep-alive', 'proxy-authenticate', 'proxy-authorization', 'proxy-connection', 'te', 'trailer', 'transfer-encoding', 'upgrade', 'http2-settings', 'expect']);
 
 type HeaderValues = Readonly<Record<string, string | readonly string[] | undefined>>;
 
 /**
- * Drops the headers that must not travel on: those of the connection, those
- * that its `Connection` header names, and any the caller of this function adds.
+ * Drops the headers that must not be forwarded: hop-by-hop headers, those that the
+ * `Connection` header names, and any that the options name.
  *
  * @param headers - Headers by lower-case name.
- * @param options - `drop`: further names.
- * @returns The headers that stay.
+ * @param options - `drop`: names of further headers to drop.
+ * @returns The headers to forward.
  *
  * @example
  * ```ts
--- a/src/domain/to-forward-headers/test.ts
+++ b/src/domain/to-forward-headers/test.ts
@@ -8,8 +8,8 @@
 		['drops hop-by-hop headers', {
 			te: 'trailers', 'transfer-encoding': 'chunked', upgrade: 'h2c', accept: 'a',
 		}, [], {accept: 'a'}],
-		['drops what Connection names, whatever its case', {connection: 'close, X-Hop', 'x-hop': '1'}, [], {}],
-		['drops what it is told to', {host: 'h', accept: 'a'}, ['host'], {accept: 'a'}],
+		['drops the headers that Connection names, in any case', {connection: 'close, X-Hop', 'x-hop': '1'}, [], {}],
+		['drops the headers that the options name', {host: 'h', accept: 'a'}, ['host'], {accept: 'a'}],
 		['drops absent values', {accept: undefined}, [], {}],
 	];
 	for (const [name, headers, drop, expected] of cases) {
--- a/src/domain/to-problem/index.ts
+++ b/src/domain/to-problem/index.ts
@@ -1,5 +1,5 @@
 /**
- * Problem documents (RFC 9457) with which requests are refused or broken off.
+ * Writes the problem documents (RFC 9457) of refused and aborted requests.
  */
 import {type Milliseconds} from '../../ports/clock.js';
 import {type RequestId} from '../../ports/ids.js';
@@ -42,40 +42,41 @@
 
 export type Problem = {
 	kind: ProblemKind;
-	/** What went wrong here and what the caller can do about it. */
+	/** Says what went wrong, and what the caller can do. */
 	detail: string;
 	outcome: Outcome;
-	/** When coming back makes sense. */
+	/** Time after which a retry makes sense. */
 	retryAfterMs?: Milliseconds | undefined;
 };
 
-/** A problem as it goes over HTTP. */
+/** A problem as an HTTP response. */
 export type ProblemDocument = {
 	status: number;
 	headers: Record<string, string>;
 	body: string;
 };
 
-/** How problems are written where callers expect other than the usual. */
+/** Deviations from the usual form, for callers that expect them. */
 export type ProblemStyle = {
-	/** Statuses in place of the usual ones. */
+	/** Statuses that replace the usual ones, by kind. */
 	statuses?: Readonly<Partial<Record<ProblemKind, number>>>;
-	/** Callers read the status alone, and conclude from it whether the request ran. */
+	/** Whether callers conclude from the status alone whether the request ran. */
 	isOutcomeInStatus?: boolean;
-	/** Callers read `Retry-After` with fractions of a second. */
+	/** Whether callers accept fractions of a second in `Retry-After`. */
 	hasFractionalSeconds?: boolean;
 };
 
-/** Statuses by which callers conclude that nothing ran and nothing will. */
+/** Statuses from which callers conclude that the request did not run and will not run. */
 const notRunStatuses: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
 /** Statuses that tell a caller nothing about whether its request ran. */
 const ambiguousStatuses: ReadonlySet<number> = new Set([502, 504]);
 
 /**
- * A caller sends its request again after a status that means "not run". Given
- * for work that a server may have taken, it would run twice; withheld from work
- * that nobody took, the caller would give up for nothing.
+ * Replaces a status that contradicts the outcome. A caller repeats its request
+ * after a status that means "not run". If work that a server may have accepted got
+ * such a status, the work would run twice; if work that no server accepted got
+ * another status, the caller would give up needlessly.
  */
 function toOutcomeStatus(status: number, outcome: Outcome): number {
 	if (outcome !== 'not-run') {
@@ -91,12 +92,12 @@
 }
 
 /**
- * Writes a problem as an RFC 9457 document. Its `outcome` says what the caller
- * may conclude, and `Retry-After` when to come back, so that nobody has to be
- * held back to slow them down.
+ * Writes a problem as an RFC 9457 document. The `outcome` tells the caller whether
+ * the request ran, and `Retry-After` tells when to retry, so that the router need
+ * not hold requests back to slow callers down.
  *
  * @param problem - What went wrong.
- * @param requestId - Id of the request, by which operators find its account.
+ * @param requestId - Id of the request, by which operators find the request's account.
  * @param style - Statuses and form that the callers of this host expect.
  * @returns Status, headers and body.
  *
--- a/src/domain/to-problem/test.ts
+++ b/src/domain/to-problem/test.ts
@@ -27,9 +27,9 @@
 	}
 
 	/*
-	 * Callers that read the status alone send a request again after a 503 and never
-	 * after a 502. A 503 for work that a server may have taken makes it run twice; a
-	 * 502 for work that nobody took makes its caller give up for nothing.
+	 * Callers that read only the status repeat a request after a 503 and never after a
+	 * 502. A 503 for work that a server may have accepted makes the work run twice; a
+	 * 502 for work that no server accepted makes the caller give up needlessly.
 	 */
 	const statuses: ReadonlyArray<{kind: ProblemKind; outcome: Outcome; status: number}> = [
 		{kind: 'no-capacity', outcome: 'not-run', status: 503},
@@ -44,7 +44,7 @@
 		{kind: 'body-too-large', outcome: 'not-run', status: 413},
 	];
 	for (const {kind, outcome, status} of statuses) {
-		it(`says ${status} of ${kind} with ${outcome} to callers that read the status alone`, () => {
+		it(`writes status ${status} for ${kind} with ${outcome} when callers read only the status`, () => {
 			assert.equal(toProblem({kind, detail: '', outcome}, 'r1', {isOutcomeInStatus: true}).status, status);
 		});
 	}
--- a/src/domain/to-request-history/index.ts
+++ b/src/domain/to-request-history/index.ts
@@ -1,25 +1,25 @@
-/** What became of one request, from the lines of all hosts. */
+/** Finds what happened to one request, from the log lines of all hosts. */
 import {type Milliseconds} from '../../ports/clock.js';
 import {msPerSecond} from '../../ports/units.js';
 import {type LogLine} from '../parse-log-lines/index.js';
 
 export type RequestHistory = {
-	/** The request's own lines, in order. */
+	/** Lines about the request itself, in order. */
 	own: LogLine[];
-	/** What its host came to believe of the servers that it was sent to, and of the platform, around that time. */
+	/** Lines of the request's host, around that time, about changes in its view of the servers concerned and of the platform. */
 	beliefs: LogLine[];
-	/** In a sentence, what ended it; `undefined` when its end is not among the lines. */
+	/** Why the request ended, in one sentence; `undefined` when the lines don't contain the end. */
 	verdict: string | undefined;
 };
 
-/** Time before the request, and after its end, in which beliefs of its host are shown. */
+/** Times before the first and after the last line of the request for which other lines of the host are included. */
 const contextBeforeMs: Milliseconds = 10 * msPerSecond;
 const contextAfterMs: Milliseconds = 3 * msPerSecond;
 
-/** Fields in which a line names servers. */
+/** Fields that name servers. */
 const serverFields = ['server', 'prefillServer', 'decodeServer'] as const;
 
-/** Messages that say what a host believes of more than one server. */
+/** Messages that concern the whole host rather than one server. */
 const hostWideMessages = new Set([
 	'configuration in force', 'platform answers', 'platform does not answer', 'platform no longer knows what changed, reading all anew', 'woke up after a pause', 'stopping', 'listening',
 ]);
@@ -29,15 +29,15 @@
 }
 
 const explanations: Readonly<Record<string, string>> = {
-	complete: 'it was answered',
+	complete: 'the request was answered',
 	'no-capacity': 'no server had room, or none was in service',
-	'would-miss-target': 'it waited for room as long as its answer could be in time',
-	'queue-full': 'too many requests waited already',
-	'backend-failed': 'its last server failed',
-	'deadline-passed': 'its time was over',
-	'caller-gone': 'its caller left',
-	'no-rule': 'no rule matches it',
-	quarantined: 'several servers crashed while they ran it or a repeat of it',
+	'would-miss-target': 'the request waited until its answer could no longer meet the target',
+	'queue-full': 'too many requests were already waiting',
+	'backend-failed': 'the last server failed',
+	'deadline-passed': 'the deadline had passed',
+	'caller-gone': 'the caller disconnected',
+	'no-rule': 'no rule matches the request',
+	quarantined: 'several servers crashed while they ran the request or a repetition of it',
 };
 
 function toVerdict(own: readonly LogLine[]): string | undefined {
@@ -51,27 +51,29 @@
 	const last = failures.at(-1);
 	const why = last === undefined ? '' : `; the last failure, of ${failures.length}: ${toFieldsText(last)}`;
 	const full = own.some(({message}) => message === 'every server is full') ? '; every decode server was full' : '';
-	return `${reason}: ${explanations[reason] ?? 'see its last line'}${full}${why}`;
+	return `${reason}: ${explanations[reason] ?? 'see the last line of the request'}${full}${why}`;
 }
 
 /**
+ * Formats the fields of a log line.
+ *
  * @param line - A log line.
- * @returns Its fields as `name=value`, without the request's id.
+ * @returns The fields as `name=value`, without the request's id.
  */
 export function toFieldsText({fields}: LogLine): string {
 	return Object.entries(fields).filter(([name]) => name !== 'requestId').map(([name, value]) => `${name}=${value}`).join(' ');
 }
 
 /**
- * Finds a request's story.
+ * Collects the history of a request.
  *
- * @param lines - Lines of all hosts, in order.
- * @param requestId - The id that its caller sent or was told.
- * @returns The story; without own lines, no host wrote of it.
+ * @param lines - Log lines of all hosts, in order.
+ * @param requestId - Id of the request, chosen by the caller or returned to it.
+ * @returns The history; `own` is empty when no host logged the request.
  *
  * @example
  * ```ts
- * toRequestStory(parseLogLines(texts).lines, '9c41d07be2a35f68').verdict; // => 'complete: it was answered'
+ * toRequestHistory(parseLogLines(texts).lines, '9c41d07be2a35f68').verdict; // => 'complete: the request was answered'
  * ```
  */
 export function toRequestHistory(lines: readonly LogLine[], requestId: string): RequestHistory {
--- a/src/domain/to-request-history/test.ts
+++ b/src/domain/to-request-history/test.ts
@@ -10,11 +10,11 @@
 const ofRequest = (at: number, message: string, fields: LogLine['fields'] = {}) => toLine(at, message, {requestId: 'r', ...fields});
 
 /*
- * A caller complains and has an id, nothing else. On-call has the lines of all
- * hosts. The story must show what the request's own host believed of the servers
- * concerned, and not what others did.
+ * An operator knows only the id of a request and has the log lines of all hosts. The
+ * history must show how the request's own host saw the servers concerned, and not
+ * how other hosts saw them, since these did not influence the request.
  */
-describe('toRequestStory', () => {
+describe('toRequestHistory', () => {
 	const cut = [
 		toLine(50_000, 'server changed', {server: 's1', state: 'serving'}),
 		ofRequest(61_000, 'request received', {rule: 'notices'}),
@@ -27,22 +27,22 @@
 		toLine(80_000, 'server changed', {server: 's1', state: 'serving'}),
 	];
 
-	it('shows the request and what its host came to believe of its servers', () => {
+	it('shows the request, and the changes of its servers as seen by its host', () => {
 		const story = toRequestHistory(cut, 'r');
 		assert.equal(story.own.length, 4);
 		assert.deepEqual(story.beliefs.map(({at}) => at), [63_000]);
 	});
 
-	it('names the last failure', () => {
+	it('reports the last failure', () => {
 		assert.match(toRequestHistory(cut, 'r').verdict!, /the connection was reset/v);
 	});
 
-	it('says that memory was short where that was the cause', () => {
+	it('says that every decode server was full when that was the cause', () => {
 		const lines = [ofRequest(0, 'request received'), ofRequest(5, 'every server is full'), ofRequest(900, 'request ended', {reason: 'no-capacity'})];
 		assert.match(toRequestHistory(lines, 'r').verdict!, /^no-capacity: .*every decode server was full/v);
 	});
 
-	it('has nothing to say of a request that no host wrote of, or whose end is missing', () => {
+	it('has no verdict for a request that no host logged, or whose end is missing', () => {
 		assert.deepEqual(toRequestHistory(cut, 'other'), {own: [], beliefs: [], verdict: undefined});
 		assert.equal(toRequestHistory([ofRequest(0, 'request received')], 'r').verdict, undefined);
 	});
--- a/src/domain/to-scoped-key/index.ts
+++ b/src/domain/to-scoped-key/index.ts
@@ -1,32 +1,32 @@
 import {type WorkspaceId} from '../../ports/ids.js';
 
 /**
- * Names a key within its workspace as one text, for tables and for hashing. Two
- * workspaces that use one UUID must not meet. The key stands first and has a
- * fixed alphabet, so no workspace name can imitate another pair.
+ * Combines a key with its workspace into one string, for tables and for hashing, so
+ * that two workspaces that use the same UUID don't collide. The key comes first and
+ * has a fixed alphabet, so no name of a workspace can forge another pair.
  *
  * @param scoped - Workspace and key.
- * @returns The text; equal exactly when both parts are.
+ * @returns The scoped key. Two scoped keys are equal exactly when both parts are equal.
  *
  * @example
  * ```ts
- * toScopedText({workspace: 'glossworks', key: '0189'}); // => '0189\nglossworks'
+ * toScopedKey({workspace: 'glossworks', key: '0189'}); // => '0189\nglossworks'
  * ```
  */
 export function toScopedKey({workspace, key}: {workspace: WorkspaceId; key: string}): string {
-	// Joined and not concatenated: a concatenation keeps its parts alive in every table that it names an entry of.
+	// `join` gives a flat string. A concatenation would keep both of its parts in memory as long as a table has the scoped key.
 	return [key.toLowerCase(), workspace].join('\n');
 }
 
 /**
- * Reads a text of {@link toScopedKey} back.
+ * Splits a scoped key from {@link toScopedKey}.
  *
- * @param text - The text.
+ * @param text - The scoped key.
  * @returns Workspace and key, the key in lower case.
  *
  * @example
  * ```ts
- * parseScopedText('0189\nglossworks'); // => {workspace: 'glossworks', key: '0189'}
+ * parseScopedKey('0189\nglossworks'); // => {workspace: 'glossworks', key: '0189'}
  * ```
  */
 export function parseScopedKey(text: string): {workspace: WorkspaceId; key: string} {
--- a/src/domain/to-scoped-key/test.ts
+++ b/src/domain/to-scoped-key/test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import {parseScopedKey, toScopedKey} from './index.js';
 
-describe('toScopedText', () => {
+describe('toScopedKey', () => {
 	it('is equal exactly when workspace and key are, and can be read back', () => {
 		const pair = fc.record({workspace: fc.string({maxLength: 3}), key: fc.constantFrom('0a', '0b')}, {noNullPrototype: true});
 		fc.assert(fc.property(pair, pair, (a, b) => {
