--- a/src/domain/accept-config/index.ts
+++ b/src/domain/accept-config/index.ts
@@ -85,10 +85,10 @@
 	}
 
 	const version: ConfigVersion = {edition: seal.value.edition, revision: candidate.revision, digest};
-	const rivalry = current && toConflict(current, version, seal.value);
+	const conflict = current && toConflict(current, version, seal.value);
 	if (current && compareConfigVersions(version, current.version) < 0) {
-		return rivalry
-			? {...toRefusal('rival-lost', rivalry.message), conflict: rivalry}
+		return conflict
+			? {...toRefusal('rival-lost', conflict.message), conflict}
 			: toRefusal('older', toOlderMessage(current.version, version, seal.value));
 	}
 
@@ -111,7 +111,7 @@
 		accepted: {
 			version, config: parsed.value, text: candidate.text, ...(parts.length > 0 && {parts}),
 		},
-		conflict: rivalry,
+		conflict,
 		warning: current && toWarning(current.version, version, seal.value),
 	};
 }
@@ -138,8 +138,8 @@
 		return undefined;
 	}
 
-	const isNewer = compareConfigVersions(version, current.version) > 0;
-	const [winner, loser] = isNewer ? [version, current.version] : [current.version, version];
+	const isCandidateNewer = compareConfigVersions(version, current.version) > 0;
+	const [winner, loser] = isCandidateNewer ? [version, current.version] : [current.version, version];
 	const message = `two documents were sealed as edition ${winner.edition}: ${toVersionText(winner)} wins and ${toVersionText(loser)} loses, so its edit is not in force; `
 		+ 'repeat that edit on the winner and seal it as the next edition';
 	return {winner, loser, message};
--- a/src/domain/compile-rules/test.ts
+++ b/src/domain/compile-rules/test.ts
@@ -51,12 +51,12 @@
 	});
 
 	it('finds the same rule with reused segments as with new ones, after any edits', () => {
-		const edit = fc.record({at: fc.nat(40), gone: fc.nat(12), come: fc.array(anyWhen, {maxLength: 8})});
+		const edit = fc.record({at: fc.nat(40), removed: fc.nat(12), inserted: fc.array(anyWhen, {maxLength: 8})});
 		fc.assert(fc.property(fc.array(anyWhen, {maxLength: 40}), fc.array(edit, {minLength: 1, maxLength: 5}), fc.array(anyFacts, {minLength: 1, maxLength: 20}), (whens, edits, samples) => {
 			let current = whens;
 			let compiled = compileRules({rules: toRules(current)}, undefined, {segmentSize: 5});
-			for (const {at, gone, come} of edits) {
-				current = current.toSpliced(at, gone, ...come);
+			for (const {at, removed, inserted} of edits) {
+				current = current.toSpliced(at, removed, ...inserted);
 				const rules = toRules(current);
 				compiled = compileRules({rules}, compiled, {segmentSize: 5});
 				assert.deepEqual(compiled.rules.map(({rule}) => rule), rules);
--- a/src/domain/from-config-chunks/test.ts
+++ b/src/domain/from-config-chunks/test.ts
@@ -19,8 +19,8 @@
 
 	it('names the chunks that are missing, each once', () => {
 		const {manifest, chunks} = toConfigChunks('a\nb\nb\nc\n'.repeat(100), {averageLength: 1});
-		const [gone] = chunks.keys();
-		assert.deepEqual(fromConfigChunks(manifest, digest => digest === gone ? undefined : chunks.get(digest))._unsafeUnwrapErr(), {kind: 'missing', digests: [gone]});
+		const [missing] = chunks.keys();
+		assert.deepEqual(fromConfigChunks(manifest, digest => digest === missing ? undefined : chunks.get(digest))._unsafeUnwrapErr(), {kind: 'missing', digests: [missing]});
 	});
 
 	it('refuses chunks that join to another text', () => {
--- a/src/domain/parse-config/_lib/read-next.ts
+++ b/src/domain/parse-config/_lib/read-next.ts
@@ -260,8 +260,8 @@
 }
 
 /** Tells whether a new entry repeats a name. Old entries have different names, so one of two equal names is always new. */
-function hasDuplicate(all: ReadonlyArray<Indexed<object>>, fresh: ReadonlyArray<Indexed<object>>, key: string): boolean {
+function hasDuplicate(all: ReadonlyArray<Indexed<object>>, added: ReadonlyArray<Indexed<object>>, key: string): boolean {
 	const toName = ({value}: Indexed<object>) => (value as Record<string, unknown>)[key];
-	const names = new Set(fresh.map(entry => toName(entry)));
+	const names = new Set(added.map(entry => toName(entry)));
 	return names.size > 0 && all.filter(entry => names.has(toName(entry))).length > names.size;
 }
--- a/src/domain/parse-config/parts.test.ts
+++ b/src/domain/parse-config/parts.test.ts
@@ -85,7 +85,7 @@
 		}), {numRuns: 200});
 	});
 
-	const freshParts: Array<[title: string, toText: (text: string) => string]> = [
+	const changedParts: Array<[title: string, toText: (text: string) => string]> = [
 		['has lost its end', text => text.replace('"end": "banyanport"}\n', '"end": ""}\n')],
 		['ends as a sealed document', text => text.replace('"end": "banyanport"', `"edition": 1,\n"follows": "none",\n"end": "sealed-${'a'.repeat(64)}"`)],
 		['has a section that only the root may have', text => text.replace('"end"', '"zones": [],\n"end"')],
@@ -93,7 +93,7 @@
 		['has entries that are not on lines of their own', text => text.replace('"hosts": []', '"hosts": [{"id":"a-9","zone":"nowhere"}]')],
 		['nests too deeply within a string', text => text.replace('"r8"', `"${'['.repeat(65)}"`)],
 	];
-	for (const [title, toText] of freshParts) {
+	for (const [title, toText] of changedParts) {
 		it(`returns the same as parseConfig when a changed part ${title}`, () => {
 			const read = createConfigReader();
 			const {root, parts} = toPartDocument(values, {hosts: [0, 0], servers: [0, 2], rules: [7, 15]});
--- a/src/domain/parse-config/test.ts
+++ b/src/domain/parse-config/test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import {parseConfig, toFaultLine} from './index.js';
 
-const sound = `zones:
+const validText = `zones:
   - {id: a, region: r}
 pools:
   - {name: summaries, model: m, version: '1', classes: batch, adapters: [x]}
@@ -29,7 +29,7 @@
 
 describe('parseConfig', () => {
 	it('fills in routes and defaults, and reads durations', () => {
-		const config = parseConfig(sound)._unsafeUnwrap();
+		const config = parseConfig(validText)._unsafeUnwrap();
 		assert.deepEqual(config.rules[0]?.then.target, {firstTokenMs: 1300, perTokenMs: 250, completeMs: 600_000});
 		assert.equal(config.rules[1]?.then.pool, 'desk');
 		assert.deepEqual(config.servers.map(({slots}) => slots), [4, 20, 64]);
@@ -37,12 +37,12 @@
 
 	it('reads the rollout policy of a pool', () => {
 		const toRollout = (text: string) => parseConfig(text)._unsafeUnwrap().pools[0]?.rollout;
-		assert.equal(toRollout(sound), undefined);
-		assert.equal(toRollout(sound.replace('classes: batch, ', 'classes: batch, rollout: allow-gap, ')), 'allow-gap');
+		assert.equal(toRollout(validText), undefined);
+		assert.equal(toRollout(validText.replace('classes: batch, ', 'classes: batch, rollout: allow-gap, ')), 'allow-gap');
 	});
 
 	it('reads JSON the same way, tabs included', () => {
-		const config = parseConfig(sound)._unsafeUnwrap();
+		const config = parseConfig(validText)._unsafeUnwrap();
 		const json = `{
 			"zones": [{"id": "a", "region": "r"}],
 			"pools": [
@@ -91,8 +91,8 @@
 	];
 	for (const [title, from, to, ...expected] of cases) {
 		it(`reports ${title}`, () => {
-			assert.ok(sound.includes(from));
-			const edited = sound.replace(from, to);
+			assert.ok(validText.includes(from));
+			const edited = validText.replace(from, to);
 			const faults = toFaults(edited);
 			for (const [place, message] of expected) {
 				const before = edited.slice(0, edited.indexOf(place)).split('\n');
@@ -113,12 +113,12 @@
 	});
 
 	it('reports broken syntax with its line', () => {
-		const faults = toFaults(sound.replace('routes:\n', 'routes: [\n'));
+		const faults = toFaults(validText.replace('routes:\n', 'routes: [\n'));
 		assert.match(faults[0]!, /^rules\.yaml:1\d:\d+: .*; check indentation/);
 	});
 
 	it('reports faults of several sections at once, in the order of lines', () => {
-		const faults = toFaults(sound.replace('region: r', 'region: r, x: 1')
+		const faults = toFaults(validText.replace('region: r', 'region: r, x: 1')
 			.replace('repeatable: true, target', 'repeatable: 1, target')
 			.replace('then: {pool: summaries', 'then: {pool: nowhere')
 			.replace('then: lookup', 'then: lokup'));
@@ -126,13 +126,13 @@
 	});
 
 	it('refuses an end mark that is not last, since a truncation after it would go unnoticed', () => {
-		const moved = `end: banyanport\n${sound.replace('end: banyanport\n', '')}`;
+		const moved = `end: banyanport\n${validText.replace('end: banyanport\n', '')}`;
 		assert.match(toFaults(moved).join('\n'), /^rules\.yaml:1:6: the document does not end with its end mark/);
 	});
 
 	it('accepts no proper prefix of a document', () => {
-		for (let length = 0; length < sound.length - 1; length++) {
-			assert.ok(parseConfig(sound.slice(0, length)).isErr(), `the first ${length} characters were accepted`);
+		for (let length = 0; length < validText.length - 1; length++) {
+			assert.ok(parseConfig(validText.slice(0, length)).isErr(), `the first ${length} characters were accepted`);
 		}
 	});
 
@@ -152,7 +152,7 @@
 	}
 
 	it('refuses YAML that is too large for the memory of hosts, and reads it when the limit is raised', () => {
-		const large = `${`# ${'x'.repeat(98)}\n`.repeat(700)}${sound}`;
+		const large = `${`# ${'x'.repeat(98)}\n`.repeat(700)}${validText}`;
 		assert.deepEqual(toFaults(large), ['rules.yaml:1:1: YAML of more than 65536 bytes is too large for hosts; publish it as JSON, written by "banyanport seal --to json"']);
 		assert.ok(parseConfig(large, {maxYamlBytes: Infinity}).isOk());
 	});
--- a/src/domain/to-request-history/test.ts
+++ b/src/domain/to-request-history/test.ts
@@ -15,7 +15,7 @@
  * how other hosts saw them, since these did not influence the request.
  */
 describe('toRequestHistory', () => {
-	const cut = [
+	const logLines = [
 		toLine(50_000, 'server changed', {server: 's1', state: 'serving'}),
 		ofRequest(61_000, 'request received', {rule: 'notices'}),
 		ofRequest(61_010, 'prompt computed', {prefillServer: 'p1', decodeServer: 's1'}),
@@ -28,13 +28,13 @@
 	];
 
 	it('shows the request, and the changes of its servers as seen by its host', () => {
-		const story = toRequestHistory(cut, 'r');
-		assert.equal(story.own.length, 4);
-		assert.deepEqual(story.beliefs.map(({at}) => at), [63_000]);
+		const history = toRequestHistory(logLines, 'r');
+		assert.equal(history.own.length, 4);
+		assert.deepEqual(history.beliefs.map(({at}) => at), [63_000]);
 	});
 
 	it('reports the last failure', () => {
-		assert.match(toRequestHistory(cut, 'r').verdict!, /the connection was reset/v);
+		assert.match(toRequestHistory(logLines, 'r').verdict!, /the connection was reset/v);
 	});
 
 	it('says that every decode server was full when that was the cause', () => {
@@ -43,7 +43,7 @@
 	});
 
 	it('has no verdict for a request that no host logged, or whose end is missing', () => {
-		assert.deepEqual(toRequestHistory(cut, 'other'), {own: [], beliefs: [], verdict: undefined});
+		assert.deepEqual(toRequestHistory(logLines, 'other'), {own: [], beliefs: [], verdict: undefined});
 		assert.equal(toRequestHistory([ofRequest(0, 'request received')], 'r').verdict, undefined);
 	});
 });
