--- a/src/domain/accept-config/index.ts
+++ b/src/domain/accept-config/index.ts
@@ -1,6 +1,6 @@
 /**
- * Decides whether a configuration document comes in force. Every host decides by
- * itself, from what is in force there and the document alone.
+ * Decides whether a configuration document takes effect. Every host decides by
+ * itself, from the document and the configuration in force at that host.
  */
 import {splitConfigEnd} from '../../_lib/split-config-end/index.js';
 import {toDigest} from '../../_lib/to-digest/index.js';
@@ -18,15 +18,15 @@
 /** A document from the platform or a peer. */
 export type ConfigCandidate = {
 	text: string;
-	/** Revision at which the platform served it, to this host or to the peer; 0 where unknown. */
+	/** Revision at which the platform served the document to this host or to the peer; 0 if unknown. */
 	revision: number;
-	/** Looks for parts that are not in force; needed for a document in parts alone. Their digests are checked here. */
+	/** Finds the text of parts that are not in force; needed only for a document in parts. `acceptConfig` checks the digests. */
 	findPart?: FindPart;
 };
 
 /**
- * Two documents sealed from the same edition: both operators meant theirs to
- * follow, and one edit is lost.
+ * Two documents that were sealed on top of the same edition. Only one of them
+ * can take effect, so the edit in the other one is lost.
  */
 export type ConfigConflict = {
 	winner: ConfigVersion;
@@ -35,34 +35,35 @@
 };
 
 /**
- * - `incomplete`, `altered`, `not-text`: not a whole document.
- * - `parts-missing`: a root whose parts are not all there as it names them. Offered again with them it may be accepted.
- * - `invalid`: whole, with faults of content.
- * - `older`: another document that comes later in the order of versions is in force.
- * - `rival-lost`: sealed from the same edition as the one in force, which wins.
+ * - `incomplete`, `altered`, `not-text`: the document is not whole.
+ * - `parts-missing`: at least one part is missing or does not match its digest in the root. The root may be accepted later, once all parts are found.
+ * - `invalid`: the document is whole, but its content has faults.
+ * - `older`: the document in force has a higher version.
+ * - `rival-lost`: the document in force was sealed on top of the same edition and has the higher version.
  */
 export type ConfigRefusalReason = 'incomplete' | 'altered' | 'not-text' | 'parts-missing' | 'invalid' | 'older' | 'rival-lost';
 
 export type ConfigVerdict =
 	| {status: 'accepted'; accepted: AcceptedConfig; conflict: ConfigConflict | undefined; warning: string | undefined}
-	/** The same document again. Its version may have a higher revision than before, which then bars those in between. */
+	/** The document is already in force. Its version takes the higher of both revisions, so documents with a revision in between are refused as older. */
 	| {status: 'unchanged'; accepted: AcceptedConfig}
 	| {status: 'refused'; reason: ConfigRefusalReason; message: string; faults: readonly ConfigFault[]; conflict: ConfigConflict | undefined; missing: readonly NamedPart[]};
 
 export type AcceptConfigOptions = {
-	/** `parseConfig` unless given; a reader of `createConfigReader` costs less where documents follow each other. */
+	/** Parses the document; `parseConfig` by default. A reader of `createConfigReader` costs less when each document differs little from the last. */
 	read?: ReadConfig;
 };
 
 /**
- * Decides about a document. What is in force is always the highest version among
- * the valid documents seen, so the order in which they come makes no difference,
- * and nothing ever goes back.
+ * Decides whether a document takes effect. The configuration in force is always
+ * the valid document with the highest version among those seen, so the order in
+ * which documents arrive makes no difference, and no host ever returns to an
+ * older version.
  *
- * @param current - What is in force; `undefined` before the first.
+ * @param current - The configuration in force; `undefined` before the first one.
  * @param candidate - The document.
  * @param options - How the content is read.
- * @returns Whether it is accepted, is the one in force already, or is refused and why.
+ * @returns Whether the document is accepted, is already in force, or is refused and why.
  *
  * @example
  * ```ts
@@ -70,7 +71,7 @@
  * if (verdict.status === 'refused') log.warn(verdict.message);
  * ```
  */
-export function acceptConfig(current: AcceptedConfig | undefined, candidate: ConfigCandidate, {read = readAlone}: AcceptConfigOptions = {}): ConfigVerdict {
+export function acceptConfig(current: AcceptedConfig | undefined, candidate: ConfigCandidate, {read = parseUncached}: AcceptConfigOptions = {}): ConfigVerdict {
 	const digest = toDigest(candidate.text);
 	if (current?.version.digest === digest) {
 		const revision = Math.max(current.version.revision, candidate.revision);
@@ -84,10 +85,10 @@
 	}
 
 	const version: ConfigVersion = {edition: seal.value.edition, revision: candidate.revision, digest};
-	const rivalry = current && toRivalry(current, version, seal.value);
+	const conflict = current && toConflict(current, version, seal.value);
 	if (current && compareConfigVersions(version, current.version) < 0) {
-		return rivalry
-			? {...toRefusal('rival-lost', rivalry.message), conflict: rivalry}
+		return conflict
+			? {...toRefusal('rival-lost', conflict.message), conflict}
 			: toRefusal('older', toOlderMessage(current.version, version, seal.value));
 	}
 
@@ -100,7 +101,7 @@
 		}
 
 		const [first] = parsed.error;
-		const message = `the document has ${parsed.error.length} faults and does not come in force, the first at ${toFaultLine(first!)}: run "banyanport check" on it`;
+		const message = `the document has ${parsed.error.length} faults and was not accepted, the first at ${toFaultLine(first!)}: run "banyanport check" on it`;
 		return {...toRefusal('invalid', message), faults: parsed.error};
 	}
 
@@ -110,21 +111,21 @@
 		accepted: {
 			version, config: parsed.value, text: candidate.text, ...(parts.length > 0 && {parts}),
 		},
-		conflict: rivalry,
+		conflict,
 		warning: current && toWarning(current.version, version, seal.value),
 	};
 }
 
-/** Names all that is missing up to a length that a line of a log can hold. */
-const shownParts = 8;
+/** Number of missing parts that a message names; more would make the log line too long. */
+const maxShownParts = 8;
 
 function toMissingMessage(version: ConfigVersion, missing: readonly NamedPart[]): string {
-	const shown = missing.slice(0, shownParts).map(part => `${part.name} under ${toPartKey(part)}`).join(', ');
-	const more = missing.length > shownParts ? ` and ${missing.length - shownParts} more` : '';
-	return `${toShown(version)} does not come in force, since parts are missing or are not as it names them: ${shown}${more}. Publish them, or the root in force again`;
+	const shown = missing.slice(0, maxShownParts).map(part => `${part.name} under ${toPartKey(part)}`).join(', ');
+	const more = missing.length > maxShownParts ? ` and ${missing.length - maxShownParts} more` : '';
+	return `${toVersionText(version)} was not accepted, since these parts are missing or do not match their digests: ${shown}${more}. Publish them, or publish the root in force again`;
 }
 
-const readAlone: ReadConfig = (text, findPart) => parseConfig(text, findPart ? {findPart} : {});
+const parseUncached: ReadConfig = (text, findPart) => parseConfig(text, findPart ? {findPart} : {});
 
 function toRefusal(reason: ConfigRefusalReason, message: string): Extract<ConfigVerdict, {status: 'refused'}> {
 	return {
@@ -132,14 +133,14 @@
 	};
 }
 
-function toRivalry(current: AcceptedConfig, version: ConfigVersion, seal: ConfigSeal): ConfigConflict | undefined {
+function toConflict(current: AcceptedConfig, version: ConfigVersion, seal: ConfigSeal): ConfigConflict | undefined {
 	if (seal.kind !== 'sealed' || version.edition !== current.version.edition || splitConfigEnd(current.text).kind !== 'sealed') {
 		return undefined;
 	}
 
-	const isNewer = compareConfigVersions(version, current.version) > 0;
-	const [winner, loser] = isNewer ? [version, current.version] : [current.version, version];
-	const message = `two documents were sealed as edition ${winner.edition}: ${toShown(winner)} wins and ${toShown(loser)} loses, so its edit is not in force; `
+	const isCandidateNewer = compareConfigVersions(version, current.version) > 0;
+	const [winner, loser] = isCandidateNewer ? [version, current.version] : [current.version, version];
+	const message = `two documents were sealed as edition ${winner.edition}: ${toVersionText(winner)} wins and ${toVersionText(loser)} loses, so its edit is not in force; `
 		+ 'repeat that edit on the winner and seal it as the next edition';
 	return {winner, loser, message};
 }
@@ -148,17 +149,17 @@
 	const remedy = seal.kind === 'plain' && version.edition < current.edition
 		? `write "edition: ${current.edition}" on the line before "end", or seal it with "banyanport seal --follows" the one in force`
 		: 'to bring an old rule list back, publish it as a new edition';
-	return `${toShown(version)} is older than ${toShown(current)}, which is in force and stays: ${remedy}`;
+	return `${toVersionText(version)} is older than ${toVersionText(current)}, which is in force and stays: ${remedy}`;
 }
 
-/** A document sealed on top of something else than what is in force may have been written without its edits. */
+/** Warns of a document that was sealed on top of another one than the one in force, since it may lack the edits of the latter. */
 function toWarning(current: ConfigVersion, version: ConfigVersion, seal: ConfigSeal): string | undefined {
 	const isNext = version.edition === current.edition + 1;
 	return isNext && seal.kind === 'sealed' && seal.follows !== current.digest
-		? `${toShown(version)} follows another document than ${toShown(current)}, which was in force: compare both with "banyanport diff", an edit may be lost`
+		? `${toVersionText(version)} follows another document than ${toVersionText(current)}, which was in force: compare both with "banyanport diff", an edit may be lost`
 		: undefined;
 }
 
-function toShown({edition, revision, digest}: ConfigVersion): string {
+function toVersionText({edition, revision, digest}: ConfigVersion): string {
 	return `edition ${edition} (revision ${revision}, ${digest.slice(0, 12)})`;
 }
--- a/src/domain/accept-config/parts.test.ts
+++ b/src/domain/accept-config/parts.test.ts
@@ -31,10 +31,10 @@
 const editions = toEditions(4);
 const [first, second] = editions as [Edition, Edition];
 
-type Fate = 'there' | 'missing' | 'cut' | 'older';
+type ServedState = 'there' | 'missing' | 'cut' | 'older';
 
-/** What the platform serves of a part. */
-function toServed(fate: Fate, text: string, older: string): string | undefined {
+/** Returns what the platform serves for a part. */
+function toServed(fate: ServedState, text: string, older: string): string | undefined {
 	switch (fate) {
 		case 'there': {
 			return text;
@@ -61,8 +61,8 @@
 }
 
 describe('acceptConfig of parts', () => {
-	it('never takes a root whose parts are missing, cut off, or older, and names just those', () => {
-		const fate = fc.constantFrom<Fate[]>('there', 'missing', 'cut', 'older');
+	it('never takes a root whose parts are missing, cut off or older, and names exactly those parts', () => {
+		const fate = fc.constantFrom<ServedState[]>('there', 'missing', 'cut', 'older');
 		fc.assert(fc.property(fc.array(fate, {minLength: first.parts.length, maxLength: first.parts.length}), fc.boolean(), (fates, isFirst) => {
 			const current = isFirst ? undefined : accept(undefined, first);
 			const held = new Set(current?.parts?.map(({sha256}) => sha256));
@@ -70,18 +70,18 @@
 				const served = toServed(fates[i]!, text, first.parts[i]!.text);
 				return served === undefined ? [] : [[sha256, served]];
 			}));
-			const lost = second.parts.filter(({sha256}, i) => fates[i] !== 'there' && !held.has(sha256));
+			const missing = second.parts.filter(({sha256}, i) => fates[i] !== 'there' && !held.has(sha256));
 			const verdict = acceptConfig(current, {text: second.text, revision: 2, findPart: ({sha256}) => found.get(sha256)});
-			assert.equal(verdict.status, lost.length === 0 ? 'accepted' : 'refused');
+			assert.equal(verdict.status, missing.length === 0 ? 'accepted' : 'refused');
 			if (verdict.status === 'refused') {
 				assert.equal(verdict.reason, 'parts-missing');
-				assert.deepEqual(verdict.missing.map(({name}) => name), lost.map(({name}) => name));
-				assert.ok(lost.slice(0, 8).every(part => verdict.message.includes(toPartKey(part))), verdict.message);
+				assert.deepEqual(verdict.missing.map(({name}) => name), missing.map(({name}) => name));
+				assert.ok(missing.slice(0, 8).every(part => verdict.message.includes(toPartKey(part))), verdict.message);
 			}
 		}), {numRuns: 200});
 	});
 
-	it('needs only the changed part of what follows the document in force', () => {
+	it('needs only the changed part of the document that follows the one in force', () => {
 		const changed = second.parts.filter(({sha256}) => !first.parts.some(part => part.sha256 === sha256));
 		const accepted = accept(accept(undefined, first), {...second, parts: changed}, 2);
 		assert.equal(changed.length, 1);
@@ -104,7 +104,7 @@
 		assert.equal(verdict.status === 'refused' && verdict.reason, 'altered');
 	});
 
-	it('comes to the newest whole document on every host, however publishes of roots and parts and the looks of hosts interleave', () => {
+	it('brings every host to the newest whole document, however publications of roots and parts interleave with reads by hosts', () => {
 		type Step = {kind: 'part' | 'root' | 'look'; edition: number; part: number; host: number};
 		const publishes: Step[] = editions.flatMap(({parts}, edition): Step[] => [
 			{
@@ -127,7 +127,7 @@
 				const before = host.accepted;
 				const verdict = acceptConfig(before, {text, revision, findPart}, {read: host.read});
 				host.accepted = verdict.status === 'refused' ? before : verdict.accepted;
-				assert.ok(!before || compareConfigVersions(host.accepted!.version, before.version) >= 0, 'it went back');
+				assert.ok(!before || compareConfigVersions(host.accepted!.version, before.version) >= 0, 'the host returned to an older version');
 			};
 
 			for (const step of run) {
@@ -142,7 +142,7 @@
 			}
 
 			const newest = hosts.map(({accepted}) => accepted).filter(accepted => accepted !== undefined);
-			// Hosts then hear each other, in any order.
+			// The hosts then exchange their documents.
 			for (const host of hosts) {
 				for (const {text, version, parts} of newest) {
 					offer(host, text, version.revision, findAmong(parts ?? []));
--- a/src/domain/diff-configs/_lib/to-samples.ts
+++ b/src/domain/diff-configs/_lib/to-samples.ts
@@ -1,9 +1,9 @@
-/** Makes requests that the rules of one or several configurations tell apart. */
+/** Generates requests that the rules of one or more configurations distinguish. */
 import {type Random} from '../../../ports/clock.js';
 import {type Config, type Rule, type RuleWhen} from '../../../ports/config.js';
 import {type RequestFacts} from '../../compile-rules/index.js';
 
-/** Values that rules look at, and for each condition one that no rule names. */
+/** Values that rules test, and others that no rule names. */
 type Vocabulary = {
 	workspaces: readonly string[];
 	models: ReadonlyArray<string | undefined>;
@@ -16,25 +16,25 @@
 const classes = ['quick', 'batch', undefined] as const;
 
 /**
- * Makes samples: one that fits each rule, and mixtures of all values that rules
- * name, prompt sizes right at the bounds included.
+ * Generates samples: one that matches each rule, and random mixtures of all values
+ * that rules name, including prompt sizes at the bounds.
  *
- * @param configs - Configurations whose rules the samples shall tell apart.
+ * @param configs - Configurations whose rules the samples should distinguish.
  * @param mixtures - Number of mixtures.
  * @param random - Picks the values of mixtures.
- * @returns Facts of requests, each once.
+ * @returns Attributes of requests, without duplicates.
  */
 export function toSamples(configs: readonly Config[], mixtures: number, random: Random): readonly RequestFacts[] {
 	const vocabulary = toVocabulary(configs);
-	const fitting = configs.flatMap(({rules}) => rules).map(rule => toFitting(rule, vocabulary));
-	const mixed = Array.from({length: mixtures}, () => toMixture(vocabulary, random));
-	const unique = new Map([...fitting, ...mixed].map(facts => [JSON.stringify(facts), facts]));
+	const matching = configs.flatMap(({rules}) => rules).map(rule => toMatchingRequest(rule, vocabulary));
+	const mixed = Array.from({length: mixtures}, () => toMixedRequest(vocabulary, random));
+	const unique = new Map([...matching, ...mixed].map(facts => [JSON.stringify(facts), facts]));
 	return [...unique.values()];
 }
 
 function toVocabulary(configs: readonly Config[]): Vocabulary {
 	const whens = configs.flatMap(({rules}) => rules.map(({when}) => when));
-	const bounds = whens.flatMap(({promptTokensAtLeast: least, promptTokensBelow: below}) => [...toAround(least), ...toAround(below)]);
+	const bounds = whens.flatMap(({promptTokensAtLeast: least, promptTokensBelow: below}) => [...toBoundaryValues(least), ...toBoundaryValues(below)]);
 	return {
 		workspaces: toUnique([...whens.flatMap(({workspace}) => workspace ?? []), 'any-other-workspace']),
 		models: toUnique([...whens.flatMap(({model}) => model ?? []), ...configs.flatMap(({pools}) => pools.map(({model}) => model)), undefined]),
@@ -45,7 +45,7 @@
 	};
 }
 
-function toAround(bound: number | undefined): readonly number[] {
+function toBoundaryValues(bound: number | undefined): readonly number[] {
 	return bound === undefined ? [] : [Math.max(0, bound - 1), bound];
 }
 
@@ -53,8 +53,8 @@
 	return [...new Set(values)];
 }
 
-/** A request that all conditions of the rule fit; an earlier rule may still take it. */
-function toFitting({when}: Rule, vocabulary: Vocabulary): RequestFacts {
+/** Returns a request that meets all conditions of a rule; an earlier rule may match it too. */
+function toMatchingRequest({when}: Rule, vocabulary: Vocabulary): RequestFacts {
 	return {
 		workspace: when.workspace?.[0] ?? 'any-other-workspace',
 		model: when.model?.[0],
@@ -70,7 +70,7 @@
 	return Object.fromEntries(Object.entries(headers ?? {}).map(([name, value]) => [name, value === '*' ? 'any' : value]));
 }
 
-function toMixture(vocabulary: Vocabulary, random: Random): RequestFacts {
+function toMixedRequest(vocabulary: Vocabulary, random: Random): RequestFacts {
 	const pick = <T>(values: readonly T[]) => values[Math.floor(random() * values.length)]!;
 	const header = vocabulary.headers.length > 0 && random() < 0.5 ? [pick(vocabulary.headers)] : [];
 	return {
--- a/src/domain/parse-config/_lib/pair-lines.ts
+++ b/src/domain/parse-config/_lib/pair-lines.ts
@@ -1,23 +1,23 @@
-/** Finds the lines of an earlier list in a later one. */
+/** Finds the lines of an earlier list in a later list. */
 
 export type LinePairs = {
 	/** The later lines. */
 	lines: readonly string[];
 	/** For each later line the position of the same line in the earlier list; -1 when it is new. */
 	from: readonly number[];
-	/** Positions of later lines that are new, or have changed places with others. */
+	/** Positions of later lines that are new, or that moved relative to others. */
 	added: readonly number[];
 };
 
 /**
  * Pairs the lines of two lists.
  *
- * @param before - The earlier lines, each different.
+ * @param before - The earlier lines, all different.
  * @param after - The later lines.
- * @param mostFresh - Gives up beyond this many new lines.
- * @returns The pairs, or `undefined` when it gave up.
+ * @param maxNewLines - Largest number of new lines.
+ * @returns The pairs; `undefined` when there are more new lines.
  */
-export function pairLines(before: readonly string[], after: readonly string[], mostFresh: number): LinePairs | undefined {
+export function pairLines(before: readonly string[], after: readonly string[], maxNewLines: number): LinePairs | undefined {
 	const shorter = Math.min(before.length, after.length);
 	let head = 0;
 	while (head < shorter && before[head] === after[head]) {
@@ -37,11 +37,11 @@
 
 		return i < after.length - tail ? positions.get(line) ?? -1 : before.length - after.length + i;
 	});
-	const fresh = from.filter(position => position === -1).length;
-	return fresh > mostFresh ? undefined : {lines: after, from, added: toAdded(from.slice(head, from.length - tail), head)};
+	const newCount = from.filter(position => position === -1).length;
+	return newCount > maxNewLines ? undefined : {lines: after, from, added: toAdded(from.slice(head, from.length - tail), head)};
 }
 
-/** Lines before and behind the changed ones kept their order. */
+/** Returns the positions of new and moved lines among the changed ones. Lines before and after the changed ones kept their order. */
 function toAdded(changed: readonly number[], start: number): readonly number[] {
 	const added: number[] = [];
 	let last = -1;
--- a/src/domain/parse-config/_lib/readers.ts
+++ b/src/domain/parse-config/_lib/readers.ts
@@ -1,8 +1,8 @@
 /**
- * Readers of plain values: each takes what YAML or JSON gave, and returns the
- * typed value, or `undefined` after having reported a fault. They are written
- * out here, and not with a schema library, because the agent reads documents
- * too and a schema library costs it 13 MB of its 64 MB.
+ * Readers of plain values. Each takes a value that was parsed from YAML or JSON,
+ * and returns the typed value, or reports a fault and returns `undefined`. No
+ * schema library is used, because the agent reads documents too and a schema
+ * library takes 13 MB of its 64 MB of memory.
  */
 import {isRecord} from '../../../_lib/is-record/index.js';
 import {pickNearestName} from '../../../_lib/pick-nearest-name/index.js';
@@ -17,18 +17,18 @@
 
 type Fields<T> = {[Key in keyof T]: Field<T[Key]>};
 
-/** A field that must be there. */
+/** Describes a field that must be present. */
 export function required<T>(read: Reader<T>): Field<T> {
 	return {read, required: true};
 }
 
-/** A field that may be left out, and what it is then. */
+/** Describes a field that may be left out, with its default value. */
 export function optional<T>(read: Reader<T>, fallback: T): Field<T> {
 	return {read, fallback, required: false};
 }
 
-/** Words for a value in a message, short and on one line. */
-export function toShown(value: unknown): string {
+/** Formats a value for a message, on one line and cut to 60 characters. */
+export function toValueText(value: unknown): string {
 	if (value === undefined || value === null) {
 		return 'nothing';
 	}
@@ -37,7 +37,7 @@
 	return text.length > 60 ? `${text.slice(0, 57)}...` : text;
 }
 
-/** The remedy for an unknown name: the nearest known one, or all of them when they are few. */
+/** Returns the remedy for an unknown name: the nearest known name, or else the first known ones. */
 export function toNameRemedy(name: string, known: Iterable<string>): string {
 	const names = [...known];
 	const nearest = pickNearestName(name, names);
@@ -53,16 +53,16 @@
 	return `write one of: ${shown}${names.length > 8 ? ', ...' : ''}`;
 }
 
-/** Text that matches a pattern; `wanted` says in words what the pattern asks for. */
+/** Reads text that matches a pattern; `wanted` describes the pattern in messages. */
 export function text(pattern: RegExp, wanted: string): Reader<string> {
 	return (value, path, faults) => {
 		if (typeof value === 'number' || typeof value === 'boolean') {
-			faults.add(path, `${toShown(value)} is read as a ${typeof value}, not as text`, `put it in quotes, as in '${String(value)}'`);
+			faults.add(path, `${toValueText(value)} is read as a ${typeof value}, not as text`, `put it in quotes, as in '${String(value)}'`);
 			return undefined;
 		}
 
 		if (typeof value !== 'string' || !pattern.test(value)) {
-			faults.add(path, `${toShown(value)} is not ${wanted}`, `write ${wanted}`);
+			faults.add(path, `${toValueText(value)} is not ${wanted}`, `write ${wanted}`);
 			return undefined;
 		}
 
@@ -70,23 +70,23 @@
 	};
 }
 
-/** One of a few words. */
+/** Reads one of several allowed words. */
 export function oneOf<const T extends string>(...allowed: readonly T[]): Reader<T> {
 	return (value, path, faults) => {
 		const found = allowed.find(word => word === value);
 		if (found === undefined) {
-			faults.add(path, `${toShown(value)} is not known here`, toNameRemedy(String(value), allowed));
+			faults.add(path, `${toValueText(value)} is not known here`, toNameRemedy(String(value), allowed));
 		}
 
 		return found;
 	};
 }
 
-/** A whole number within bounds. */
-export function whole(min: number, max: number): Reader<number> {
+/** Reads a whole number within bounds. */
+export function integer(min: number, max: number): Reader<number> {
 	return (value, path, faults) => {
 		if (typeof value !== 'number' || !Number.isInteger(value) || value < min || value > max) {
-			faults.add(path, `${toShown(value)} is not a whole number from ${min} to ${max}`, `write a whole number from ${min} to ${max}, without quotes`);
+			faults.add(path, `${toValueText(value)} is not a whole number from ${min} to ${max}`, `write a whole number from ${min} to ${max}, without quotes`);
 			return undefined;
 		}
 
@@ -94,10 +94,10 @@
 	};
 }
 
-/** `true` or `false`. */
+/** Reads `true` or `false`. */
 export const flag: Reader<boolean> = (value, path, faults) => {
 	if (typeof value !== 'boolean') {
-		faults.add(path, `${toShown(value)} is neither true nor false`, 'write true or false, without quotes');
+		faults.add(path, `${toValueText(value)} is neither true nor false`, 'write true or false, without quotes');
 		return undefined;
 	}
 
@@ -112,7 +112,7 @@
 	B: 1, kB: 1e3, MB: 1e6, GB: 1e9, KiB: bytesPerKibibyte, MiB: bytesPerMebibyte, GiB: bytesPerGibibyte,
 };
 
-/** A number with its unit, such as `1.3s`, in the smallest unit of its kind. */
+/** Reads a number with its unit, such as `1.3s`, and converts it to the smallest unit. */
 function quantity(units: Readonly<Record<string, number>>, example: string): Reader<number> {
 	const pattern = /^(\d+(?:\.\d+)?) ?([a-zA-Z]+)$/;
 	return (value, path, faults) => {
@@ -120,7 +120,7 @@
 		const factor = match ? units[match[2]!] : undefined;
 		const amount = match && factor !== undefined ? Math.round(Number(match[1]) * factor) : 0;
 		if (amount <= 0 || !Number.isSafeInteger(amount)) {
-			faults.add(path, `${toShown(value)} is not a number with one of the units ${Object.keys(units).join(', ')}`, `write it like ${example}`);
+			faults.add(path, `${toValueText(value)} is not a number with one of the units ${Object.keys(units).join(', ')}`, `write it like ${example}`);
 			return undefined;
 		}
 
@@ -128,17 +128,17 @@
 	};
 }
 
-/** A duration such as `1.3s` or `61ms`, in milliseconds. */
+/** Reads a duration such as `1.3s` or `61ms` into milliseconds. */
 export const duration = quantity(durationUnits, '61ms, 1.3s, 5m or 2h');
 
-/** A size such as `500MB`, in bytes. */
+/** Reads a size such as `500MB` into bytes. */
 export const size = quantity(sizeUnits, '500MB or 64MiB');
 
-/** A list; entries with faults are left out of the result and reported. */
+/** Reads a list; entries with faults are reported and left out of the result. */
 export function listOf<T>(read: Reader<T>, min = 0): Reader<readonly T[]> {
 	return (value, path, faults) => {
 		if (!Array.isArray(value)) {
-			faults.add(path, `${toShown(value)} is not a list`, 'write a list: one line for each entry, starting with "- "');
+			faults.add(path, `${toValueText(value)} is not a list`, 'write a list: one line for each entry, starting with "- "');
 			return undefined;
 		}
 
@@ -159,21 +159,21 @@
 	};
 }
 
-/** An entry of a list with its position, which faults of meaning need after faulty entries were left out. */
-export type Placed<T> = {
+/** An entry of a list with its position in the document. The semantic checks report that position, which differs from the one in the result when faulty entries were left out. */
+export type Indexed<T> = {
 	index: number;
 	value: T;
 };
 
-/** Like {@link listOf}, with positions. */
-export function placedListOf<T>(read: Reader<T>, min = 0): Reader<ReadonlyArray<Placed<T>>> {
+/** Like {@link listOf}, but returns each entry with its position. */
+export function indexedListOf<T>(read: Reader<T>, min = 0): Reader<ReadonlyArray<Indexed<T>>> {
 	return listOf((value, path, faults) => {
 		const item = read(value, path, faults);
 		return item === undefined ? undefined : {index: Number(path.at(-1)), value: item};
 	}, min);
 }
 
-/** One value or a list of them, always returned as a list. */
+/** Reads one value or a list of values, and always returns a list. */
 export function oneOrMore<T>(read: Reader<T>): Reader<readonly T[]> {
 	const readList = listOf(read, 1);
 	return (value, path, faults) => {
@@ -186,18 +186,18 @@
 	};
 }
 
-/** A map from free keys to values of one kind. */
+/** Reads a map with arbitrary keys that match a pattern and values of one type. */
 export function mapOf<T>(key: {pattern: RegExp; wanted: string}, read: Reader<T>): Reader<Readonly<Record<string, T>>> {
 	return (value, path, faults) => {
 		if (!isRecord(value)) {
-			faults.add(path, `${toShown(value)} is not a map`, 'write one "key: value" a line, indented');
+			faults.add(path, `${toValueText(value)} is not a map`, 'write one "key: value" a line, indented');
 			return undefined;
 		}
 
 		const entries: Array<[string, T]> = [];
 		for (const [name, item] of Object.entries(value)) {
 			if (!key.pattern.test(name)) {
-				faults.add([...path, name], `the key ${toShown(name)} is not ${key.wanted}`, `write ${key.wanted}`, 'key');
+				faults.add([...path, name], `the key ${toValueText(name)} is not ${key.wanted}`, `write ${key.wanted}`, 'key');
 			}
 
 			const result = read(item, [...path, name], faults);
@@ -210,7 +210,7 @@
 	};
 }
 
-/** A map with known keys alone; an unknown key is a fault that names the nearest known one. */
+/** Reads a map with a fixed set of keys. An unknown key is a fault, whose remedy names the nearest known key. */
 export function record<T extends Record<string, unknown>>(fields: Fields<T>): Reader<T> {
 	const readPartial = partialRecord(fields);
 	const names = Object.keys(fields);
@@ -220,13 +220,13 @@
 	};
 }
 
-/** Like {@link record}, but fields with faults are left out and the sound ones returned. */
+/** Like {@link record}, but returns the valid fields when others have faults. */
 export function partialRecord<T extends Record<string, unknown>>(fields: Fields<T>): Reader<Partial<T>> {
 	const entries = Object.entries(fields) as Array<[string, Field<unknown>]>;
 	const names = Object.keys(fields);
 	return (value, path, faults) => {
 		if (!isRecord(value)) {
-			faults.add(path, `${toShown(value)} is not a map`, `write "key: value" pairs with keys of: ${names.join(', ')}`);
+			faults.add(path, `${toValueText(value)} is not a map`, `write "key: value" pairs with keys of: ${names.join(', ')}`);
 			return undefined;
 		}
 
--- a/src/domain/parse-config/_lib/schema.ts
+++ b/src/domain/parse-config/_lib/schema.ts
@@ -1,10 +1,10 @@
-/** The document form of a configuration: which keys it has, and what they may hold. */
+/** The keys of a configuration document and the values that they may have. */
 import {
 	type HostEntry, type LatencyTarget, type PoolEntry, type RolloutPolicy, type RuleThen, type RuleWhen, type ServerEntry, type ZoneEntry,
 } from '../../../ports/config.js';
 import {type ServiceClass} from '../../../ports/outcome.js';
 import {
-	duration, flag, listOf, mapOf, oneOf, oneOrMore, optional, type Reader, record, required, text, whole,
+	duration, flag, listOf, mapOf, oneOf, oneOrMore, optional, type Reader, record, required, text, integer,
 } from './readers.js';
 
 const name = text(/^[a-zA-Z\d][\w.-]{0,63}$/, 'a name of letters, digits, "-", "_" and "." (at most 64)');
@@ -30,7 +30,7 @@
 	url: required(url),
 	role: required(oneOf('prefill', 'decode', 'plain')),
 	pool: required(name),
-	slots: optional<number | undefined>(whole(1, 100_000), undefined),
+	slots: optional<number | undefined>(integer(1, 100_000), undefined),
 	checksFence: optional(flag, false),
 });
 
@@ -83,8 +83,8 @@
 	path: optional<string | undefined>(pathPrefix, undefined),
 	headers: optional<RuleWhen['headers']>(mapOf({pattern: /^[a-z\d][a-z\d_-]*$/, wanted: 'a header name in lower case'}, headerValue), undefined),
 	class: optional<ServiceClass | undefined>(serviceClass, undefined),
-	promptTokensAtLeast: optional<number | undefined>(whole(0, 100_000_000), undefined),
-	promptTokensBelow: optional<number | undefined>(whole(1, 100_000_000), undefined),
+	promptTokensAtLeast: optional<number | undefined>(integer(0, 100_000_000), undefined),
+	promptTokensBelow: optional<number | undefined>(integer(1, 100_000_000), undefined),
 	zone: optional<RuleWhen['zone']>(oneOrMore(name), undefined),
 });
 
@@ -117,13 +117,13 @@
 	complete: optional<number | undefined>(duration, undefined),
 });
 
-/** Latency targets of rules that state none. The quick ones are the users' own: 1.3 s and 61 ms. */
+/** Latency targets of rules that state none. The quick ones are the users' requirements: 1.3 s and 61 ms. */
 export const defaultTargets: Readonly<Record<ServiceClass, LatencyTarget>> = {
 	quick: {firstTokenMs: 1300, perTokenMs: 61, completeMs: 10_000},
 	batch: {firstTokenMs: 60_000, perTokenMs: 250, completeMs: 600_000},
 };
 
-/** Requests that one host lets wait for a rule that states no bound. */
+/** Number of requests that may wait at one host for a rule that states no limit. */
 export const defaultQueueLimits: Readonly<Record<ServiceClass, number>> = {quick: 64, batch: 1000};
 
 type ThenForm = Omit<RuleThen, 'target' | 'queueLimit' | 'versions'> & {
@@ -137,8 +137,8 @@
 	class: required(serviceClass),
 	repeatable: required(flag),
 	target: optional(targetForm, {firstToken: undefined, perToken: undefined, complete: undefined}),
-	queueLimit: optional<number | undefined>(whole(0, 1_000_000), undefined),
-	versions: optional<Readonly<Record<string, number>>>(mapOf({pattern: /^[\w.-]{1,64}$/, wanted: 'the name of a version'}, whole(0, 1_000_000)), {}),
+	queueLimit: optional<number | undefined>(integer(0, 1_000_000), undefined),
+	versions: optional<Readonly<Record<string, number>>>(mapOf({pattern: /^[\w.-]{1,64}$/, wanted: 'the name of a version'}, integer(0, 1_000_000)), {}),
 	adapter: optional<string | undefined>(name, undefined),
 });
 
@@ -174,7 +174,7 @@
 export type RuleForm = {
 	name: string;
 	when: RuleWhen;
-	/** A route's name, or the decision written out. */
+	/** Name of a route, or the decision itself. */
 	then: string | RuleThen;
 };
 
@@ -190,7 +190,7 @@
 export const routes = mapOf({pattern: /^[a-zA-Z\d][\w.-]{0,63}$/, wanted: 'the name of a route'}, readThen);
 export const callerTokens = mapOf({pattern: /^[\da-f]{64}$/, wanted: 'the SHA-256 of a token: 64 digits in lower-case hex'}, workspace);
 
-export const edition = whole(1, Number.MAX_SAFE_INTEGER);
+export const edition = integer(1, Number.MAX_SAFE_INTEGER);
 export const digestOrNone = text(/^(?:none|[\da-f]{64})$/, 'a SHA-256 in lower-case hex or "none"');
 export const endMark = text(/^(?:banyanport|sealed-[\da-f]{64})$/, '"banyanport" (or the seal that "banyanport seal" writes)');
 
