--- a/bench/zone-spread/_lib/create-spread-fleet.ts
+++ b/bench/zone-spread/_lib/create-spread-fleet.ts
@@ -71,10 +71,10 @@
 			const opens = message.kind === 'ping' || message.kind === 'zones';
 			const plain = frameBytes(peerEvents.member, opens ? {message, versions} : {message});
 			count(from, 'membership', plain + headerBytes);
-			const rider = message.kind === 'ping' ? agents.get(from)?.summaries.toRider(to) : undefined;
+			const rider = message.kind === 'ping' ? agents.get(from)?.summaries.toPiggybackedSummary(to) : undefined;
 			if (rider) {
 				count(from, 'summaries', frameBytes(peerEvents.member, {message, versions, summaries: rider}) - plain);
-				later(() => agents.get(to)?.summaries.takeRider(rider));
+				later(() => agents.get(to)?.summaries.handlePiggybackedSummary(rider));
 			}
 		},
 	});
@@ -96,7 +96,7 @@
 			count(id, name === peerEvents.summaries ? 'summaries' : 'loads', bytes);
 			later(() => {
 				const agent = agents.get(to.id)!;
-				return agent.summaries.takeEvent(name, body) || agent.loads.takeEvent(id, name, body);
+				return agent.summaries.handleEvent(name, body) || agent.loads.handleEvent(id, name, body);
 			});
 		};
 
--- a/src/programs/agent/_lib/agent-types.ts
+++ b/src/programs/agent/_lib/agent-types.ts
@@ -8,8 +8,8 @@
 import {type Platform} from '../../../ports/platform.js';
 import {type FleetView} from '../../../ports/view.js';
 import {type AgentSettings} from '../../_settings/index.js';
-import {type DocumentNotices} from './hold-documents.js';
-import {type HeldOrders} from './watch-held.js';
+import {type DocumentNotices} from './create-document-store.js';
+import {type HeldOrders} from './watch-held-orders.js';
 
 export type AgentOptions = {
 	settings: Pick<AgentSettings, 'hostId' | 'zone' | 'bind' | 'peerPort' | 'seeds' | 'platformWait' | 'loadPollInterval' | 'heartbeatInterval' | 'suspectAfter' | 'deadAfter'>;
--- a/src/programs/agent/_lib/hold-documents.ts
+++ b/src/programs/agent/_lib/create-document-store.ts
@@ -18,9 +18,9 @@
 };
 
 /** What came of a configuration that was offered. */
-export type ConfigOffer = {
+export type ConfigOfferResult = {
 	/** What is in force has changed. */
-	isNews: boolean;
+	isChanged: boolean;
 	/** Parts that it names and that were not found. */
 	missing: readonly NamedPart[];
 };
@@ -48,12 +48,12 @@
 	warning: string | undefined;
 };
 
-export type Documents = {
+export type DocumentStore = {
 	config: () => HeldDocument | undefined;
 	fleet: () => HeldDocument | undefined;
 	notices: () => DocumentNotices;
 	/** Judges a configuration document; `source` is for the log. */
-	offerConfig: (text: string, revision: number, source: string, options?: ConfigOfferOptions) => ConfigOffer;
+	offerConfig: (text: string, revision: number, source: string, options?: ConfigOfferOptions) => ConfigOfferResult;
 	/** Judges a list of hosts and servers. Returns whether it was taken. */
 	offerFleet: (text: string, revision: number, source: string) => boolean;
 };
@@ -62,9 +62,9 @@
  * Creates it.
  *
  * @param options - The table that shows what is in force, the log, and what is told of a new list of hosts and of a refused document.
- * @returns See {@link Documents}.
+ * @returns See {@link DocumentStore}.
  */
-export function holdDocuments(options: {table: FleetTable; log: Log; onFleet: (fleet: FleetList) => void; onRefused: () => void}): Documents {
+export function createDocumentStore(options: {table: FleetTable; log: Log; onFleet: (fleet: FleetList) => void; onRefused: () => void}): DocumentStore {
 	const {table, log, onFleet, onRefused} = options;
 	const read = createConfigReader();
 	let fleet: HeldDocument | undefined;
@@ -109,13 +109,13 @@
 					});
 				}
 
-				return {isNews: false, missing};
+				return {isChanged: false, missing};
 			}
 
 			table.setConfig(verdict.accepted);
 			if (verdict.status === 'unchanged') {
 				clearRefused(revision);
-				return {isNews: false, missing: []};
+				return {isChanged: false, missing: []};
 			}
 
 			const {edition, digest} = verdict.accepted.version;
@@ -130,7 +130,7 @@
 				log.warn('configuration accepted over another', {edition, reason: warning});
 			}
 
-			return {isNews: true, missing: []};
+			return {isChanged: true, missing: []};
 		},
 		offerFleet(text, revision, source) {
 			if (fleet && revision <= fleet.version.revision) {
--- a/src/programs/agent/_lib/judge-leavers.ts
+++ b/src/programs/agent/_lib/create-leaving-tracker.ts
@@ -6,9 +6,9 @@
 import {type LoadReport} from '../../../ports/engine.js';
 import {type Owner} from '../../../ports/ids.js';
 import {type AgentOptions} from './agent-types.js';
-import {probeLeaver} from './probe-leaver.js';
+import {probeLeavingServer} from './probe-leaving-server.js';
 
-export type JudgeLeaversOptions = Pick<AgentOptions, 'toEngine' | 'log'> & {
+export type LeavingTrackerOptions = Pick<AgentOptions, 'toEngine' | 'log'> & {
 	table: FleetTable;
 	hold: LeavingOverrides;
 	/** Servers that this host looks after now. */
@@ -20,34 +20,34 @@
 	now: () => Milliseconds;
 };
 
-export type LeaverJudge = {
+export type LeavingTracker = {
 	/** The report, with the state that is believed of the server. */
-	judge: (load: LoadReport) => LoadReport;
+	toEffectiveReport: (load: LoadReport) => LoadReport;
 	/** Asks the server that reported whether it accepts work again, if it is time to. */
-	probe: (load: LoadReport) => Promise<void>;
+	probeIfDue: (load: LoadReport) => Promise<void>;
 };
 
 /**
- * @param options - See {@link JudgeLeaversOptions}.
- * @returns See {@link LeaverJudge}.
+ * @param options - See {@link LeavingTrackerOptions}.
+ * @returns See {@link LeavingTracker}.
  */
-export function judgeLeavers({table, hold, servers, toEngine, owner, mayAct, log, now}: JudgeLeaversOptions): LeaverJudge {
+export function createLeavingTracker({table, hold, servers, toEngine, owner, mayAct, log, now}: LeavingTrackerOptions): LeavingTracker {
 	let probes = 0;
 
 	return {
-		judge(load) {
+		toEffectiveReport(load) {
 			const before = table.view(now()).servers.get(load.server);
 			const isListedLeaving = () => table.fleet()?.fleet.servers.some(({id, state}) => id === load.server && state === 'leaving') === true;
 			return hold.toEffectiveReport(load, now(), {wasLeaving: before?.leaving === true, previousState: before?.load?.state, isListedLeaving});
 		},
-		async probe(load) {
+		async probeIfDue(load) {
 			const server = servers().find(({id}) => id === load.server);
 			if (server === undefined || !mayAct() || !hold.takeProbe(server.id, now())) {
 				return;
 			}
 
 			probes += 1;
-			const isAccepted = await probeLeaver(server, {
+			const isAccepted = await probeLeavingServer(server, {
 				engine: toEngine(server), load, owner, count: probes,
 			});
 			hold.noteProbeResult(server.id, isAccepted, now());
--- a/src/programs/agent/_lib/create-mesh.ts
+++ b/src/programs/agent/_lib/create-mesh.ts
@@ -15,7 +15,7 @@
 const connectTimeoutMs = 1000;
 
 /** Addresses of hosts long gone must not gather. */
-const maxTold = 1000;
+const maxReportedAddresses = 1000;
 
 export type MeshOptions = {
 	hello: () => PeerHello;
@@ -40,11 +40,11 @@
 	send: (target: Target, name: string, body: unknown) => void;
 	call: (target: Target, method: string, body: unknown, options: {timeoutMs: Milliseconds}) => Promise<Result<unknown, PeerFailure>>;
 	/** Uses a connection that a peer has opened. */
-	adopt: (connection: PeerConnection) => void;
+	addConnection: (connection: PeerConnection) => void;
 	/** Drops connections that fell silent; called on every tick. */
 	dropSilent: (now: Milliseconds) => void;
 	/** Counts all silence from now again: after a pause it is this process's own. */
-	restart: (now: Milliseconds) => void;
+	resetSilence: (now: Milliseconds) => void;
 	bytes: () => {sent: number; received: number; connections: number};
 	close: () => void;
 };
@@ -62,9 +62,9 @@
 	const byHost = new Map<HostId, Set<PeerConnection>>();
 	const connecting = new Map<string, Promise<PeerConnection | undefined>>();
 	const queued = new Map<string, number>();
-	const toldUnreachable = new Set<string>();
+	const reportedAddresses = new Set<string>();
 	const traffic = new Map<PeerConnection, Traffic>();
-	const past = {sent: 0, received: 0};
+	const closedTraffic = {sent: 0, received: 0};
 	let isClosed = false;
 
 	function forget(connection: PeerConnection) {
@@ -77,12 +77,12 @@
 
 		if (traffic.delete(connection)) {
 			const {sent, received} = connection.bytes();
-			past.sent += sent;
-			past.received += received;
+			closedTraffic.sent += sent;
+			closedTraffic.received += received;
 		}
 	}
 
-	async function keep(connection: PeerConnection) {
+	async function track(connection: PeerConnection) {
 		const {host} = connection.peer;
 		byHost.set(host, (byHost.get(host) ?? new Set()).add(connection));
 		traffic.set(connection, {
@@ -92,18 +92,18 @@
 		forget(connection);
 	}
 
-	function find(to: HostId | undefined): PeerConnection | undefined {
+	function findConnection(to: HostId | undefined): PeerConnection | undefined {
 		return to === undefined ? undefined : [...byHost.get(to) ?? []].at(-1);
 	}
 
 	/** Keys of another authority look like a dead host to everybody else; here is the only place that knows the reason. */
-	function noteUnreachable(address: string, reason: string) {
-		if (toldUnreachable.size >= maxTold) {
-			toldUnreachable.clear();
+	function reportUnreachable(address: string, reason: string) {
+		if (reportedAddresses.size >= maxReportedAddresses) {
+			reportedAddresses.clear();
 		}
 
-		if (!toldUnreachable.has(address) && !isClosed) {
-			toldUnreachable.add(address);
+		if (!reportedAddresses.has(address) && !isClosed) {
+			reportedAddresses.add(address);
 			options.onUnreachable?.(address, reason);
 		}
 	}
@@ -114,11 +114,11 @@
 		});
 		connecting.delete(address);
 		if (connected.isErr()) {
-			noteUnreachable(address, connected.error.message);
+			reportUnreachable(address, connected.error.message);
 			return undefined;
 		}
 
-		toldUnreachable.delete(address);
+		reportedAddresses.delete(address);
 		const connection = connected.value;
 		const isUnwanted = isClosed || connection.peer.role !== 'agent' || connection.peer.host === hello().host;
 		if (isUnwanted) {
@@ -126,12 +126,12 @@
 			return undefined;
 		}
 
-		void keep(connection);
+		void track(connection);
 		return connection;
 	}
 
-	async function reach({to, address}: Target): Promise<PeerConnection | undefined> {
-		const known = find(to);
+	async function toConnection({to, address}: Target): Promise<PeerConnection | undefined> {
+		const known = findConnection(to);
 		const isOutOfReach = address === '' || isClosed;
 		if (known !== undefined || isOutOfReach) {
 			return known;
@@ -149,7 +149,7 @@
 		}
 
 		queued.set(target.address, count + 1);
-		const connection = await reach(target);
+		const connection = await toConnection(target);
 		connection?.send(name, body);
 		const left = (queued.get(target.address) ?? 1) - 1;
 		if (left === 0) {
@@ -178,7 +178,7 @@
 
 	return {
 		send(target, name, body) {
-			const connection = find(target.to);
+			const connection = findConnection(target.to);
 			if (connection) {
 				connection.send(name, body);
 			} else {
@@ -186,13 +186,13 @@
 			}
 		},
 		async call(target, method, body, callOptions) {
-			const connection = await reach(target);
+			const connection = await toConnection(target);
 			return connection
 				? connection.call(method, body, callOptions)
 				: err({kind: 'unreachable', sent: false, message: `Host ${target.to ?? target.address} was not reached.`});
 		},
-		adopt(connection) {
-			void keep(connection);
+		addConnection(connection) {
+			void track(connection);
 		},
 		dropSilent(now) {
 			for (const connection of traffic.keys()) {
@@ -202,7 +202,7 @@
 				}
 			}
 		},
-		restart(now) {
+		resetSilence(now) {
 			for (const last of traffic.values()) {
 				last.heardAt = now;
 			}
@@ -210,8 +210,8 @@
 		bytes() {
 			const open = [...traffic.keys()].map(connection => connection.bytes());
 			return {
-				sent: open.reduce((sum, {sent}) => sum + sent, past.sent),
-				received: open.reduce((sum, {received}) => sum + received, past.received),
+				sent: open.reduce((sum, {sent}) => sum + sent, closedTraffic.sent),
+				received: open.reduce((sum, {received}) => sum + received, closedTraffic.received),
 				connections: open.length,
 			};
 		},
--- a/src/programs/agent/_lib/create-newest-reported.test.ts
+++ b/src/programs/agent/_lib/create-newest-reported-version.test.ts
@@ -1,17 +1,17 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {createNewestReported} from './create-newest-reported.js';
+import {createNewestReportedVersion} from './create-newest-reported-version.js';
 import {type ShortVersion} from './peer-messages.js';
 
 const toVersion = (edition: number): ShortVersion => ({edition, revision: edition, digest: `d${edition}`});
 
 describe('createNewestReported', () => {
 	it('knows of nothing newer before a report', () => {
-		assert.equal(createNewestReported().isNewerThan(undefined, 0), false);
+		assert.equal(createNewestReportedVersion().isNewerThan(undefined, 0), false);
 	});
 
 	it('keeps the newest, and compares it with what is in force', () => {
-		const newest = createNewestReported();
+		const newest = createNewestReportedVersion();
 		newest.note(toVersion(3), 0);
 		newest.note(toVersion(2), 1);
 		newest.note(undefined, 2);
@@ -20,7 +20,7 @@
 	});
 
 	it('lets a report go that is not repeated for 30 s, and takes an older one then', () => {
-		const newest = createNewestReported();
+		const newest = createNewestReportedVersion();
 		newest.note(toVersion(3), 0);
 		assert.equal(newest.isNewerThan(toVersion(1), 29_999), true);
 		assert.equal(newest.isNewerThan(toVersion(1), 30_000), false);
--- a/src/programs/agent/_lib/create-newest-reported.ts
+++ b/src/programs/agent/_lib/create-newest-reported-version.ts
@@ -5,14 +5,14 @@
 /** Time for which a peer's report of a configuration counts; heartbeats repeat it. */
 const reportLifeMs = 30_000;
 
-export type NewestReported = {
+export type NewestReportedVersion = {
 	note: (version: ShortVersion | undefined, now: Milliseconds) => void;
 	/** Whether the newest configuration that counts is newer than `own`; anything is newer than none. */
 	isNewerThan: (own: ShortVersion | undefined, now: Milliseconds) => boolean;
 };
 
 /** @returns Keeps the newest configuration that peers have reported lately. */
-export function createNewestReported(): NewestReported {
+export function createNewestReportedVersion(): NewestReportedVersion {
 	let newest: {version: ShortVersion; at: Milliseconds} | undefined;
 	const isFresh = (at: Milliseconds, now: Milliseconds): boolean => now - at < reportLifeMs;
 
--- a/src/programs/agent/_lib/mind-pauses.ts
+++ b/src/programs/agent/_lib/create-pause-tracker.ts
@@ -4,7 +4,7 @@
 
 const pauseLimitMs = 2000;
 
-export type PauseOptions = {
+export type PauseTrackerOptions = {
 	now: () => Milliseconds;
 	startedAt: Milliseconds;
 	/** Time after a pause in which this process still believes what was true before, milliseconds. */
@@ -12,27 +12,27 @@
 	onPaused: (pausedMs: Milliseconds) => void;
 };
 
-export type Pauses = {
+export type PauseTracker = {
 	/** Looks for a pause; called before anything that is heard or done. */
 	check: () => void;
 	/** Whether this process may act on what it knows: not just awake. */
 	mayAct: () => boolean;
 	/** Latest time at which something that was asked for then and read now is sure to have been true. */
-	toSoundTime: (askedAt: Milliseconds) => Milliseconds;
+	toTrustedTime: (askedAt: Milliseconds) => Milliseconds;
 	/**
 	 * When what a peer said has arrived, at the earliest. Just after a pause it may
 	 * have waited in a socket since before, and its age was true then.
 	 */
-	toArrival: () => Milliseconds;
+	toEarliestArrival: () => Milliseconds;
 };
 
 /**
  * Creates it.
  *
- * @param options - See {@link PauseOptions}.
- * @returns See {@link Pauses}.
+ * @param options - See {@link PauseTrackerOptions}.
+ * @returns See {@link PauseTracker}.
  */
-export function mindPauses({now, startedAt, quietMs, onPaused}: PauseOptions): Pauses {
+export function createPauseTracker({now, startedAt, quietMs, onPaused}: PauseTrackerOptions): PauseTracker {
 	const guard = createPauseGuard({limitMs: pauseLimitMs, startedAt});
 	let quietUntil = startedAt;
 	let pausedAt = startedAt;
@@ -52,11 +52,11 @@
 			check();
 			return now() >= quietUntil;
 		},
-		toSoundTime(askedAt) {
+		toTrustedTime(askedAt) {
 			check();
 			return guard.toValidAsOf(askedAt, now());
 		},
-		toArrival() {
+		toEarliestArrival() {
 			check();
 			return now() < quietUntil ? pausedAt : now();
 		},
--- a/src/programs/agent/_lib/tell-peers.ts
+++ b/src/programs/agent/_lib/create-peer-notifier.ts
@@ -4,35 +4,35 @@
 import {type Mesh} from './create-mesh.js';
 import {peerEvents, type KnownVersions, type MemberEvent} from './peer-messages.js';
 
-export type PeerTeller = {
-	dispatch: (messages: readonly OutMessage[]) => void;
+export type PeerNotifier = {
+	sendMessages: (messages: readonly OutMessage[]) => void;
 	/** Tells of a newer document whoever has not heard it from where it came from. */
-	announce: (origin: HostId) => void;
+	announceVersions: (origin: HostId) => void;
 };
 
 /**
  * Creates it.
  *
  * @param options - Connections, membership, and the versions that this host holds.
- * @returns See {@link PeerTeller}.
+ * @returns See {@link PeerNotifier}.
  */
-export function tellPeers({mesh, membership, versions, toRider}: {
+export function createPeerNotifier({mesh, membership, versions, toPiggybackedSummary}: {
 	mesh: Mesh;
 	membership: Membership;
 	versions: () => KnownVersions;
 	/** Bytes that ride on a ping to a host. */
-	toRider: (to: HostId) => Uint8Array | undefined;
-}): PeerTeller {
+	toPiggybackedSummary: (to: HostId) => Uint8Array | undefined;
+}): PeerNotifier {
 	return {
-		dispatch(messages) {
+		sendMessages(messages) {
 			for (const {to, address, message} of messages) {
 				const isAnswer = message.kind !== 'ping' && message.kind !== 'zones';
-				const rider = message.kind === 'ping' && to !== undefined ? toRider(to) : undefined;
-				const event: MemberEvent = {message, ...(!isAnswer && {versions: versions()}), ...(rider && {summaries: rider})};
+				const piggybacked = message.kind === 'ping' && to !== undefined ? toPiggybackedSummary(to) : undefined;
+				const event: MemberEvent = {message, ...(!isAnswer && {versions: versions()}), ...(piggybacked && {summaries: piggybacked})};
 				mesh.send({to, address}, peerEvents.member, event);
 			}
 		},
-		announce(origin) {
+		announceVersions(origin) {
 			for (const {id, agentAddress} of membership.spreadTargets(origin)) {
 				mesh.send({to: id, address: agentAddress}, peerEvents.versions, versions());
 			}
--- a/src/programs/agent/_lib/create-polled.ts
+++ b/src/programs/agent/_lib/create-polled-servers.ts
@@ -13,22 +13,22 @@
  * @param options - Where configuration and hosts come from, and who we are.
  * @returns A function that gives the list.
  */
-export function createPolled({table, hosts, hostId}: {
+export function createPolledServers({table, hosts, hostId}: {
 	table: FleetTable;
 	hosts: () => ReadonlyMap<HostId, HostStatus>;
 	hostId: HostId;
 }): () => readonly ServerEntry[] {
-	let made: {accepted: unknown; hosts: unknown; servers: readonly ServerEntry[]} | undefined;
+	let cached: {accepted: unknown; hosts: unknown; servers: readonly ServerEntry[]} | undefined;
 
 	return () => {
 		const accepted = table.accepted();
 		const known = hosts();
-		if (!made || made.accepted !== accepted || made.hosts !== known) {
+		if (!cached || cached.accepted !== accepted || cached.hosts !== known) {
 			const pollers = omitContacts([...known.values()].filter(({life}) => life === 'alive'));
 			const servers = accepted?.config.servers.filter(server => server.role !== 'plain' && pickPollers(server, pollers, 1)[0] === hostId) ?? [];
-			made = {accepted, hosts: known, servers};
+			cached = {accepted, hosts: known, servers};
 		}
 
-		return made.servers;
+		return cached.servers;
 	};
 }
--- a/src/programs/agent/_lib/create-reread.test.ts
+++ b/src/programs/agent/_lib/create-reread-schedule.test.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {createReread, type Taken} from './create-reread.js';
+import {createRereadSchedule, type ValueVerdict} from './create-reread-schedule.js';
 
 const second = 1000;
 
 /** Waits after each time that a value was judged. */
-function toWaits(verdicts: readonly Taken[]): readonly number[] {
-	const reread = createReread(() => 0);
+function toWaits(verdicts: readonly ValueVerdict[]): readonly number[] {
+	const reread = createRereadSchedule(() => 0);
 	return verdicts.map(taken => {
 		reread.note(taken);
 		return reread.limit(Infinity) / second;
@@ -15,11 +15,11 @@
 
 describe('createReread', () => {
 	it('doubles the wait for what is refused, up to five minutes', () => {
-		assert.deepEqual(toWaits(Array.from({length: 11}, (): Taken => 'refused')), [1, 2, 4, 8, 16, 32, 64, 128, 256, 300, 300]);
+		assert.deepEqual(toWaits(Array.from({length: 11}, (): ValueVerdict => 'refused')), [1, 2, 4, 8, 16, 32, 64, 128, 256, 300, 300]);
 	});
 
 	it('reads again within ten seconds what lacks parts, since staff publish them next', () => {
-		assert.deepEqual(toWaits(Array.from({length: 6}, (): Taken => 'unfinished')), [1, 2, 4, 8, 10, 10]);
+		assert.deepEqual(toWaits(Array.from({length: 6}, (): ValueVerdict => 'unfinished')), [1, 2, 4, 8, 10, 10]);
 	});
 
 	it('waits for the next revision once the value is held', () => {
@@ -28,7 +28,7 @@
 
 	it('is due when the wait is over and not before', () => {
 		let at = 0;
-		const reread = createReread(() => at);
+		const reread = createRereadSchedule(() => at);
 		assert.equal(reread.isDue(), false);
 		reread.note('unfinished');
 		at = 999;
--- a/src/programs/agent/_lib/create-reread.ts
+++ b/src/programs/agent/_lib/create-reread-schedule.ts
@@ -10,7 +10,7 @@
 const maxPartsRereadMs = 10 * msPerSecond;
 
 /** What came of a value: it is held, it is not, or it will be once parts of it are there. */
-export type Taken = 'taken' | 'refused' | 'unfinished';
+export type ValueVerdict = 'taken' | 'refused' | 'unfinished';
 
 /**
  * When to read a value again at the revision that was seen. A platform that
@@ -19,14 +19,14 @@
  * nowhere until the next one. A plain read after a wait shows it; the wait
  * doubles, since a bad edit of staff stays as it is.
  */
-export function createReread(now: () => Milliseconds) {
+export function createRereadSchedule(now: () => Milliseconds) {
 	let waitMs: Milliseconds | undefined;
 	let dueAt = Infinity;
 
 	return {
-		note(taken: Taken) {
-			const longestMs = taken === 'unfinished' ? maxPartsRereadMs : maxRereadMs;
-			waitMs = taken === 'taken' ? undefined : Math.min(waitMs === undefined ? firstRereadMs : waitMs * 2, longestMs);
+		note(verdict: ValueVerdict) {
+			const longestMs = verdict === 'unfinished' ? maxPartsRereadMs : maxRereadMs;
+			waitMs = verdict === 'taken' ? undefined : Math.min(waitMs === undefined ? firstRereadMs : waitMs * 2, longestMs);
 			dueAt = waitMs === undefined ? Infinity : now() + waitMs;
 		},
 		isDue: () => now() >= dueAt,
--- a/src/programs/agent/_lib/create-server-names.ts
+++ b/src/programs/agent/_lib/create-server-index.ts
@@ -2,7 +2,7 @@
 import {type FleetTable} from '../../../domain/create-fleet-table/index.js';
 import {type ServerId, type ZoneId} from '../../../ports/ids.js';
 
-export type ServerNames = {
+export type ServerIndex = {
 	/** The server whose name has this hash, as peers send it; `undefined` if none is in force here. */
 	findByHash: (hash: number) => ServerId | undefined;
 	toZone: (server: ServerId) => ZoneId | undefined;
@@ -12,27 +12,27 @@
  * Knows the servers of the configuration in force, worked out once for each.
  *
  * @param table - Has the configuration.
- * @returns See {@link ServerNames}.
+ * @returns See {@link ServerIndex}.
  */
-export function createServerNames(table: Pick<FleetTable, 'accepted'>): ServerNames {
-	let known: {accepted: unknown; byHash: ReadonlyMap<number, ServerId>; zones: ReadonlyMap<ServerId, ZoneId>} | undefined;
+export function createServerIndex(table: Pick<FleetTable, 'accepted'>): ServerIndex {
+	let index: {accepted: unknown; byHash: ReadonlyMap<number, ServerId>; zones: ReadonlyMap<ServerId, ZoneId>} | undefined;
 
-	function toKnown() {
+	function toIndex() {
 		const accepted = table.accepted();
-		if (!known || known.accepted !== accepted) {
+		if (!index || index.accepted !== accepted) {
 			const servers = accepted?.config.servers ?? [];
-			known = {
+			index = {
 				accepted,
 				byHash: new Map(servers.map(({id}) => [toHash32(id), id])),
 				zones: new Map(servers.map(({id, zone}) => [id, zone])),
 			};
 		}
 
-		return known;
+		return index;
 	}
 
 	return {
-		findByHash: hash => toKnown().byHash.get(hash),
-		toZone: server => toKnown().zones.get(server),
+		findByHash: hash => toIndex().byHash.get(hash),
+		toZone: server => toIndex().zones.get(server),
 	};
 }
--- a/src/programs/agent/_lib/fetch-document.ts
+++ b/src/programs/agent/_lib/fetch-document.ts
@@ -6,7 +6,7 @@
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type NamedPart} from '../../../ports/config.js';
 import {type HostId} from '../../../ports/ids.js';
-import {type ConfigOfferOptions} from './hold-documents.js';
+import {type ConfigOfferOptions} from './create-document-store.js';
 import {peerCalls} from './peer-messages.js';
 
 export const chunksInCall = 128;
--- a/src/programs/agent/_lib/follow-entry.ts
+++ b/src/programs/agent/_lib/follow-entry.ts
@@ -18,9 +18,9 @@
 	hello: () => PeerHello;
 	tls: (() => PeerKeys) | undefined;
 	/** Tells the fleet. */
-	state: (statement: OwnStatement) => void;
+	publishState: (statement: OwnStatement) => void;
 	/** What peers remember of an entry before this agent started. */
-	seenBefore: () => {incarnation: Incarnation; address: string};
+	previousEntry: () => {incarnation: Incarnation; address: string};
 	onEnded: (incarnation: Incarnation) => void;
 	signal: AbortSignal;
 };
@@ -33,7 +33,7 @@
 	/** The connection to the entry, while there is one. */
 	connection: () => PeerConnection | undefined;
 	/** Least incarnation that the entry may use, above all that ended before it; 0 when its own will do. */
-	floor: () => Incarnation;
+	incarnationFloor: () => Incarnation;
 };
 
 type Current = {
@@ -48,28 +48,28 @@
  * @param options - See {@link FollowEntryOptions}.
  * @returns See {@link EntryFollower}.
  */
-export function followEntry({hello, tls, state, seenBefore, onEnded, signal}: FollowEntryOptions): EntryFollower {
+export function followEntry({hello, tls, publishState, previousEntry, onEnded, signal}: FollowEntryOptions): EntryFollower {
 	let current: Current | undefined;
-	let gone: Incarnation = 0;
+	let endedIncarnation: Incarnation = 0;
 
 	const isAnswering = async (address: string, incarnation: Incarnation) => isEntryAnswering({host: hello().host, incarnation}, address, {
 		hello, tls, connectTimeoutMs: probeTimeoutMs,
 	});
 
-	function noteGone(incarnation: Incarnation) {
-		if (incarnation > gone) {
-			gone = incarnation;
-			state({entryGone: gone});
-			onEnded(gone);
+	function noteEnded(incarnation: Incarnation) {
+		if (incarnation > endedIncarnation) {
+			endedIncarnation = incarnation;
+			publishState({entryGone: endedIncarnation});
+			onEnded(endedIncarnation);
 		}
 	}
 
 	/** Its feed has ended: it has died, or only its connection has. */
-	async function judge(incarnation: Incarnation, address: string) {
+	async function probeUntilEnded(incarnation: Incarnation, address: string) {
 		await waitFor(probeGapMs, signal);
-		while (!signal.aborted && gone < incarnation && current?.incarnation !== incarnation) {
+		while (!signal.aborted && endedIncarnation < incarnation && current?.incarnation !== incarnation) {
 			if (address === '' || !await isAnswering(address, incarnation)) {
-				noteGone(incarnation);
+				noteEnded(incarnation);
 				return;
 			}
 
@@ -77,26 +77,26 @@
 		}
 	}
 
-	async function judgeEarlier() {
+	async function probePreviousEntry() {
 		await waitFor(startGraceMs, signal);
-		const {incarnation, address} = seenBefore();
+		const {incarnation, address} = previousEntry();
 		if (incarnation > 0 && current?.incarnation !== incarnation) {
-			await judge(incarnation, address);
+			await probeUntilEnded(incarnation, address);
 		}
 	}
 
 	async function serve(connected: Current) {
 		current = connected;
-		state({entryIncarnation: connected.incarnation});
+		publishState({entryIncarnation: connected.incarnation});
 		await connected.connection.closed;
 		if (current === connected) {
 			current = undefined;
 		}
 
-		await judge(connected.incarnation, connected.address);
+		await probeUntilEnded(connected.incarnation, connected.address);
 	}
 
-	void judgeEarlier();
+	void probePreviousEntry();
 
 	return {
 		add(connection) {
@@ -114,15 +114,15 @@
 			current.address = entryAddress;
 			current.incarnation = Math.max(current.incarnation, incarnation);
 			// Until the next entry says otherwise, the host stays a leaving one: nobody serves on it.
-			state({entryAddress, entryIncarnation: current.incarnation, leaving: stopping === true});
+			publishState({entryAddress, entryIncarnation: current.incarnation, leaving: stopping === true});
 			// A newer entry is in the place of all before it, once it has heard how high it must be.
-			if (current.incarnation > seenBefore().incarnation) {
-				noteGone(current.incarnation - 1);
+			if (current.incarnation > previousEntry().incarnation) {
+				noteEnded(current.incarnation - 1);
 			}
 		},
 		connection: () => current?.connection,
-		floor() {
-			const before = Math.max(gone, seenBefore().incarnation);
+		incarnationFloor() {
+			const before = Math.max(endedIncarnation, previousEntry().incarnation);
 			return before === current?.incarnation ? 0 : before + 1;
 		},
 	};
--- a/src/programs/agent/_lib/give-orders.ts
+++ b/src/programs/agent/_lib/give-orders.ts
@@ -87,9 +87,9 @@
 		plannedVersion = current.accepted.version;
 		const mine = new Map(servers().map(server => [server.id, server]));
 		const {orders, held} = planRollout(current, current.accepted, decidedAt, {acceptedAt});
-		const isUnsure = isBehind() || !isViewConfirmed(current, decidedAt);
-		const unsure = isUnsure ? orders.map(wanted => ({...wanted, reason: 'unconfirmed' as const})) : [];
-		onHeld(toHeldNotices([...held, ...unsure], current.accepted.config));
+		const isUnconfirmed = isBehind() || !isViewConfirmed(current, decidedAt);
+		const unconfirmed = isUnconfirmed ? orders.map(wanted => ({...wanted, reason: 'unconfirmed' as const})) : [];
+		onHeld(toHeldNotices([...held, ...unconfirmed], current.accepted.config));
 		const due = orders.filter(({server}) => mine.has(server) && decidedAt - (givenAt.get(server) ?? -Infinity) >= repeatMs);
 		await Promise.all(due.map(async wanted => give(mine.get(wanted.server)!, wanted, decidedAt)));
 	}
--- a/src/programs/agent/_lib/is-reading-turn.ts
+++ b/src/programs/agent/_lib/is-platform-reader.ts
@@ -18,7 +18,7 @@
  * @param silentMs - Time since the platform last confirmed anything, milliseconds.
  * @returns The same on all hosts that know the same hosts alive.
  */
-export function isReadingTurn(self: {id: HostId; zone: ZoneId}, hosts: Iterable<HostStatus>, silentMs: Milliseconds): boolean {
+export function isPlatformReader(self: {id: HostId; zone: ZoneId}, hosts: Iterable<HostStatus>, silentMs: Milliseconds): boolean {
 	const count = Math.min(mostReaders, readersOfZone + Math.floor(silentMs / moreReadersMs));
 	const alive = [...hosts].filter(({zone, life}) => zone === self.zone && life === 'alive').map(({id}) => id);
 	return pickRanked(`reader ${self.zone}`, alive, count).includes(self.id);
--- a/src/programs/agent/_lib/keep-documents.ts
+++ b/src/programs/agent/_lib/keep-documents.ts
@@ -10,18 +10,18 @@
 import {type FleetList, type PlatformFailure, type PlatformValue} from '../../../ports/platform.js';
 import {msPerSecond} from '../../../ports/units.js';
 import {type AgentOptions} from './agent-types.js';
-import {type Taken} from './create-reread.js';
-import {holdDocuments, type ConfigOffer, type DocumentNotices} from './hold-documents.js';
-import {createNewestReported} from './create-newest-reported.js';
+import {type ValueVerdict} from './create-reread-schedule.js';
+import {createDocumentStore, type ConfigOfferResult, type DocumentNotices} from './create-document-store.js';
+import {createNewestReportedVersion} from './create-newest-reported-version.js';
 import {type KnownVersions} from './peer-messages.js';
-import {type Pauses} from './mind-pauses.js';
+import {type PauseTracker} from './create-pause-tracker.js';
 import {createPartReader} from './read-parts.js';
 import {type DocumentKind, type OfferedDocument} from './fetch-document.js';
 import {spreadDocument, type DocumentSpread, type SpreadDocumentOptions} from './spread-document.js';
 import {watchPlatform} from './watch-platform.js';
 
 /** Time in which a starting agent learns from its peers, before it listens to a platform that may be stale. */
-const joinMs: Milliseconds = 3 * msPerSecond;
+const peerWaitMs: Milliseconds = 3 * msPerSecond;
 
 /**
  * Time for which a starting agent that holds nothing passes over what peers
@@ -32,18 +32,18 @@
  * lost by this. Where none vouches, readers have asked the platform by then; without
  * a platform, what is there is better than nothing.
  */
-const vouchingMs: Milliseconds = joinMs + (2 * msPerSecond);
+const unvouchedWaitMs: Milliseconds = peerWaitMs + (2 * msPerSecond);
 
 export type KeepDocumentsOptions = Pick<AgentOptions, 'settings' | 'platform' | 'random' | 'keepOnly' | 'log'> & {
 	table: FleetTable;
-	pauses: Pauses;
+	pauses: PauseTracker;
 	call: SpreadDocumentOptions['call'];
 	/** A document has come in force here, from that host. */
-	onNews: (origin: HostId) => void;
+	onDocumentChange: (origin: HostId) => void;
 	/** A new list of hosts and servers. */
 	onFleet: (fleet: FleetList) => void;
 	/** Whether it is for this host to read the platform, which was silent for so long (milliseconds). */
-	isReadingTurn: (silentMs: Milliseconds) => boolean;
+	isPlatformReader: (silentMs: Milliseconds) => boolean;
 	counts: {platformReads: number; configsRefused: number};
 	now: () => Milliseconds;
 	startedAt: Milliseconds;
@@ -55,13 +55,13 @@
 	/** What this host holds, for its peers to hear. */
 	versions: () => KnownVersions;
 	/** A peer says what it holds. */
-	takeVersions: (from: HostId, known: KnownVersions) => void;
+	receiveVersions: (from: HostId, known: KnownVersions) => void;
 	/** Whether the configuration is newer than what is in force here. */
-	isNews: (version: ConfigVersion | undefined) => boolean;
+	isNewer: (version: ConfigVersion | undefined) => boolean;
 	/** Whether a peer has lately named a newer configuration than the one in force here. */
 	isBehind: () => boolean;
 	/** Judges a configuration that this host's entry still holds. */
-	takeFromEntry: (document: OfferedDocument) => void;
+	offerFromEntry: (document: OfferedDocument) => void;
 	/** Answers a peer's call for one of the documents. */
 	serve: (kind: DocumentKind, method: string, body: unknown) => unknown;
 	/** Settles once the signal has aborted. */
@@ -75,14 +75,14 @@
  * @returns See {@link Documents}.
  */
 export function keepDocuments(options: KeepDocumentsOptions): Documents {
-	const {settings, table, log, pauses, call, onNews, counts, now, startedAt, random, signal} = options;
+	const {settings, table, log, pauses, call, onDocumentChange, counts, now, startedAt, random, signal} = options;
 	const {hostId} = settings;
-	let heardFromPeer = false;
+	let hasHeardFromPeer = false;
 	/** Whether the platform's configuration was heard of in this life, from itself or from a peer that vouches. */
-	let isConfigHeard = false;
-	const newest = createNewestReported();
+	let isPlatformConfigKnown = false;
+	const newest = createNewestReportedVersion();
 
-	const held = holdDocuments({
+	const held = createDocumentStore({
 		table,
 		log,
 		onFleet: options.onFleet,
@@ -92,14 +92,14 @@
 	});
 
 	/** Judges a document; `source` is for the log. */
-	function take(kind: DocumentKind, {text, revision, ...partOptions}: OfferedDocument, origin: HostId, source: string = origin): ConfigOffer {
-		const offer = kind === 'config' ? held.offerConfig(text, revision, source, partOptions) : {isNews: held.offerFleet(text, revision, source), missing: []};
-		if (offer.isNews) {
+	function judgeDocument(kind: DocumentKind, {text, revision, ...partOptions}: OfferedDocument, origin: HostId, source: string = origin): ConfigOfferResult {
+		const offer = kind === 'config' ? held.offerConfig(text, revision, source, partOptions) : {isChanged: held.offerFleet(text, revision, source), missing: []};
+		if (offer.isChanged) {
 			if (kind === 'config') {
 				options.keepOnly?.(new Set(table.accepted()!.config.servers.map(({id}) => id)));
 			}
 
-			onNews(origin);
+			onDocumentChange(origin);
 		}
 
 		return offer;
@@ -108,7 +108,7 @@
 	const createSpread = (kind: DocumentKind) => spreadDocument({
 		kind,
 		held: held[kind],
-		offer: (document, from) => take(kind, document, from).missing,
+		offer: (document, from) => judgeDocument(kind, document, from).missing,
 		call,
 		onFailure(message, from) {
 			log.debug('a document was not fetched', {kind, peer: from, reason: message});
@@ -122,12 +122,12 @@
 	const confirmedAt = () => table.view(now()).platformConfirmedAt;
 
 	/** A restarted host hears its peers first: the platform may be stale. */
-	function hasJoined(): boolean {
-		const isInformed = heardFromPeer && !spreads.config.isBehind() && table.accepted() !== undefined;
-		return isInformed || settings.seeds.length === 0 || now() - startedAt >= joinMs;
+	function hasHeardPeersOrWaited(): boolean {
+		const isInformed = hasHeardFromPeer && !spreads.config.isBehind() && table.accepted() !== undefined;
+		return isInformed || settings.seeds.length === 0 || now() - startedAt >= peerWaitMs;
 	}
 
-	const isReader = () => hasJoined() && options.isReadingTurn(now() - (confirmedAt() ?? startedAt));
+	const isReader = () => hasHeardPeersOrWaited() && options.isPlatformReader(now() - (confirmedAt() ?? startedAt));
 	const onRead = () => {
 		counts.platformReads += 1;
 	};
@@ -139,7 +139,7 @@
 	const partReader = createPartReader({
 		platform: options.platform,
 		isReader: () => isReader() && !spreads.config.isBehind(),
-		isAlone: () => !heardFromPeer,
+		isAlone: () => !hasHeardFromPeer,
 		onRead,
 		onFailure,
 		random,
@@ -147,13 +147,13 @@
 	});
 
 	/** Judges what the platform serves, and reads the parts of it that are not here. */
-	async function takeFromPlatform(key: DocumentKind, {value: text, revision}: PlatformValue): Promise<Taken> {
+	async function takeFromPlatform(key: DocumentKind, {value: text, revision}: PlatformValue): Promise<ValueVerdict> {
 		const before = held[key]();
-		let offer = take(key, {text, revision, isQuiet: true}, hostId, 'platform');
+		let offer = judgeDocument(key, {text, revision, isQuiet: true}, hostId, 'platform');
 		if (offer.missing.length > 0) {
 			// Once something else is in force, be it this document from a peer, the rest would be read for nothing.
 			const isAnswered = await partReader.read(offer.missing, () => held[key]()?.version.digest === before?.version.digest);
-			offer = take(key, {
+			offer = judgeDocument(key, {
 				text, revision, findPart: partReader.toText, isQuiet: !isAnswered,
 			}, hostId, 'platform');
 		}
@@ -168,17 +168,17 @@
 
 		// The text in force under a later revision may be an old text in the place of a new one.
 		const isHeld = before !== undefined && before.version.revision >= revision && (key === 'fleet' || before.text === text);
-		return offer.isNews || isHeld ? 'taken' : 'refused';
+		return offer.isChanged || isHeld ? 'taken' : 'refused';
 	}
 
 	/** Whether nothing is held here, and it is too early to take what a peer can't vouch for. */
 	function isUnvouched({confirmedAgeMs}: KnownVersions): boolean {
-		return confirmedAgeMs === undefined && table.accepted() === undefined && now() - startedAt < vouchingMs;
+		return confirmedAgeMs === undefined && table.accepted() === undefined && now() - startedAt < unvouchedWaitMs;
 	}
 
-	async function takeFromWatch(key: DocumentKind, value: PlatformValue): Promise<Taken> {
+	async function takeFromWatch(key: DocumentKind, value: PlatformValue): Promise<ValueVerdict> {
 		const taken = await takeFromPlatform(key, value);
-		isConfigHeard ||= key === 'config' && taken !== 'unfinished';
+		isPlatformConfigKnown ||= key === 'config' && taken !== 'unfinished';
 		return taken;
 	}
 
@@ -187,7 +187,7 @@
 	/** Age of the platform's last answer, for peers; none while something newer than what is held here is known. */
 	function toVouchedAgeMs(): Milliseconds | undefined {
 		const at = confirmedAt();
-		return at === undefined || !isConfigHeard || isBehind() ? undefined : Math.ceil(now() - at);
+		return at === undefined || !isPlatformConfigKnown || isBehind() ? undefined : Math.ceil(now() - at);
 	}
 
 	const watch = async (key: DocumentKind) => watchPlatform({
@@ -197,7 +197,7 @@
 		waitMs: settings.platformWait,
 		onValue: async value => takeFromWatch(key, value),
 		onConfirmed(askedAt) {
-			table.noteConfirmed(pauses.toSoundTime(askedAt));
+			table.noteConfirmed(pauses.toTrustedTime(askedAt));
 		},
 		onFailure,
 		onRead,
@@ -209,8 +209,8 @@
 	return {
 		notices: held.notices,
 		versions: () => ({config: spreads.config.version(), fleet: spreads.fleet.version(), confirmedAgeMs: toVouchedAgeMs()}),
-		takeVersions(from, known) {
-			heardFromPeer = true;
+		receiveVersions(from, known) {
+			hasHeardFromPeer = true;
 			newest.note(known.config, now());
 			if (!isUnvouched(known)) {
 				spreads.config.noteVersion(from, known.config);
@@ -218,17 +218,17 @@
 
 			spreads.fleet.noteVersion(from, known.fleet);
 			if (known.confirmedAgeMs !== undefined) {
-				isConfigHeard = true;
-				table.noteConfirmed(pauses.toArrival() - known.confirmedAgeMs);
+				isPlatformConfigKnown = true;
+				table.noteConfirmed(pauses.toEarliestArrival() - known.confirmedAgeMs);
 			}
 		},
-		isNews(version) {
+		isNewer(version) {
 			const own = table.accepted()?.version;
 			return version !== undefined && (own === undefined || compareConfigVersions(version, own) > 0);
 		},
 		isBehind,
-		takeFromEntry(document) {
-			take('config', document, hostId, 'entry');
+		offerFromEntry(document) {
+			judgeDocument('config', document, hostId, 'entry');
 		},
 		serve: (kind, method, body) => spreads[kind].serve(method, body),
 		done: Promise.all([watch('config'), watch('fleet')]),
--- a/src/programs/agent/_lib/tend-servers.ts
+++ b/src/programs/agent/_lib/manage-servers.ts
@@ -7,23 +7,23 @@
 } from '../../../ports/ids.js';
 import {type HostStatus} from '../../../ports/view.js';
 import {type AgentOptions} from './agent-types.js';
-import {createPolled} from './create-polled.js';
+import {createPolledServers} from './create-polled-servers.js';
 import {giveOrders} from './give-orders.js';
-import {judgeLeavers} from './judge-leavers.js';
-import {type Pauses} from './mind-pauses.js';
+import {createLeavingTracker} from './create-leaving-tracker.js';
+import {type PauseTracker} from './create-pause-tracker.js';
 import {pollLoads} from './poll-loads.js';
 import {releaseOrphans, type OrphanTask} from './release-orphans.js';
 import {type LoadsTask} from './spread-loads.js';
-import {watchHeld, type HeldOrders} from './watch-held.js';
+import {watchHeldOrders, type HeldOrders} from './watch-held-orders.js';
 
-export type TendServersOptions = Pick<AgentOptions, 'settings' | 'toEngine' | 'log' | 'random'> & {
+export type ManageServersOptions = Pick<AgentOptions, 'settings' | 'toEngine' | 'log' | 'random'> & {
 	table: FleetTable;
 	hosts: () => ReadonlyMap<HostId, HostStatus>;
 	loads: LoadsTask;
 	hold: LeavingOverrides;
 	/** Of this process. */
 	incarnation: Incarnation;
-	pauses: Pauses;
+	pauses: PauseTracker;
 	/** Whether the owner's entry still answers at its peer port. */
 	isAnswering: (owner: Owner, address: string) => Promise<boolean>;
 	/** Whether a newer configuration than the one in force here is known to exist. */
@@ -33,7 +33,7 @@
 	signal: AbortSignal;
 };
 
-export type TendTask = OrphanTask & {
+export type ManageServersTask = OrphanTask & {
 	/** Orders that wait, and for what. */
 	heldOrders: () => HeldOrders;
 };
@@ -41,15 +41,15 @@
 /**
  * Starts the tasks.
  *
- * @param options - See {@link TendServersOptions}.
- * @returns See {@link TendTask}.
+ * @param options - See {@link ManageServersOptions}.
+ * @returns See {@link ManageServersTask}.
  */
-export function tendServers(options: TendServersOptions): TendTask {
+export function manageServers(options: ManageServersOptions): ManageServersTask {
 	const {
 		settings, table, hosts, toEngine, loads, hold, pauses, log, counts, now, random, signal,
 	} = options;
 	const {hostId} = settings;
-	const servers = createPolled({table, hosts, hostId});
+	const servers = createPolledServers({table, hosts, hostId});
 	const common = {
 		servers, toEngine, mayAct: pauses.mayAct, log, now, random, signal,
 	};
@@ -61,7 +61,7 @@
 			counts.orphansReleased += count;
 		},
 	});
-	const leavers = judgeLeavers({
+	const leavingTracker = createLeavingTracker({
 		table,
 		hold,
 		servers,
@@ -75,28 +75,28 @@
 		...common,
 		intervalMs: settings.loadPollInterval,
 		onLoad(load, askedAt) {
-			const loadAt = pauses.toSoundTime(askedAt) - load.ageMs;
-			const judged = leavers.judge(load);
-			loads.spread.notePolled(judged, loadAt);
+			const loadAt = pauses.toTrustedTime(askedAt) - load.ageMs;
+			const report = leavingTracker.toEffectiveReport(load);
+			loads.spread.notePolled(report, loadAt);
 			if (load.state === 'leaving') {
 				loads.noteLeaving([load.server], hostId);
 			}
 
-			table.noteLoad(judged, loadAt);
-			void leavers.probe(load);
+			table.noteLoad(report, loadAt);
+			void leavingTracker.probeIfDue(load);
 		},
 		onUnreachable(server, askedAt) {
-			const soundAt = pauses.toSoundTime(askedAt);
+			const trustedAt = pauses.toTrustedTime(askedAt);
 			hold.noteUnreachable(server, now());
-			loads.spread.noteUnreachable(server, soundAt);
-			table.noteUnreachable(server, soundAt);
+			loads.spread.noteUnreachable(server, trustedAt);
+			table.noteUnreachable(server, trustedAt);
 		},
 		onEnd(server: ServerId) {
 			hold.forget(server);
 			loads.spread.forget(server);
 		},
 	});
-	const held = watchHeld(log);
+	const held = watchHeldOrders(log);
 	const orders = giveOrders({
 		...common,
 		isBehind: options.isBehind,
--- a/src/programs/agent/_lib/poll-loads.ts
+++ b/src/programs/agent/_lib/poll-loads.ts
@@ -9,7 +9,7 @@
 import {type ServerId} from '../../../ports/ids.js';
 
 const minTimeoutMs = 1000;
-const refreshMs = 500;
+const taskRefreshMs = 500;
 
 export type PollOptions = {
 	/** Servers to poll now; asked again before each poll. */
@@ -66,13 +66,13 @@
 	let waiting: Array<() => void> = [];
 
 	/** All polls of this host go out together: the process wakes once for them, and not once for each. */
-	async function nextBeat() {
+	async function waitForRound() {
 		return new Promise<void>(resolve => {
 			waiting.push(resolve);
 		});
 	}
 
-	function beat() {
+	function startRound() {
 		const due = waiting;
 		waiting = [];
 		for (const go of due) {
@@ -80,17 +80,17 @@
 		}
 	}
 
-	async function keepBeat() {
+	async function runRounds() {
 		await waitFor(intervalMs * random(), signal);
 		while (!signal.aborted) {
-			beat();
+			startRound();
 			await waitFor(intervalMs * (0.9 + (random() / 5)), signal);
 		}
 	}
 
 	async function poll(server: ServerEntry, stop: AbortSignal) {
 		const readLoad = createLoadCaller(toEngine(server), Math.max(intervalMs, minTimeoutMs), stop);
-		await nextBeat();
+		await waitForRound();
 		while (!stop.aborted) {
 			const startedAt = now();
 			let askedAt = startedAt;
@@ -112,11 +112,11 @@
 				options.onUnreachable(server.id, startedAt);
 			}
 
-			await nextBeat();
+			await waitForRound();
 		}
 	}
 
-	const beating = keepBeat();
+	const rounds = runRounds();
 	while (!signal.aborted) {
 		const wanted = new Map(servers().map(server => [server.id, server]));
 		for (const [id, {url, stop}] of tasks) {
@@ -135,13 +135,13 @@
 			}
 		}
 
-		await waitFor(refreshMs, signal);
+		await waitFor(taskRefreshMs, signal);
 	}
 
 	for (const {stop} of tasks.values()) {
 		stop.abort();
 	}
 
-	beat();
-	await beating;
+	startRound();
+	await rounds;
 }
--- a/src/programs/agent/_lib/probe-leaver.ts
+++ b/src/programs/agent/_lib/probe-leaving-server.ts
@@ -14,7 +14,7 @@
  * @param options - Its engine, its last report, who asks, and a number that no other probe of that process has.
  * @returns Whether it accepted.
  */
-export async function probeLeaver(server: ServerEntry, {engine, load, owner, count}: {engine: Engine; load: LoadReport; owner: Owner; count: number}): Promise<boolean> {
+export async function probeLeavingServer(server: ServerEntry, {engine, load, owner, count}: {engine: Engine; load: LoadReport; owner: Owner; count: number}): Promise<boolean> {
 	const key = {requestId: `probe-${owner.host}-${owner.incarnation}-${count}`, attempt: 1, owner};
 	const options = {signal: AbortSignal.timeout(callTimeoutMs)};
 	const asked = server.role === 'decode'
--- a/src/programs/agent/_lib/read-parts.ts
+++ b/src/programs/agent/_lib/read-parts.ts
@@ -16,12 +16,12 @@
 import {type Platform, type PlatformFailure} from '../../../ports/platform.js';
 
 /** Parts that are read without a gap by a host that knows others. */
-const burst = 2;
+const readsWithoutGap = 2;
 const gapMs = 50;
 const gapAloneMs = 333;
 
 /** Enough for staff to see what is wrong; with this many missing the others are not asked for. */
-const mostMisses = 16;
+const maxMissingParts = 16;
 
 export type ReadPartsOptions = {
 	platform: Pick<Platform, 'read'>;
@@ -75,9 +75,9 @@
 		async read(missing, isWanted) {
 			const kept = new Map(missing.flatMap(({sha256}): Array<[string, string]> => texts.has(sha256) ? [[sha256, texts.get(sha256)!]] : []));
 			texts = kept;
-			let misses = 0;
+			let missingParts = 0;
 			for (const [i, part] of missing.filter(({sha256}) => !kept.has(sha256)).entries()) {
-				if (i >= burst || isAlone()) {
+				if (i >= readsWithoutGap || isAlone()) {
 					const gap: Milliseconds = isAlone() ? gapAloneMs : gapMs;
 					await waitFor(gap * (0.5 + random()), signal);
 				}
@@ -96,10 +96,10 @@
 				if (text.value !== undefined && toDigest(text.value) === part.sha256) {
 					kept.set(part.sha256, text.value);
 				} else {
-					misses += 1;
+					missingParts += 1;
 				}
 
-				if (misses >= mostMisses) {
+				if (missingParts >= maxMissingParts) {
 					break;
 				}
 			}
--- a/src/programs/agent/_lib/release-orphans.ts
+++ b/src/programs/agent/_lib/release-orphans.ts
@@ -14,7 +14,7 @@
 const graceMs = 500;
 const quickSweepMs = 400;
 /** Time after an end during which sweeps are quick. */
-const quickForMs = 15_000;
+const quickPeriodMs = 15_000;
 const slowSweepMs = 10_000;
 const callTimeoutMs = 2000;
 
@@ -50,11 +50,11 @@
 	const {servers, toEngine, hosts, isAnswering, mayAct, log, now, random, signal} = options;
 	const deadSince = new Map<HostId, Milliseconds>();
 	const ended = new Map<HostId, Incarnation>();
-	let quickUntil = now() + quickForMs;
+	let quickUntil = now() + quickPeriodMs;
 	let wake = new AbortController();
 
-	function hurry() {
-		quickUntil = now() + quickForMs;
+	function startQuickSweeps() {
+		quickUntil = now() + quickPeriodMs;
 		wake.abort();
 	}
 
@@ -70,20 +70,20 @@
 			}
 
 			if (isNews) {
-				hurry();
+				startQuickSweeps();
 			}
 		}
 	}
 
 	/** The last look before something is taken away: an agent alone may have died, and its entry live on. */
-	async function isLost({hold, cause}: Orphan): Promise<boolean> {
+	async function isOwnerGone({hold, cause}: Orphan): Promise<boolean> {
 		const address = hosts().get(hold.owner.host)?.entryAddress ?? '';
 		return cause === 'entry-ended' || address === '' || !await isAnswering(hold.owner, address);
 	}
 
 	async function release(server: ServerEntry, engine: Engine, orphan: Orphan): Promise<number> {
 		const {requestId, attempt, owner} = orphan.hold;
-		if (!await isLost(orphan)) {
+		if (!await isOwnerGone(orphan)) {
 			return 0;
 		}
 
--- a/src/programs/agent/_lib/serve-peers.ts
+++ b/src/programs/agent/_lib/serve-peers.ts
@@ -10,13 +10,13 @@
 import {type Mesh} from './create-mesh.js';
 import {type EntryFollower} from './follow-entry.js';
 import {type Documents} from './keep-documents.js';
-import {type Pauses} from './mind-pauses.js';
+import {type PauseTracker} from './create-pause-tracker.js';
 import {
 	isKnownVersions, isMemberEvent, peerCalls, peerEvents,
 } from './peer-messages.js';
 import {type LoadsTask} from './spread-loads.js';
 import {type SummariesTask} from './spread-summaries.js';
-import {type PeerTeller} from './tell-peers.js';
+import {type PeerNotifier} from './create-peer-notifier.js';
 
 const configTimeoutMs = 3000;
 
@@ -24,7 +24,7 @@
 	hostId: HostId;
 	membership: Membership;
 	mesh: Mesh;
-	teller: PeerTeller;
+	notifier: PeerNotifier;
 	documents: Documents;
 	loads: LoadsTask;
 	summaries: SummariesTask;
@@ -32,7 +32,7 @@
 	publisher: ViewPublisher;
 	/** Shows the entry what is known now. */
 	publish: () => void;
-	pauses: Pauses;
+	pauses: PauseTracker;
 	now: () => Milliseconds;
 };
 
@@ -49,11 +49,11 @@
  * @returns Handlers for connections of either direction.
  */
 export function servePeers(options: ServePeersOptions): PeerService {
-	const {hostId, membership, mesh, teller, documents, loads, summaries, entry, publisher, publish, pauses, now} = options;
+	const {hostId, membership, mesh, notifier, documents, loads, summaries, entry, publisher, publish, pauses, now} = options;
 
 	/** A restarted agent takes the configuration that its entry still holds. */
-	async function learnFromEntry(connection: PeerConnection, {configVersion}: FeedPing) {
-		if (!documents.isNews(configVersion)) {
+	async function offerEntryConfig(connection: PeerConnection, {configVersion}: FeedPing) {
+		if (!documents.isNewer(configVersion)) {
 			return;
 		}
 
@@ -61,11 +61,11 @@
 		const held = reply.unwrapOr(undefined) as FeedConfig | undefined;
 		if (held) {
 			const texts = new Map(held.parts?.map(({sha256, text}) => [sha256, text]));
-			documents.takeFromEntry({text: held.text, revision: held.version.revision, findPart: ({sha256}) => texts.get(sha256)});
+			documents.offerFromEntry({text: held.text, revision: held.version.revision, findPart: ({sha256}) => texts.get(sha256)});
 		}
 	}
 
-	function takeEntryEvent(connection: PeerConnection | undefined, name: string, body: unknown) {
+	function handleEntryEvent(connection: PeerConnection | undefined, name: string, body: unknown) {
 		if (connection?.peer.host !== hostId || !isRecord(body)) {
 			return;
 		}
@@ -74,7 +74,7 @@
 			const ping = body as FeedPing;
 			publisher.notePing(connection, ping, now());
 			entry.notePing(connection, ping);
-			void learnFromEntry(connection, ping);
+			void offerEntryConfig(connection, ping);
 			publish();
 		} else if (name === feedEvents.leaving) {
 			loads.noteLeaving([(body as FeedLeaving).server], hostId);
@@ -97,27 +97,27 @@
 		onEvent(peer, name, body, connection) {
 			pauses.check();
 			if (peer.role === 'entry') {
-				takeEntryEvent(connection, name, body);
+				handleEntryEvent(connection, name, body);
 			} else if (name === peerEvents.member && isMemberEvent(body)) {
 				if (body.versions) {
-					documents.takeVersions(peer.host, body.versions);
+					documents.receiveVersions(peer.host, body.versions);
 				}
 
 				if (body.summaries instanceof Uint8Array) {
-					summaries.takeRider(body.summaries);
+					summaries.handlePiggybackedSummary(body.summaries);
 				}
 
-				teller.dispatch(membership.receive(body.message, peer.host, now()));
+				notifier.sendMessages(membership.receive(body.message, peer.host, now()));
 			} else if (name === peerEvents.versions && isKnownVersions(body)) {
-				documents.takeVersions(peer.host, body);
-			} else if (!summaries.takeEvent(name, body)) {
-				loads.takeEvent(peer.host, name, body);
+				documents.receiveVersions(peer.host, body);
+			} else if (!summaries.handleEvent(name, body)) {
+				loads.handleEvent(peer.host, name, body);
 			}
 		},
 		onConnect(connection) {
 			const {host, role} = connection.peer;
 			if (role === 'agent' && host !== hostId) {
-				mesh.adopt(connection);
+				mesh.addConnection(connection);
 			} else if (role === 'entry' && host === hostId) {
 				publisher.add(connection);
 				entry.add(connection);
--- a/src/programs/agent/_lib/spread-document.ts
+++ b/src/programs/agent/_lib/spread-document.ts
@@ -14,7 +14,7 @@
 import {
 	chunksInCall, fetchDocument, partsInCall, type FetchDocumentOptions,
 } from './fetch-document.js';
-import {type HeldDocument} from './hold-documents.js';
+import {type HeldDocument} from './create-document-store.js';
 import {peerCalls, type ShortVersion} from './peer-messages.js';
 
 const shortDigestLength = 16;
@@ -48,7 +48,7 @@
 	return {edition, revision, digest: digest.slice(0, shortDigestLength)};
 }
 
-type Cut = {
+type ChunkedDocument = {
 	/** Of the document or its root. */
 	digest: string;
 	root: ConfigChunks;
@@ -59,7 +59,7 @@
 };
 
 /** Manifests of parts; nothing for one that is not in force here. */
-function serveParts({parts}: Cut, digests: readonly unknown[]): ReadonlyArray<Uint8Array | undefined> {
+function serveParts({parts}: ChunkedDocument, digests: readonly unknown[]): ReadonlyArray<Uint8Array | undefined> {
 	return digests.slice(0, partsInCall).map(digest => parts.get(String(digest))?.manifest.chunkDigests);
 }
 
@@ -71,29 +71,29 @@
  */
 export function spreadDocument(options: SpreadDocumentOptions): DocumentSpread {
 	const {kind, held, offer, call, onFailure, now, random, signal} = options;
-	let cut: Cut | undefined;
+	let chunked: ChunkedDocument | undefined;
 	let wanted: {version: ShortVersion; holders: Set<HostId>} | undefined;
-	let refused: string | undefined;
+	let refusedDigest: string | undefined;
 	let isFetching = false;
 	let served = {bytes: 0, since: -Infinity};
 
 	/** Parts that stand in the next document too are not cut again. */
-	function toCut(): Cut | undefined {
+	function toChunkedDocument(): ChunkedDocument | undefined {
 		const document = held();
-		if (document && cut?.digest !== document.version.digest) {
+		if (document && chunked?.digest !== document.version.digest) {
 			const {version: {digest}, text, parts = []} = document;
-			const before = cut?.parts;
+			const before = chunked?.parts;
 			const pieces = new Map(parts.map(part => [part.sha256, before?.get(part.sha256) ?? toConfigChunks(part.text)]));
 			const root = toConfigChunks(text);
-			cut = {
+			chunked = {
 				digest, root, parts: pieces, chunks: new Map([root, ...pieces.values()].flatMap(({chunks}) => [...chunks])),
 			};
 		}
 
-		return document && cut;
+		return document && chunked;
 	}
 
-	function countServed(bytes: number) {
+	function enforceServeLimit(bytes: number) {
 		if (now() - served.since >= msPerSecond) {
 			served = {bytes: 0, since: now()};
 		}
@@ -106,7 +106,7 @@
 	}
 
 	function serve(method: string, body: unknown): unknown {
-		const own = toCut();
+		const own = toChunkedDocument();
 		if (!own || !isRecord(body)) {
 			throw new Error(`no ${kind} here`);
 		}
@@ -117,7 +117,7 @@
 
 		const digests = Array.isArray(body.digests) ? body.digests as unknown[] : [];
 		const found = digests.slice(0, chunksInCall).map(digest => typeof digest === 'string' ? own.chunks.get(digest) ?? '' : '');
-		countServed(found.reduce((sum, chunk) => sum + chunk.length, 0));
+		enforceServeLimit(found.reduce((sum, chunk) => sum + chunk.length, 0));
 		return found;
 	}
 
@@ -126,17 +126,17 @@
 		return wanted !== undefined && (!version || compareConfigVersions(wanted.version, toShort(version)) > 0);
 	}
 
-	async function fetch() {
+	async function fetchWanted() {
 		isFetching = true;
 		for (let tries = 0; tries < maxTries && isWanted() && !signal.aborted; tries++) {
 			const holders = [...wanted!.holders];
 			const from = holders[Math.floor(random() * holders.length)]!;
 			const failure = await fetchDocument(from, {
-				kind, call, offer, known: new Map(toCut()?.chunks),
+				kind, call, offer, known: new Map(toChunkedDocument()?.chunks),
 			});
 			if (failure === undefined) {
 				// Fetched and judged. If it is still not held it was refused, and will be again.
-				refused = isWanted() ? wanted!.version.digest : refused;
+				refusedDigest = isWanted() ? wanted!.version.digest : refusedDigest;
 				break;
 			}
 
@@ -155,7 +155,7 @@
 		},
 		noteVersion(from, version) {
 			const own = held()?.version;
-			if (!version || version.digest === refused || (own && compareConfigVersions(version, toShort(own)) <= 0)) {
+			if (!version || version.digest === refusedDigest || (own && compareConfigVersions(version, toShort(own)) <= 0)) {
 				return;
 			}
 
@@ -174,7 +174,7 @@
 			}
 
 			if (!isFetching) {
-				void fetch();
+				void fetchWanted();
 			}
 		},
 		isBehind: () => isFetching,
--- a/src/programs/agent/_lib/spread-loads.test.ts
+++ b/src/programs/agent/_lib/spread-loads.test.ts
@@ -42,7 +42,7 @@
 	});
 	const sender = createLoadBroadcast();
 	sender.noteUnreachable(server, askedAt);
-	loads.takeEvent(from, peerEvents.loads, sender.takeDue(1, 11_000));
+	loads.handleEvent(from, peerEvents.loads, sender.takeDue(1, 11_000));
 	return table.view(11_000).servers.get(server)!.reachable;
 }
 
--- a/src/programs/agent/_lib/spread-loads.ts
+++ b/src/programs/agent/_lib/spread-loads.ts
@@ -7,7 +7,7 @@
 import {type LoadReport} from '../../../ports/engine.js';
 import {type HostId, type ServerId} from '../../../ports/ids.js';
 import {type HostStatus} from '../../../ports/view.js';
-import {createServerNames} from './create-server-names.js';
+import {createServerIndex} from './create-server-index.js';
 import {isSmallFleet} from './is-small-fleet.js';
 import {peerCalls, peerEvents} from './peer-messages.js';
 
@@ -36,7 +36,7 @@
 	/** Takes news that servers are leaving, holds it, and passes on what the table did not know. */
 	noteLeaving: (servers: readonly ServerId[], origin: HostId) => void;
 	/** Takes an event of a peer; returns whether it was one of these. */
-	takeEvent: (from: HostId, name: string, body: unknown) => boolean;
+	handleEvent: (from: HostId, name: string, body: unknown) => boolean;
 	serveReports: (body: unknown) => LoadReport[];
 };
 
@@ -53,8 +53,8 @@
  */
 export function spreadLoads({table, hold, self, hosts, send, call, spreadTargets, now, toArrival, smallFleet}: SpreadLoadsOptions): LoadsTask {
 	const spread = createLoadBroadcast();
-	const asking = new Set<HostId>();
-	const names = createServerNames(table);
+	const pendingRequests = new Set<HostId>();
+	const names = createServerIndex(table);
 
 	function findLoad(server: ServerId): LoadReport | undefined {
 		return table.view(now()).servers.get(server)?.load;
@@ -69,14 +69,14 @@
 	 * server's zone sees it from beside it, one of this zone by the way that this
 	 * host has; where neither can tell, any report is better than none.
 	 */
-	function countsHere(from: HostId, server: ServerId): boolean {
+	function isReportTrusted(from: HostId, server: ServerId): boolean {
 		const known = hosts();
 		const zone = known.get(from)?.zone;
 		const serverZone = names.toZone(server);
 		return zone === self().zone || zone === serverZone || ![...known.values()].some(host => host.zone === serverZone && host.life === 'alive');
 	}
 
-	function receivers(): HostStatus[] {
+	function toReceivers(): HostStatus[] {
 		const {id: ownId, zone: ownZone} = self();
 		const alive = [...hosts().values()].filter(({id, life}) => id !== ownId && life === 'alive');
 		return isSmallFleet(ownId, hosts(), smallFleet) ? alive : alive.filter(({zone}) => zone === ownZone);
@@ -96,14 +96,14 @@
 		}
 	}
 
-	async function ask(from: HostId, wanted: readonly number[]) {
-		if (asking.has(from)) {
+	async function requestReports(from: HostId, wanted: readonly number[]) {
+		if (pendingRequests.has(from)) {
 			return;
 		}
 
-		asking.add(from);
+		pendingRequests.add(from);
 		const reply = await call(from, peerCalls.reports, {servers: wanted}, {timeoutMs: callTimeoutMs});
-		asking.delete(from);
+		pendingRequests.delete(from);
 		const reports = reply.unwrapOr(undefined);
 		for (const load of Array.isArray(reports) ? reports as LoadReport[] : []) {
 			if (isRecord(load) && typeof load.server === 'string' && typeof load.ageMs === 'number' && Array.isArray(load.adapters)) {
@@ -112,36 +112,36 @@
 		}
 	}
 
-	function takeLoads(from: HostId, body: unknown) {
+	function handleLoads(from: HostId, body: unknown) {
 		const {loads, unreachable, wanted} = decodeLoads(body instanceof Uint8Array ? body : new Uint8Array(), names.findByHash, findLoad);
 		for (const load of loads) {
 			table.noteLoad(load, toArrival() - load.ageMs);
 		}
 
 		for (const {server, ageMs} of unreachable) {
-			if (countsHere(from, server)) {
+			if (isReportTrusted(from, server)) {
 				table.noteUnreachable(server, toArrival() - ageMs);
 			}
 		}
 
 		if (wanted.length > 0) {
-			void ask(from, wanted);
+			void requestReports(from, wanted);
 		}
 	}
 
 	return {
 		spread,
 		tick() {
-			const to = receivers();
+			const to = toReceivers();
 			const bytes = spread.takeDue(to.length, now());
 			for (const host of bytes ? to : []) {
 				send(host, peerEvents.loads, bytes);
 			}
 		},
 		noteLeaving,
-		takeEvent(from, name, body) {
+		handleEvent(from, name, body) {
 			if (name === peerEvents.loads) {
-				takeLoads(from, body);
+				handleLoads(from, body);
 			} else if (name === peerEvents.leaving) {
 				noteLeaving(toNames(body), from);
 			}
--- a/src/programs/agent/_lib/spread-summaries.ts
+++ b/src/programs/agent/_lib/spread-summaries.ts
@@ -16,14 +16,14 @@
 import {isSummariesEvent, peerEvents, type SummariesEvent} from './peer-messages.js';
 
 /** Heartbeat intervals between two summaries of the own zone, and between two rounds of one contact. */
-const makeIntervals = 1;
+const summaryIntervals = 1;
 const roundIntervals = 3;
 
 /** Each new view of the zones goes to the entry whole, so changes of one interval go together. */
-const showIntervals = 1;
+const tableUpdateIntervals = 1;
 
 /** A contact whose rounds count from a lower number again, after a restart with a slower clock, is heard after this many intervals. */
-const forgetIntervals = 8 * roundIntervals;
+const roundMemoryIntervals = 8 * roundIntervals;
 const msPerRound = 1000;
 
 export type SpreadSummariesOptions = {
@@ -45,10 +45,10 @@
 	/** Makes and tells what is due, and shows what is known in the table. */
 	tick: () => void;
 	/** Bytes that ride on a ping to a host of another zone. */
-	toRider: (to: HostId) => Uint8Array | undefined;
-	takeRider: (bytes: Uint8Array) => void;
+	toPiggybackedSummary: (to: HostId) => Uint8Array | undefined;
+	handlePiggybackedSummary: (bytes: Uint8Array) => void;
 	/** Takes an event of a peer; returns whether it was one of these. */
-	takeEvent: (name: string, body: unknown) => boolean;
+	handleEvent: (name: string, body: unknown) => boolean;
 };
 
 /**
@@ -59,39 +59,39 @@
  */
 export function spreadSummaries({table, self, hosts, send, intervalMs, now, wallNow, random, toArrival, smallFleet}: SpreadSummariesOptions): SummariesTask {
 	const summaries = createZoneSummaries();
-	const heard = new Map<HostId, {round: number; at: Milliseconds}>();
-	let seen: {hosts: ReadonlyMap<HostId, HostStatus>; mates: readonly HostId[]; isActing: boolean} | undefined;
+	const lastRounds = new Map<HostId, {round: number; at: Milliseconds}>();
+	let zoneState: {hosts: ReadonlyMap<HostId, HostStatus>; liveHosts: readonly HostId[]; isActing: boolean} | undefined;
 	let others: {zones: ReadonlyMap<string, ZoneSummary>; shown: ReadonlyMap<string, ZoneSummary>} | undefined;
-	let makeAt = -Infinity;
-	let showAt = -Infinity;
-	let roundAt = now() + (random() * roundIntervals * intervalMs);
+	let nextSummaryAt = -Infinity;
+	let nextTableUpdateAt = -Infinity;
+	let nextRoundAt = now() + (random() * roundIntervals * intervalMs);
 	let round = 0;
 
 	/** Live hosts of the zone, and whether this host is one of the two that speak for it in a large fleet. */
-	function look() {
+	function toZoneState() {
 		const known = hosts();
-		if (seen?.hosts !== known) {
+		if (zoneState?.hosts !== known) {
 			const ofZone = [...known.values()].filter(({zone}) => zone === self.zone);
-			seen = {
+			zoneState = {
 				hosts: known,
-				mates: ofZone.filter(({life}) => life === 'alive').map(({id}) => id),
+				liveHosts: ofZone.filter(({life}) => life === 'alive').map(({id}) => id),
 				isActing: !isSmallFleet(self.id, known, smallFleet) && pickZoneContacts(self.zone, ofZone).includes(self.id),
 			};
 		}
 
-		return seen;
+		return zoneState;
 	}
 
-	function tellOn(root: HostId, number: number) {
+	function forwardRound(root: HostId, number: number) {
 		const bytes = summaries.pack(now());
-		const children = bytes ? pickTreeChildren(`${root} ${number}`, look().mates, root, self.id) : [];
+		const children = bytes ? pickTreeChildren(`${root} ${number}`, toZoneState().liveHosts, root, self.id) : [];
 		for (const id of children) {
 			send(hosts().get(id)!, peerEvents.summaries, {root, round: number, bytes} satisfies Partial<SummariesEvent>);
 		}
 	}
 
-	function make() {
-		makeAt = now() + (makeIntervals * intervalMs);
+	function makeSummary() {
+		nextSummaryAt = now() + (summaryIntervals * intervalMs);
 		const {rows, at} = summariseZone(table.view(now()), self.zone, now());
 		if (rows.length > 0) {
 			summaries.setOwn({zone: self.zone, at, rows}, now(), wallNow());
@@ -99,13 +99,13 @@
 	}
 
 	function startRound() {
-		roundAt = now() + (roundIntervals * intervalMs * (0.9 + (random() / 5)));
+		nextRoundAt = now() + (roundIntervals * intervalMs * (0.9 + (random() / 5)));
 		round = Math.max(round + 1, Math.floor(wallNow() / msPerRound));
-		tellOn(self.id, round);
+		forwardRound(self.id, round);
 	}
 
-	function show() {
-		showAt = now() + (showIntervals * intervalMs);
+	function updateTable() {
+		nextTableUpdateAt = now() + (tableUpdateIntervals * intervalMs);
 		const config = table.accepted()?.config;
 		const zones = config && summaries.view(config, now());
 		if (zones && zones !== others?.zones) {
@@ -116,10 +116,10 @@
 
 	/** Each round once, or hosts that disagree on who lives could pass it round in a ring. */
 	function isNewRound({root, round: number}: SummariesEvent): boolean {
-		const last = heard.get(root);
-		const isNew = !last || number > last.round || now() - last.at > forgetIntervals * intervalMs;
+		const last = lastRounds.get(root);
+		const isNew = !last || number > last.round || now() - last.at > roundMemoryIntervals * intervalMs;
 		if (isNew) {
-			heard.set(root, {round: number, at: now()});
+			lastRounds.set(root, {round: number, at: now()});
 		}
 
 		return isNew;
@@ -127,24 +127,24 @@
 
 	return {
 		tick() {
-			const {isActing} = look();
-			if (isActing && now() >= makeAt) {
-				make();
+			const {isActing} = toZoneState();
+			if (isActing && now() >= nextSummaryAt) {
+				makeSummary();
 			}
 
-			if (isActing && now() >= roundAt) {
+			if (isActing && now() >= nextRoundAt) {
 				startRound();
 			}
 
-			if (now() >= showAt) {
-				show();
+			if (now() >= nextTableUpdateAt) {
+				updateTable();
 			}
 		},
-		toRider: to => look().isActing && hosts().get(to)?.zone !== self.zone ? summaries.pack(now(), self.zone) : undefined,
-		takeRider(bytes) {
+		toPiggybackedSummary: to => toZoneState().isActing && hosts().get(to)?.zone !== self.zone ? summaries.pack(now(), self.zone) : undefined,
+		handlePiggybackedSummary(bytes) {
 			summaries.merge(bytes, toArrival(), now());
 		},
-		takeEvent(name, body) {
+		handleEvent(name, body) {
 			if (name !== peerEvents.summaries) {
 				return false;
 			}
@@ -152,7 +152,7 @@
 			if (isSummariesEvent(body) && hosts().get(body.root)?.zone === self.zone) {
 				summaries.merge(body.bytes, toArrival(), now());
 				if (isNewRound(body)) {
-					tellOn(body.root, body.round);
+					forwardRound(body.root, body.round);
 				}
 			}
 
--- a/src/programs/agent/_lib/start-agent.ts
+++ b/src/programs/agent/_lib/start-agent.ts
@@ -14,14 +14,14 @@
 import {createMesh, type Target} from './create-mesh.js';
 import {followEntry} from './follow-entry.js';
 import {isEntryAnswering} from './is-entry-answering.js';
-import {isReadingTurn} from './is-reading-turn.js';
+import {isPlatformReader} from './is-platform-reader.js';
 import {keepDocuments, type KeepDocumentsOptions} from './keep-documents.js';
-import {mindPauses} from './mind-pauses.js';
+import {createPauseTracker} from './create-pause-tracker.js';
 import {servePeers, type PeerService} from './serve-peers.js';
 import {spreadLoads} from './spread-loads.js';
 import {spreadSummaries} from './spread-summaries.js';
-import {tellPeers} from './tell-peers.js';
-import {tendServers} from './tend-servers.js';
+import {createPeerNotifier} from './create-peer-notifier.js';
+import {manageServers} from './manage-servers.js';
 import {watchTwin} from './watch-twin.js';
 
 export {type Agent, type AgentCounts, type AgentOptions} from './agent-types.js';
@@ -110,12 +110,12 @@
 			log.info('a peer is not reached', {peerAddress, reason, remedy: 'none if that host is gone; else see that its agent runs and has peer keys of the same authority'});
 		},
 	});
-	const pauses = mindPauses({
+	const pauses = createPauseTracker({
 		now,
 		startedAt,
 		quietMs: quietIntervals * intervalMs,
 		onPaused(pausedMs) {
-			mesh.restart(now());
+			mesh.resetSilence(now());
 			log.warn('this process was paused', {durationMs: Math.round(pausedMs), remedy: 'nothing, if it is rare; else replace this host, whose machine is overloaded or was moved'});
 		},
 	});
@@ -127,14 +127,14 @@
 		table,
 		pauses,
 		call,
-		onNews(origin) {
-			teller.announce(origin);
+		onDocumentChange(origin) {
+			notifier.announceVersions(origin);
 			publish();
 		},
 		onFleet(fleet) {
 			membership.addSeeds(fleet.hosts.filter(({id, state}) => id !== hostId && state === 'live').map(({peerAddress}) => peerAddress));
 		},
-		isReadingTurn: silentMs => isReadingTurn({id: hostId, zone}, hosts().values(), silentMs),
+		isPlatformReader: silentMs => isPlatformReader({id: hostId, zone}, hosts().values(), silentMs),
 		counts,
 		now,
 		startedAt,
@@ -145,10 +145,10 @@
 	};
 
 	const summaries = spreadSummaries({
-		table, self: {id: hostId, zone}, hosts, send, intervalMs, now, wallNow: clock.wallNow, random, toArrival: pauses.toArrival, smallFleet: options.smallFleet,
+		table, self: {id: hostId, zone}, hosts, send, intervalMs, now, wallNow: clock.wallNow, random, toArrival: pauses.toEarliestArrival, smallFleet: options.smallFleet,
 	});
-	const teller = tellPeers({
-		mesh, membership, versions: documents.versions, toRider: summaries.toRider,
+	const notifier = createPeerNotifier({
+		mesh, membership, versions: documents.versions, toPiggybackedSummary: summaries.toPiggybackedSummary,
 	});
 	const loads = spreadLoads({
 		table,
@@ -159,23 +159,23 @@
 		call,
 		spreadTargets: origin => membership.spreadTargets(origin).map(({id}) => hosts().get(id)).filter(status => status !== undefined),
 		now,
-		toArrival: pauses.toArrival,
+		toArrival: pauses.toEarliestArrival,
 		smallFleet: options.smallFleet,
 	});
 	const entry = followEntry({
 		hello,
 		tls,
-		state(statement) {
-			teller.dispatch(membership.state(statement, now()));
+		publishState(statement) {
+			notifier.sendMessages(membership.state(statement, now()));
 		},
-		seenBefore: membership.entrySeen,
+		previousEntry: membership.entrySeen,
 		onEnded(ended) {
 			log.info('an entry of this host has ended', {reason: `every entry up to incarnation ${ended} is gone; what it held is released`});
 			noteHosts();
 		},
 		signal,
 	});
-	const tended = tendServers({
+	const managedServers = manageServers({
 		settings,
 		toEngine,
 		log,
@@ -193,32 +193,32 @@
 		signal,
 	});
 	const service = servePeers({
-		hostId, membership, mesh, teller, documents, loads, summaries, entry, publisher, publish, pauses, now,
+		hostId, membership, mesh, notifier, documents, loads, summaries, entry, publisher, publish, pauses, now,
 	});
-	const twins = watchTwin({
+	const twinWatch = watchTwin({
 		hostId, address, twin: () => membership.twin(now()), log,
 	});
 
 	function publish() {
 		// An agent that knows nothing yet must not make its entry forget what it knows.
 		if (table.accepted()) {
-			publisher.publish(table.view(now()), entry.floor(), now());
+			publisher.publish(table.view(now()), entry.incarnationFloor(), now());
 		}
 	}
 
 	function noteHosts() {
 		table.setHosts(hosts());
-		tended.noteHosts(hosts());
+		managedServers.noteHosts(hosts());
 	}
 
 	const ticker = setInterval(() => {
 		pauses.check();
-		teller.dispatch(membership.tick(now(), random).messages);
+		notifier.sendMessages(membership.tick(now(), random).messages);
 		mesh.dropSilent(now());
 		noteHosts();
 		loads.tick();
 		summaries.tick();
-		twins.check();
+		twinWatch.check();
 		publish();
 	}, Math.min(maxTickMs, intervalMs / ticksAnInterval));
 
@@ -232,20 +232,20 @@
 			};
 		},
 		notices: documents.notices,
-		heldOrders: tended.heldOrders,
+		heldOrders: managedServers.heldOrders,
 		notReadyReasons: () => table.accepted() ? [] : [{reason: 'no configuration has been accepted yet', remedy: 'see that --platform-url or one of --seeds is reached and serves a valid document'}],
-		warnings: twins.reasons,
+		warnings: twinWatch.reasons,
 		twin: () => membership.twin(now()),
 		reloadKeys: listener.reloadKeys,
 		async stop() {
 			clearInterval(ticker);
-			teller.dispatch(membership.leave(now()));
+			notifier.sendMessages(membership.leave(now()));
 			await new Promise(resolve => {
 				setTimeout(resolve, leaveFlushMs);
 			});
 			stop.abort();
 			mesh.close();
-			await Promise.all([documents.done, tended.done, listener.close()]);
+			await Promise.all([documents.done, managedServers.done, listener.close()]);
 		},
 	};
 }
--- a/src/programs/agent/_lib/watch-held.test.ts
+++ b/src/programs/agent/_lib/watch-held-orders.test.ts
@@ -2,7 +2,7 @@
 import {describe, it} from 'node:test';
 import {type Log} from '../../../adapters/log/index.js';
 import {type HeldNotice} from '../../../domain/to-held-notices/index.js';
-import {watchHeld} from './watch-held.js';
+import {watchHeldOrders} from './watch-held-orders.js';
 
 const notice: HeldNotice = {
 	pool: 'summaries', zone: 'a', reason: 'last-copy', servers: ['d1'], count: 1, needsStaff: true, problem: 'p', remedy: 'r',
@@ -11,7 +11,7 @@
 describe('watchHeld', () => {
 	it('warns once of orders that stand still, and again after they moved', () => {
 		const told: string[] = [];
-		const held = watchHeld({
+		const held = watchHeldOrders({
 			warn(message: string) {
 				told.push(message);
 			},
--- a/src/programs/agent/_lib/watch-held.ts
+++ b/src/programs/agent/_lib/watch-held-orders.ts
@@ -14,7 +14,7 @@
  * @param log - Where to.
  * @returns `note` takes the notices of a plan, `list` gives them with their ages.
  */
-export function watchHeld(log: Log) {
+export function watchHeldOrders(log: Log) {
 	const since = new Map<string, {at: Milliseconds; isTold: boolean}>();
 	let last: readonly HeldNotice[] = [];
 
--- a/src/programs/agent/_lib/watch-platform.ts
+++ b/src/programs/agent/_lib/watch-platform.ts
@@ -7,12 +7,12 @@
 import {
 	type Platform, type PlatformFailure, type PlatformKey, type PlatformValue,
 } from '../../../ports/platform.js';
-import {createReread, type Taken} from './create-reread.js';
+import {createRereadSchedule, type ValueVerdict} from './create-reread-schedule.js';
 
 const firstBackoffMs = 250;
 const maxBackoffMs = 15_000;
-const idleMs = 250;
-const standbyMs = 1000;
+const minReadGapMs = 250;
+const readerCheckMs = 1000;
 
 export type WatchOptions = {
 	platform: Platform;
@@ -24,9 +24,9 @@
 	/**
 	 * Judges a value. `refused` when it is not what is held afterwards, and
 	 * `unfinished` when it could be once parts of it are there; it is then read
-	 * again, see {@link createReread}.
+	 * again, see {@link createRereadSchedule}.
 	 */
-	onValue: (value: PlatformValue) => Promise<Taken>;
+	onValue: (value: PlatformValue) => Promise<ValueVerdict>;
 	/** The platform answered; `askedAt` is when it was asked, monotonic. */
 	onConfirmed: (askedAt: Milliseconds) => void;
 	onFailure: (failure: PlatformFailure) => void;
@@ -48,11 +48,11 @@
 	// What the platform itself served last, accepted or not: waiting for anything
 	// else would ask again at once for a document that was refused.
 	let seenRevision: number | undefined;
-	const reread = createReread(now);
+	const reread = createRereadSchedule(now);
 
 	while (!signal.aborted) {
 		if (!isReader()) {
-			await waitFor(standbyMs * (0.5 + random()), signal);
+			await waitFor(readerCheckMs * (0.5 + random()), signal);
 			continue;
 		}
 
@@ -82,6 +82,6 @@
 		}
 
 		// Publications that come one upon the other, and values that were never published, are read no faster than this.
-		await waitFor(idleMs * (0.5 + random()), signal);
+		await waitFor(minReadGapMs * (0.5 + random()), signal);
 	}
 }
--- a/src/programs/agent/_lib/watch-twin.ts
+++ b/src/programs/agent/_lib/watch-twin.ts
@@ -21,7 +21,7 @@
 	twin: () => string | undefined;
 	log: Log;
 }): TwinWatch {
-	let told: string | undefined;
+	let reported: string | undefined;
 
 	const toReason = (other: string): AgentReason => ({
 		reason: `another agent runs as host ${hostId}: at ${other}, and this one at ${address}; the others believe now the one, now the other`,
@@ -31,11 +31,11 @@
 	return {
 		check() {
 			const other = twin();
-			if (other === told) {
+			if (other === reported) {
 				return;
 			}
 
-			told = other;
+			reported = other;
 			if (other === undefined) {
 				log.info('no other agent runs under this host\'s name any more');
 			} else {
--- a/test/failures/recovery.test.ts
+++ b/test/failures/recovery.test.ts
@@ -107,7 +107,7 @@
 				sender.noteUnreachable(id, clock.now());
 			}
 
-			agent?.loads.takeEvent(from, peerEvents.loads, sender.takeDue(1, clock.now()));
+			agent?.loads.handleEvent(from, peerEvents.loads, sender.takeDue(1, clock.now()));
 		},
 		killAgent() {
 			agent = undefined;
