--- a/src/ports/clock.ts
+++ b/src/ports/clock.ts
@@ -1,6 +1,6 @@
 /**
- * Time and chance, as the programs hand them to the decisions. Decisions take
- * `now` as an argument; only programs and adapters hold a {@link Clock}.
+ * Sources of time and randomness. Domain functions take `now` as an argument;
+ * only programs and adapters hold a {@link Clock}.
  */
 
 /** Wall-clock time in milliseconds since the Unix epoch, or monotonic milliseconds since an arbitrary start. */
--- a/src/ports/config.ts
+++ b/src/ports/config.ts
@@ -1,7 +1,7 @@
 /**
- * The accepted configuration as decisions see it: parsed, validated, immutable.
+ * The accepted configuration as the domain uses it: parsed, validated, immutable.
  * The text form (YAML or JSON), its validation and its sealing live in
- * `domain/parse-config` and neighbours.
+ * `domain/parse-config` and the folders beside it.
  */
 import {
 	type HostId, type RegionId, type ServerId, type WorkspaceId, type ZoneId,
@@ -13,23 +13,23 @@
 
 export type ServerEntry = {
 	id: ServerId;
-	/** Name by which the server knows itself, where `id` names one start of it. */
+	/** Name that the server has across restarts; present where `id` identifies a single start of the server. */
 	name?: string;
 	zone: ZoneId;
 	/** `http://IP:port`. */
 	url: string;
 	role: ServerRole;
 	pool: string;
-	/** Requests that one decode engine's memory holds, or concurrent prefills; a default for engines that report none. */
+	/** Requests that fit into a decode engine's memory, or concurrent prefills; the default for engines that don't report a number. */
 	slots: number;
-	/** Tokens that a model server's memory holds; absent where it is counted in `slots` alone. */
+	/** Tokens that fit into a model server's memory; absent where capacity is counted in `slots` alone. */
 	memoryTokens?: number;
-	/** Whether the server refuses an order that carries an old fencing number. */
+	/** Whether the server refuses an order that carries a stale fencing token. */
 	checksFence: boolean;
 };
 
 export type HostEntry = {
-	/** Slot name; stable across replacement of the machine that fills it. */
+	/** Slot name; stays the same when the machine in the slot is replaced. */
 	id: HostId;
 	zone: ZoneId;
 };
@@ -41,8 +41,8 @@
 
 /**
  * Whether loading weights may leave a pool or zone without a pair of prefill
- * and decode server for a while: `keep-serving` waits instead, `allow-gap` does
- * not.
+ * and decode servers for a while. With `keep-serving` the load waits until that
+ * can't happen; with `allow-gap` it does not wait.
  */
 export type RolloutPolicy = 'keep-serving' | 'allow-gap';
 
@@ -54,17 +54,17 @@
 	/** Version of weights wanted on each server of the pool. */
 	version: string | undefined;
 	adapters: readonly string[];
-	/** Classes that may be sent here. A quick rule that sends to a batch-only pool is an error. */
+	/** Service classes that the pool accepts. A rule of class `quick` whose pool accepts `batch` alone is an error. */
 	classes: readonly ServiceClass[];
 	/** `keep-serving` when absent. */
 	rollout?: RolloutPolicy;
-	/** Tokens that the memory of each of the pool's model servers holds, where the platform tells it of the pool. */
+	/** Tokens that fit into the memory of each of the pool's model servers; absent where the platform does not publish it for the pool. */
 	memoryTokens?: number;
-	/** Longest life of a reservation that the pool's servers grant, where they tell it. */
+	/** Longest lifetime of a reservation on the pool's servers, milliseconds; absent where it is not published. */
 	reservationMs?: number;
-	/** Time that a server of the pool takes to change between prefill and decode, milliseconds; absent where it can't be told to. */
+	/** Time that a server of the pool takes to change between prefill and decode, milliseconds; absent where servers can't be told to change. */
 	roleChangeMs?: number;
-	/** Whether the pool's servers are known by this host's own requests alone: nobody polls their loads. */
+	/** Whether no host polls the loads of the pool's servers, so that this host knows only the load of its own requests. */
 	isUnreported?: boolean;
 };
 
@@ -77,7 +77,7 @@
 	completeMs: number;
 };
 
-/** What a rule matches; an absent condition matches everything, and all present ones must hold. */
+/** Conditions of a rule. An absent condition matches everything, and all present ones must hold. */
 export type RuleWhen = {
 	workspace?: readonly WorkspaceId[];
 	model?: readonly string[];
@@ -87,34 +87,34 @@
 	path?: string;
 	/** Header name (lower case) to required value; `*` means present. */
 	headers?: Readonly<Record<string, string>>;
-	/** Class asked for by the caller in `x-service-class`. */
+	/** Class that the caller requests in `x-service-class`. */
 	class?: ServiceClass;
 	promptTokensAtLeast?: number;
 	promptTokensBelow?: number;
 	zone?: readonly ZoneId[];
 };
 
-/** How requests are passed on whose bodies the system does not read. */
+/** How requests are relayed without reading their bodies. */
 export type RelayPolicy = {
-	/** Servers to which one request may be sent, 1 at least. */
+	/** Maximum number of servers to which one request is sent; at least 1. */
 	attempts: number;
-	/** Whether an answer that broke off may be continued by another server behind its last event. */
+	/** Whether another server may resume a broken stream after its last event. */
 	isResumable: boolean;
-	/** Time without a first byte after which callers are taken to leave, milliseconds. */
+	/** Time without a first byte after which callers are assumed to give up, milliseconds. */
 	patienceMs: number;
 	/** Pools that share the requests by weight; empty means the rule's own pool. */
 	split: ReadonlyArray<{pool: string; weight: number}>;
 };
 
 export type RuleThen = {
-	/** Present where requests are passed on as they are, also to servers of models. */
+	/** Present where requests are relayed unread, to model servers too. */
 	relay?: RelayPolicy;
 	pool: string;
 	class: ServiceClass;
-	/** Whether the request may be run again after a backend server may have started it. */
+	/** Whether the request is idempotent: it may be sent again although a backend server may have started it. */
 	repeatable: boolean;
 	target: LatencyTarget;
-	/** Requests of this rule that one host lets wait. */
+	/** Requests of this rule that may wait on one host. */
 	queueLimit: number;
 	/** Share by weight between versions of weights; empty means the pool's own version. */
 	versions: ReadonlyArray<{version: string; weight: number}>;
@@ -129,7 +129,7 @@
 
 export type CallerBounds = {
 	maxBodyBytes: number;
-	/** Time for which an idle connection of a caller stays open. */
+	/** Time for which an idle connection of a caller stays open, milliseconds. */
 	keepAliveTimeoutMs: number;
 };
 
@@ -139,28 +139,29 @@
 	servers: readonly ServerEntry[];
 	pools: readonly PoolEntry[];
 	rules: readonly Rule[];
-	/** Caller token digests (SHA-256, hex) to workspace; empty means callers name their workspace in `x-workspace`. */
+	/** Workspaces by the digest (SHA-256, hex) of the caller's token; when empty, callers name their workspace in `x-workspace`. */
 	callerTokens: Readonly<Record<string, WorkspaceId>>;
-	/** Bounds of what callers may send, where the publisher sets them; the host's settings otherwise. */
+	/** Limits for callers that the publisher sets; where absent, the host's settings apply. */
 	callers?: CallerBounds;
-	/** Bytes a second at which the weight store may be read, over the whole fleet. */
+	/** Bytes a second that the whole fleet together may read from the weight store. */
 	weightStoreBytesPerSecond: number;
 };
 
 /**
- * Orders two configuration documents: by edition, then by the platform's
- * revision, then by digest so that every host picks the same of two rivals.
+ * Version by which configuration documents are ordered: by edition, then by the
+ * platform's revision, then by digest, so that every host picks the same of two
+ * concurrent documents.
  */
 export type ConfigVersion = {
-	/** Counts accepted publications; a sealed document carries its own. */
+	/** Number of the publication, rising; stated in sealed documents. */
 	edition: number;
-	/** Revision at which the platform served it; 0 where unknown. */
+	/** Revision at which the platform served the document; 0 where unknown. */
 	revision: number;
 	/** SHA-256 of the document text, hex. */
 	digest: string;
 };
 
-/** A part of a document as the root document names it; the document's digest covers it. */
+/** Reference to a part in a root document. The document's digest covers it. */
 export type NamedPart = {
 	name: string;
 	/** SHA-256 of the part's text, hex. */
@@ -169,18 +170,18 @@
 	bytes: number;
 };
 
-/** A part with its text, which was checked against digest and length. */
+/** A part with its text, verified against digest and length. */
 export type ConfigPart = NamedPart & {
 	text: string;
 };
 
-/** Looks for the text of a part; `undefined` when it is not there. */
+/** Finds the text of a part; `undefined` when the part is missing. */
 export type FindPart = (part: NamedPart) => string | undefined;
 
 export type AcceptedConfig = {
 	version: ConfigVersion;
 	config: Config;
-	/** The document as it was published, byte for byte; of a document in parts its root. */
+	/** The document as published, byte for byte; for a document in parts, its root. */
 	text: string;
 	/** The parts in the root's order; empty or absent for a document in one file. */
 	parts?: readonly ConfigPart[];
--- a/src/ports/crash-reports.ts
+++ b/src/ports/crash-reports.ts
@@ -1,22 +1,22 @@
 /**
- * What hosts tell each other of requests under which backend servers ended. A
- * request that crashes servers may come again at any host, so what each of them
- * has seen counts together.
+ * Reports between hosts of requests during which backend servers crashed. A
+ * request that crashes servers may be sent again to any host, so hosts add up
+ * the crashes that each of them has seen.
  */
 import {type Milliseconds} from './clock.js';
 import {type Fingerprint, type ServerId} from './ids.js';
 
-/** A server that ended while the request ran there. */
+/** A server that ended while it ran the request. */
 export type SeenCrash = {
-	/** Names the one start of the server that ended. */
+	/** Identifies the start of the server that ended, not the server across restarts. */
 	server: ServerId;
-	/** Time since then, by the clock of the host that tells. */
+	/** Time since the crash, by the clock of the reporting host. */
 	ageMs: Milliseconds;
 };
 
 export type CrashReport = {
 	fingerprint: Fingerprint;
-	/** Time since the request was last seen, by the host that tells. */
+	/** Time since the reporting host last saw the request. */
 	idleMs: Milliseconds;
 	crashes: readonly SeenCrash[];
 };
--- a/src/ports/engine.ts
+++ b/src/ports/engine.ts
@@ -1,7 +1,6 @@
 /**
- * What the system needs of a model engine. The HTTP adapter is
- * `adapters/engine-http`; the protocol it speaks is in
- * `docs/design/002-interfaces.md`, and the users' engines may differ.
+ * Port to a model engine. The HTTP adapter is `adapters/engine-http`, its
+ * protocol is in `docs/design/002-interfaces.md`; the users' engines may differ.
  */
 import {type ResultAsync} from 'neverthrow';
 import {
@@ -10,7 +9,7 @@
 import {type Milliseconds} from './clock.js';
 import {type ServiceClass} from './outcome.js';
 
-/** Names one attempt on engines; everything an engine holds carries it. */
+/** Identifies one attempt on engines. Everything that an engine holds carries this key. */
 export type AttemptKey = {
 	requestId: RequestId;
 	attempt: AttemptNumber;
@@ -18,7 +17,7 @@
 };
 
 export type EngineCallOptions = {
-	/** Aborts the call; it does not cancel the work, see {@link Engine.cancel}. */
+	/** Aborts the call without cancelling the work on the engine; see {@link Engine.cancel}. */
 	signal?: AbortSignal;
 };
 
@@ -26,11 +25,11 @@
  * Why a call to an engine failed.
  *
  * - `unreachable`: no connection was made, so no byte was offered.
- * - `refused`: the engine said that it did not start the work (full, leaving, wrong model, expired reservation).
+ * - `refused`: the engine answered that it did not start the work (full, leaving, wrong model, expired reservation).
  * - `broken`: bytes were offered and the connection failed before a whole answer.
  * - `invalid`: the engine's answer broke the protocol.
- * - `gone`: the engine no longer has what was asked for (expired KV cache, ended stream).
- * - `aborted`: the caller's own signal.
+ * - `gone`: the engine no longer has the KV cache (expired) or the stream (ended) of the call.
+ * - `aborted`: the signal of the call aborted.
  */
 export type EngineFailureKind = 'unreachable' | 'refused' | 'broken' | 'invalid' | 'gone' | 'aborted';
 
@@ -38,9 +37,9 @@
 export type EngineRefusalReason = 'full' | 'leaving' | 'wrong-model' | 'expired' | 'old-fence' | 'duplicate' | 'source-failed' | 'other';
 
 /**
- * What the iterable of a stream throws when the stream fails midway; `failure`
- * is never `unreachable` or `refused`. Chunks that were handed out before are
- * right and in order, so the next offset is the one to resume from.
+ * Thrown by the iterable of a stream when the stream fails midway; the kind of
+ * `failure` is never `unreachable` or `refused`. The chunks before the error are
+ * complete and in order, so the stream can be resumed from the next offset.
  */
 export type EngineStreamError = Error & {failure: EngineFailure};
 
@@ -49,13 +48,13 @@
 	reason: EngineRefusalReason | undefined;
 	server: ServerId;
 	message: string;
-	/** Delay after which the engine suggests to come back. */
+	/** Delay after which the engine suggests a retry. */
 	retryAfterMs: Milliseconds | undefined;
 };
 
 export type Reservation = {
 	reservationId: string;
-	/** Time left before the engine drops it, at the moment of the answer. */
+	/** Time until the engine drops the reservation, counted from its answer. */
 	expiresInMs: Milliseconds;
 };
 
@@ -65,10 +64,10 @@
 	version: string | undefined;
 	adapter: string | undefined;
 	prompt: string;
-	/** Tokens of the answer that the caller already has; a re-run after a break continues behind them. Absent means none. */
+	/** Tokens of the answer that the caller already has; a retry of a broken stream continues after them. Absent means none. */
 	answered?: readonly string[];
 	class: ServiceClass;
-	/** Time left until the result is worthless; the engine drops queued work past it. */
+	/** Time left until the deadline; the engine drops queued work when it has passed. */
 	deadlineInMs: Milliseconds;
 };
 
@@ -79,7 +78,7 @@
 	cachedTokens: number;
 	/** Size of the KV cache to transfer. */
 	bytes: number;
-	/** Life left of the KV cache at the moment of the answer. */
+	/** Time until the engine drops the KV cache, counted from its answer. */
 	expiresInMs: Milliseconds;
 };
 
@@ -94,9 +93,9 @@
 export type DecodeRequest = {
 	key: AttemptKey;
 	reservationId: string;
-	/** Length of the whole answer, tokens that were `answered` before included. */
+	/** Maximum length of the whole answer, including the tokens in `answered` of the prefill. */
 	maxTokens: number;
-	/** Offset of the first token that the stream must bring: the number of tokens `answered` to the prefill. Absent means 0. */
+	/** Offset of the first token of the stream: the number of tokens in `answered` of the prefill. Absent means 0. */
 	answerOffset?: number;
 	class: ServiceClass;
 };
@@ -111,11 +110,11 @@
 	/** Position of the first token of `tokens`. */
 	offset: number;
 	tokens: readonly string[];
-	/** Set on the last chunk alone. A stream that closes without it is broken, not complete. */
+	/** Set on the last chunk only. A stream that closes without a chunk with `finish` is broken, not complete. */
 	finish: FinishReason | undefined;
 };
 
-/** A piece of memory that an engine holds for somebody. */
+/** Memory that an engine holds for an attempt. */
 export type Hold = {
 	requestId: RequestId;
 	attempt: AttemptNumber;
@@ -123,7 +122,7 @@
 	kind: 'queued' | 'prefill' | 'kv' | 'reservation' | 'stream';
 	bytes: number;
 	heldForMs: Milliseconds;
-	/** Connections that read the stream now. */
+	/** Connections that are reading the stream. */
 	readers: number;
 };
 
@@ -134,18 +133,18 @@
 	version: string;
 	adapters: readonly string[];
 	state: 'serving' | 'loading' | 'leaving';
-	/** Age of the numbers at the moment of the answer, as the engine states it. */
+	/** Age of the numbers when the engine answered, as stated by the engine. */
 	ageMs: Milliseconds;
 	slotsTotal: number;
 	slotsUsed: number;
 	queued: number;
-	/** Prompt tokens waiting or in work, on a prefill engine. */
+	/** Prompt tokens queued or being computed, on a prefill engine. */
 	queuedTokens: number;
-	/** Prompt tokens a second, on a prefill engine; tokens a second of one stream, on a decode engine. */
+	/** Prompt tokens a second on a prefill engine; tokens a second of one stream on a decode engine. */
 	tokensPerSecond: number;
-	/** Bytes a second of the link through which KV caches come and go. */
+	/** Bandwidth of the link over which KV caches are transferred, bytes a second. */
 	linkBytesPerSecond: number;
-	/** Fencing number of the last order taken. */
+	/** Fencing token of the last order that the engine accepted. */
 	fence: number;
 };
 
@@ -155,7 +154,7 @@
 	version: string | undefined;
 	adapter: string | undefined;
 	role: 'prefill' | 'decode' | undefined;
-	/** Edition of the configuration from which the order follows. */
+	/** Fencing token: the edition of the configuration that requires the order. */
 	fence: number;
 };
 
@@ -163,11 +162,11 @@
 	reserve: (key: AttemptKey, request: {promptTokens: number; maxTokens: number; ttlMs: Milliseconds; class: ServiceClass}, options?: EngineCallOptions) => ResultAsync<Reservation, EngineFailure>;
 	prefill: (request: PrefillRequest, options?: EngineCallOptions) => ResultAsync<PrefillResult, EngineFailure>;
 	importKv: (request: ImportRequest, options?: EngineCallOptions) => ResultAsync<{bytes: number}, EngineFailure>;
-	/** Starts a stream; chunks come as they are generated, several of one read as one. The iterable ends normally only after a chunk with `finish`, and otherwise throws an {@link EngineStreamError}. */
+	/** Starts a stream. Chunks arrive as tokens are generated; tokens that one read of the socket brings are joined into one chunk. The iterable ends normally only after a chunk with `finish`, and otherwise throws an {@link EngineStreamError}. */
 	decode: (request: DecodeRequest, options?: EngineCallOptions) => ResultAsync<AsyncIterable<DecodeChunk>, EngineFailure>;
-	/** Reads a running or just ended stream again, from a token offset. */
+	/** Reads a running or recently ended stream again, from a token offset. */
 	resume: (key: AttemptKey, offset: number, options?: EngineCallOptions) => ResultAsync<AsyncIterable<DecodeChunk>, EngineFailure>;
-	/** Ends an attempt and frees all it holds on this server. Idempotent; success means that nothing is held. */
+	/** Ends an attempt and frees everything that this server holds for it. Idempotent; success means that nothing is held any more. */
 	cancel: (key: AttemptKey, options?: EngineCallOptions) => ResultAsync<void, EngineFailure>;
 	listHolds: (options?: EngineCallOptions) => ResultAsync<readonly Hold[], EngineFailure>;
 	load: (options?: EngineCallOptions) => ResultAsync<LoadReport, EngineFailure>;
--- a/src/ports/ids.ts
+++ b/src/ports/ids.ts
@@ -1,9 +1,9 @@
 /**
- * Names of things that cross process borders. All are plain strings, so that
- * they survive any codec; the aliases say which one a signature means.
+ * Identifiers that are exchanged between processes. They are plain strings and
+ * numbers, so that any codec can carry them; the aliases document signatures.
  */
 
-/** Published name of a host slot, for example `zone-a-1`. Stable across replacement of the host that fills it. */
+/** Published name of a host slot, for example `zone-a-1`. Stays the same when the host in the slot is replaced. */
 export type HostId = string;
 
 /** Published name of a backend server. */
@@ -18,23 +18,23 @@
 /** Customer on whose behalf a request is made. */
 export type WorkspaceId = string;
 
-/** Names one request from its acceptance to its end; on every answer as `x-request-id`. */
+/** Identifies one request from its acceptance to its end; sent with every answer as `x-request-id`. */
 export type RequestId = string;
 
-/** Names what a request asks for: the same for each repeat of it, whatever id it has. */
+/** Identifies the content of a request: equal for all repeats of the request, which have different request ids. */
 export type Fingerprint = string;
 
-/** Position of an attempt within its request, from 1. */
+/** Number of an attempt within its request, starting at 1. */
 export type AttemptNumber = number;
 
 /**
- * Start stamp of a process: wall-clock milliseconds at its start, raised above
- * any earlier incarnation of the same host that peers report. A larger one
- * replaces a smaller one.
+ * Incarnation of a process: wall-clock milliseconds at its start, raised above
+ * any earlier incarnation of the same host that peers report. A larger
+ * incarnation supersedes a smaller one.
  */
 export type Incarnation = number;
 
-/** The process that owes a request its answer, and on whose behalf engines hold memory. */
+/** The process that is responsible for answering a request and on whose behalf engines hold memory. */
 export type Owner = {
 	host: HostId;
 	incarnation: Incarnation;
--- a/src/ports/outcome.ts
+++ b/src/ports/outcome.ts
@@ -2,11 +2,11 @@
  * What a caller may conclude from a refusal or a broken answer.
  *
  * - `not-run`: no byte of the request was offered to any backend server, or the
- *   server itself said that it did not start it. Safe to send again.
- * - `may-have-run`: the request was offered and its fate is unknown.
- * - `ran`: the request ran; its answer was, or can no longer be, delivered.
+ *   server answered that it did not start the request. Safe to send again.
+ * - `may-have-run`: the request was offered, and whether it ran is unknown.
+ * - `ran`: the request ran; its answer was delivered or can't be delivered any more.
  */
 export type Outcome = 'not-run' | 'may-have-run' | 'ran';
 
-/** Latency class of a request: `quick` has a person waiting, `batch` may come late but must finish. */
+/** Latency class of a request: a person waits for a `quick` request; a `batch` request may be late but must finish. */
 export type ServiceClass = 'quick' | 'batch';
--- a/src/ports/platform.ts
+++ b/src/ports/platform.ts
@@ -1,12 +1,12 @@
 /**
- * What the system reads of the platform: a configuration value and a lagging
- * list of hosts and servers. It is read and watched, never written.
+ * Port to the platform, which holds a configuration value and a lagging list of
+ * hosts and servers. The platform is read and watched, never written.
  */
 import {type ResultAsync} from 'neverthrow';
 import {type HostId, type ServerId} from './ids.js';
 import {type Milliseconds} from './clock.js';
 
-/** A part of the configuration has a key of its own, see `toPartKey`. */
+/** Key of a platform value. Each part of the configuration has its own key, see `toPartKey`. */
 export type PlatformKey = 'config' | 'fleet' | `config.${string}`;
 
 export type PlatformValue = {
@@ -30,6 +30,6 @@
 
 export type Platform = {
 	read: (key: PlatformKey) => ResultAsync<PlatformValue | undefined, PlatformFailure>;
-	/** Waits until the revision differs from the one given, or the wait ends (`undefined`). Counts as one read. */
+	/** Waits until the revision differs from `sinceRevision`; `undefined` when the wait ends first. Counts as one read. */
 	watch: (key: PlatformKey, sinceRevision: number, waitMs: Milliseconds, signal: AbortSignal) => ResultAsync<PlatformValue | undefined, PlatformFailure>;
 };
--- a/src/ports/published.ts
+++ b/src/ports/published.ts
@@ -1,6 +1,6 @@
 /**
- * What a platform publishes where servers and rules come one by one instead of
- * in one document: its rules as a whole, and each backend server by itself. The
+ * Port to a platform that publishes its rules as one value and each backend
+ * server as a value of its own, instead of everything in one document. The
  * platform is read and watched, never written.
  */
 import {type ResultAsync} from 'neverthrow';
@@ -10,28 +10,28 @@
 } from './config.js';
 import {type PlatformFailure} from './platform.js';
 
-/** Limit of a read, and of what a watch may take beyond its wait: a hundred times the platform's usual answer, and twice that of one sixty times as slow. */
+/** Timeout of a read, and the time that a watch may take beyond its wait. A hundred times the platform's usual response time, and twice the response time of a platform that is sixty times as slow. */
 export const platformTimeoutMs: Milliseconds = 500;
 
 export type PublishedRules = {
 	/** Grows with each publication. */
 	version: number;
-	/** The first that matches decides. */
+	/** The first rule that matches a request applies. */
 	rules: readonly Rule[];
 	pools: readonly PoolEntry[];
 	callers: CallerBounds | undefined;
 };
 
-/** Name under which a platform publishes a server; a server that starts again may keep it. */
+/** Name under which a platform publishes a server; a restarted server may have the same name. */
 export type PublishedName = string;
 
 export type PublishedServer = {
 	name: PublishedName;
-	/** Wall-clock milliseconds of its start; 0 where the platform does not tell. */
+	/** Wall-clock milliseconds of the server's start; 0 where the platform does not publish it. */
 	startedAt: Milliseconds;
-	/** Its `id` names this one start: what is known of a server ends with it. */
+	/** The `id` of the entry identifies this start of the server, so that nothing known of an earlier start is applied to it. */
 	entry: ServerEntry;
-	/** It gets nothing new. */
+	/** Whether the server drains: no new work is sent to it. */
 	leaving: boolean;
 };
 
@@ -39,42 +39,43 @@
 	| {kind: 'rules'; rules: PublishedRules}
 	| {kind: 'server'; server: PublishedServer}
 	| {kind: 'server-gone'; name: PublishedName}
-	/** Rules that can't be read; those known before stay in force. */
+	/** The published rules can't be parsed; the rules before them stay in force. */
 	| {kind: 'unreadable-rules'; reason: string}
-	/** A server's entry that can't be read: it names no server to use. */
+	/** A server's published entry can't be parsed, so the server can't be used. */
 	| {kind: 'unreadable-server'; name: PublishedName; reason: string};
 
 /**
- * Counts how often the platform came back from a copy that was older than what it
- * had acknowledged. Each time its revisions go back and are given out again.
+ * Number of times that the platform was restored from a copy older than what it
+ * had acknowledged. After each restore its revisions start at a lower number and
+ * are assigned a second time.
  */
 export type PublishedEra = number;
 
-/** How far a read reaches. Revisions say which is newer only within one era. */
+/** Position in the platform's history. Revisions can be compared only within one era. */
 export type PublishedPosition = {
-	/** `undefined` where the platform does not count them. */
+	/** `undefined` where the platform does not count eras. */
 	era: PublishedEra | undefined;
 	revision: number;
 };
 
 export type PublishedRead = {
 	changes: readonly PublishedChange[];
-	/** Position up to which the changes reach. */
+	/** Position of the last change. */
 	position: PublishedPosition;
 };
 
 export type PublishedFailure = {
-	/** `forgotten`: changes since the revision asked for are no longer known; everything must be read again. */
+	/** `forgotten`: the platform no longer has the changes since the requested revision; everything must be read again. */
 	kind: PlatformFailure['kind'] | 'forgotten';
 	message: string;
-	/** Named by the answer, if there was one. */
+	/** Era stated in the platform's answer; absent when there was no answer. */
 	era?: PublishedEra | undefined;
 };
 
 export type PublishedSource = {
 	/** Reads everything. */
 	list: (signal: AbortSignal) => ResultAsync<PublishedRead, PublishedFailure>;
-	/** Waits for changes after a position; none when the wait is over. */
+	/** Waits for changes after a position; returns no changes when the wait ends first. */
 	watch: (after: PublishedPosition, waitMs: Milliseconds, signal: AbortSignal) => ResultAsync<PublishedRead, PublishedFailure>;
 	close: () => Promise<void>;
 };
--- a/src/ports/server-calls.ts
+++ b/src/ports/server-calls.ts
@@ -1,7 +1,7 @@
 /**
- * How a request that is passed on is dressed for a backend server, and how the
- * server's answer is understood. Bodies go through unread; all that the system
- * says to a server beside them stands in headers and in calls of their own.
+ * Port that builds the headers of a relayed request for a backend server and
+ * interprets the headers of the server's answer. Bodies are relayed unread;
+ * everything else is told to a server in headers and in separate calls.
  */
 import {type Result, type ResultAsync} from 'neverthrow';
 import {type Milliseconds} from './clock.js';
@@ -9,20 +9,20 @@
 import {type EngineFailure, type EngineRefusalReason, type Reservation} from './engine.js';
 import {type HostId, type RequestId, type WorkspaceId} from './ids.js';
 
-/** What a caller says of its request beside the body. */
+/** What a caller states about its request in headers. */
 export type RequestHints = {
-	/** Time for which the caller waits, counted from its request's arrival. */
+	/** Time for which the caller waits, counted from the arrival of the request; `undefined` when not stated. */
 	timeoutMs: Milliseconds | undefined;
 	model: string | undefined;
-	/** Tokens of the prompt; 0 where there is none. */
+	/** Tokens of the prompt; 0 where there is no prompt. */
 	promptTokens: number;
-	/** Tokens that the answer may have at most. */
+	/** Maximum number of tokens of the answer. */
 	maxTokens: number;
-	/** The caller's own guess of the answer's tokens: right at the median, often far off. */
+	/** The caller's estimate of the answer's tokens: right at the median, often far off for a single request. */
 	estimatedTokens: number | undefined;
 };
 
-/** The KV cache of a prompt, as its prefill server keeps it for a moment. */
+/** The KV cache of a prompt, which its prefill server holds for a short time. */
 export type PromptCache = {
 	server: ServerEntry;
 	kvId: string;
@@ -30,14 +30,14 @@
 
 /**
  * What a server is asked for: `whole` runs the request as it is, `prefill`
- * computes the prompt's KV cache and runs nothing, `decode` generates the answer
- * from such a cache in a reserved place; without a cache it computes the prompt
- * itself, more slowly.
+ * computes the prompt's KV cache and generates nothing, `decode` generates the
+ * answer from such a cache in a reserved slot. Without a cache the decode server
+ * computes the prompt itself, more slowly.
  */
 export type CallStep =
 	| {kind: 'whole'}
 	| {kind: 'prefill'}
-	/** `lastEventId`: the caller has the answer up to this event already. */
+	/** `lastEventId`: last event of the answer that the caller already has. */
 	| {kind: 'decode'; reservationId: string; cache: PromptCache | undefined; lastEventId: string | undefined};
 
 export type OutgoingCall = {
@@ -46,42 +46,42 @@
 	requestId: RequestId;
 	server: ServerEntry;
 	step: CallStep;
-	/** Time left until nobody wants the answer. */
+	/** Time left until the deadline. */
 	deadlineInMs: Milliseconds;
 };
 
 export type AnswerHeaders = Readonly<Record<string, string | string[] | undefined>>;
 
-/** What a server says of itself in an answer, whatever the answer is to. */
+/** What a server states about itself in an answer, independent of the request. */
 export type ServerNotice = {
-	/** It ends soon and is to get nothing new. */
+	/** Whether the server drains and is to get no new work. */
 	isLeaving: boolean;
-	/** Time for which it asks this host to back off; `undefined` when it names none. */
+	/** Time for which the server asks this host to back off; `undefined` when it does not ask. */
 	backoffMs: Milliseconds | undefined;
 };
 
-/** Calls of servers that keep prefill and decode apart. */
+/** Calls to servers that separate prefill and decode. */
 export type CacheCalls = {
-	/** Takes a place and memory at a decode server before the prompt is computed. */
+	/** Reserves a slot and memory on a decode server before the prompt is computed. */
 	reserve: (server: ServerEntry, request: {tokens: number; ttlMs: Milliseconds}, signal: AbortSignal) => ResultAsync<Reservation, EngineFailure>;
-	/** Gives a place back that won't be used. */
+	/** Releases a reservation that won't be used. */
 	release: (server: ServerEntry, reservationId: string) => ResultAsync<void, EngineFailure>;
-	/** Reads the answer of a prefill. */
+	/** Parses the body of a prefill's answer. */
 	parsePrefill: (text: string) => Result<{kvId: string; promptTokens: number}, string>;
 	/** Frees a KV cache that won't be fetched. */
 	dropCache: (cache: PromptCache) => ResultAsync<void, EngineFailure>;
 };
 
-/** An order to a server, as the host that gives it signs it. */
+/** An order to a server to change its role, with its sender. */
 export type RoleOrder = {
 	role: 'prefill' | 'decode';
-	/** The host that gives the order. */
+	/** The host that sends the order. */
 	host: HostId;
-	/** Fencing number: an order with a lower one than the server has seen is an old one. */
+	/** Fencing token: an order with a lower token than the server has seen is stale. */
 	fence: number;
 };
 
-/** Told of what servers say in answers to calls that the port itself makes. */
+/** Callbacks for the answers to calls that the port itself makes. */
 export type ServerCallHooks = {
 	onNotice: (server: ServerEntry, notice: ServerNotice) => void;
 };
@@ -89,14 +89,14 @@
 export type ServerCalls = {
 	parseHints: (headers: Readonly<Record<string, string>>) => RequestHints;
 	toHeaders: (call: OutgoingCall) => Record<string, string | string[]>;
-	/** Why a server says that it did not run the request; `undefined` when it says no such thing. */
+	/** Reason that the server gives for not running the request; `undefined` when the answer is no such refusal. */
 	toRefusal: (status: number, headers: AnswerHeaders) => EngineRefusalReason | undefined;
-	/** What the server says of itself; `undefined` when it says nothing, or when it may not be the one that was called. */
+	/** The server's notice about itself; `undefined` when there is none, or when the answer may come from another server than the one called. */
 	readNotice?: (status: number, headers: AnswerHeaders) => ServerNotice | undefined;
-	/** Whether the answer belongs to the request; a server may send an answer again, where the next one is expected. */
+	/** Whether the answer belongs to the request. A server may send an answer twice, so that the second copy arrives in place of the next request's answer. */
 	isAnswerTo: (requestId: RequestId, headers: AnswerHeaders) => boolean;
-	/** Absent where no server keeps prefill and decode apart for passed-on requests. */
+	/** Absent where no server separates prefill and decode for relayed requests. */
 	caches?: CacheCalls;
-	/** Tells a server to change its role once its running work has ended; absent where servers take no orders. */
+	/** Orders a server to change its role once its running work has ended; absent where servers accept no orders. */
 	assignRole?: (server: ServerEntry, order: RoleOrder) => ResultAsync<void, EngineFailure>;
 };
--- a/src/ports/shared-loads.ts
+++ b/src/ports/shared-loads.ts
@@ -1,23 +1,24 @@
 /**
- * What hosts tell each other of the requests that they have under way at backend
- * servers, and of those under which servers ended. Nothing is decided by it that another host must agree with: it is
- * hearsay that spreads work, and it may be lost, late, or missing altogether.
+ * Messages between hosts about the requests that they have in flight at backend
+ * servers, and about requests during which servers crashed. They only help to
+ * spread load: no decision on which hosts must agree depends on them, so a
+ * message may be lost, late, or missing altogether.
  */
 import {type CrashReport} from './crash-reports.js';
 import {
 	type HostId, type Incarnation, type ServerId, type ZoneId,
 } from './ids.js';
 
-/** What one host has under way at one server. */
+/** What one host has in flight at one server. */
 export type HostLoad = {
 	server: ServerId;
-	/** Requests that run there, or hold a place. */
+	/** Requests that run on the server or hold a reservation there. */
 	requests: number;
-	/** Tokens of prompts that were sent there and are not computed yet. */
+	/** Tokens of prompts that were sent to the server and are not computed yet. */
 	promptTokens: number;
 };
 
-/** A host that has been heard lately. */
+/** A host from which a message was received recently. */
 export type NamedPeer = {
 	/** `IP:port`. */
 	address: string;
@@ -28,14 +29,14 @@
 	host: HostId;
 	zone: ZoneId;
 	incarnation: Incarnation;
-	/** Counts the host's messages within its life; the highest is the newest. */
+	/** Number of the message within the host's incarnation; the highest is the newest. */
 	sequence: number;
-	/** Servers at which the host has anything; all others have nothing of it. */
+	/** Loads of all servers at which the host has anything in flight; it has nothing at servers that are not listed. */
 	loads: readonly HostLoad[];
-	/** Requests under which servers ended. */
+	/** Requests during which servers crashed. */
 	crashes: readonly CrashReport[];
-	/** Some others that it has heard, for those that don't know them yet. */
+	/** Some of the hosts that the sender knows, for receivers that don't know them yet. */
 	peers: readonly NamedPeer[];
-	/** Whether it wants to hear of the receiver in turn. */
+	/** Whether the sender asks the receiver for a message in return. */
 	isAsking: boolean;
 };
--- a/src/ports/view.ts
+++ b/src/ports/view.ts
@@ -1,7 +1,8 @@
 /**
- * What an entry knows of the fleet. The agent builds it from the platform, its
- * peers and the engines, and pushes it to the entry over the peer protocol; the
- * entry decides with the last one it got, weighs its age, and never waits for it.
+ * An entry's view of the fleet. The agent builds the view from the platform, its
+ * peers and the engines, and pushes it to the entry over the peer protocol. The
+ * entry decides with the last view it received, takes the view's age into
+ * account, and never waits for a newer one.
  */
 import {type AcceptedConfig} from './config.js';
 import {type Milliseconds} from './clock.js';
@@ -10,7 +11,7 @@
 	type HostId, type Incarnation, type ServerId, type ZoneId,
 } from './ids.js';
 
-/** Life of a host as its peers see it. `suspect` may still serve; `dead` is final for that incarnation. */
+/** State of a host as its peers see it. A `suspect` host may still serve; `dead` is final for an incarnation. */
 export type HostLife = 'alive' | 'suspect' | 'dead' | 'left';
 
 export type HostStatus = {
@@ -18,55 +19,55 @@
 	zone: ZoneId;
 	life: HostLife;
 	incarnation: Incarnation;
-	/** `IP:port` on which the host's entry takes calls of peers; empty while unknown. */
+	/** `IP:port` on which the host's entry accepts calls from peers; empty while unknown. */
 	entryAddress: string;
 	/** Incarnation of the host's entry, which owns holds on engines; 0 or absent while unknown. */
 	entryIncarnation?: Incarnation;
-	/** Entries of the host up to this incarnation have ended; 0 or absent while none is known to have. */
+	/** Highest incarnation of the host's entries that is known to have ended, as have all before it; 0 or absent while none is known to have ended. */
 	entryGone?: Incarnation;
-	/** `IP:port` on which the host's agent takes calls of peers. */
+	/** `IP:port` on which the host's agent accepts calls from peers. */
 	agentAddress: string;
-	/** The platform lists it as leaving, or it said so itself. */
+	/** Whether the platform lists the host as leaving, or the host announced that it leaves. */
 	leaving: boolean;
 };
 
-/** What is known of a backend server beside its published entry. */
+/** State of a backend server, besides its published entry. */
 export type ServerStatus = {
 	id: ServerId;
-	/** The platform lists it as leaving, or it said so itself, or a peer learnt it. */
+	/** Whether the server is known to be leaving: from the platform, from the server, or from a peer. */
 	leaving: boolean;
 	/** Last load report, absent until the first one. */
 	load: LoadReport | undefined;
-	/** Monotonic time of this process at which the numbers of `load` were true, lag and relay included. */
+	/** Monotonic time of this process at which the numbers of `load` were measured; the delays of report and relay are already subtracted. */
 	loadAt: Milliseconds;
-	/** Whether the last poll reached it; `undefined` before the first. */
+	/** Whether the last poll reached the server; `undefined` before the first poll. */
 	reachable: boolean | undefined;
-	/** Monotonic time of this process to which `reachable` goes back; absent while nothing is known. */
+	/** Monotonic time of this process at which `reachable` was found; absent while it is unknown. */
 	reachableAt?: Milliseconds | undefined;
 };
 
-/** What a zone's servers of one pool and role have left, taken together. */
+/** Free capacity of all of a zone's servers of one pool and role. */
 export type SummaryRow = {
 	pool: string;
 	role: 'prefill' | 'decode';
 	/** Servers in service; at most 255. */
 	servers: number;
-	/** Requests that they could take at once, rounded down. */
+	/** Requests that these servers could accept at once, rounded down. */
 	free: number;
-	/** Mean time that a new prompt waits there, milliseconds, rounded up; 0 for decode servers. */
+	/** Mean time that a new prompt waits at these servers, milliseconds, rounded up; 0 for decode servers. */
 	waitMs: Milliseconds;
 };
 
-/** What a host of a zone said of the zone's servers as a whole. */
+/** Summary of a zone's servers, made by a host of the zone. */
 export type ZoneSummary = {
 	zone: ZoneId;
-	/** Monotonic time of this process at which it was true. */
+	/** Monotonic time of this process at which the summary was made. */
 	at: Milliseconds;
 	rows: readonly SummaryRow[];
 };
 
 export type FleetView = {
-	/** `undefined` until a configuration has been accepted. */
+	/** Configuration in force; `undefined` until one has been accepted. */
 	accepted: AcceptedConfig | undefined;
 	hosts: ReadonlyMap<HostId, HostStatus>;
 	servers: ReadonlyMap<ServerId, ServerStatus>;
@@ -74,6 +75,6 @@
 	zones?: ReadonlyMap<ZoneId, ZoneSummary>;
 	/** Monotonic time at which the platform last confirmed its values, relayed by peers or read directly; `undefined` if never. */
 	platformConfirmedAt: Milliseconds | undefined;
-	/** Monotonic time at which the agent last sent anything. */
+	/** Monotonic time at which the agent sent the last update that arrived. */
 	receivedAt: Milliseconds;
 };
