--- a/src/programs/agent/_lib/agent-types.ts
+++ b/src/programs/agent/_lib/agent-types.ts
@@ -1,4 +1,4 @@
-/** What the agent takes and offers. */
+/** Options and interface of the agent. */
 import {type Log} from '../../../adapters/log/index.js';
 import {type PeerKeys} from '../../../adapters/peer-tcp/index.js';
 import {type Clock, type Random} from '../../../ports/clock.js';
@@ -17,10 +17,10 @@
 	random: Random;
 	platform: Platform;
 	toEngine: (server: ServerEntry) => Engine;
-	/** Told of the servers of each new configuration, to let go of the clients of others. */
+	/** Called with the servers of each new configuration, to close the clients of all other servers. */
 	keepOnly?: (servers: ReadonlySet<ServerId>) => void;
 	log: Log;
-	/** Other live hosts from which on zones tell each other summaries and not the loads of all servers; 40 by default. */
+	/** Number of other live hosts at which zones begin to exchange summaries instead of the loads of all servers; 40 by default. */
 	smallFleet?: number;
 	tls?: () => PeerKeys;
 };
@@ -36,7 +36,7 @@
 	connections: number;
 };
 
-/** Something that staff should mend, and how. */
+/** A problem that an operator should fix, and how. */
 export type AgentReason = {reason: string; remedy: string};
 
 export type Agent = {
@@ -44,16 +44,16 @@
 	view: () => FleetView;
 	counts: () => AgentCounts;
 	notices: () => DocumentNotices;
-	/** Orders that wait, and for what. */
+	/** Orders that wait, each with the reason. */
 	heldOrders: () => HeldOrders;
-	/** Whether it has a configuration and may be relied on; with reasons when not. */
+	/** Why the agent is not ready, for example because it has no configuration yet; empty when it is ready. */
 	notReadyReasons: () => readonly AgentReason[];
-	/** What needs somebody's attention although the agent may be relied on. */
+	/** Problems that an operator should look at although the agent is ready. */
 	warnings: () => readonly AgentReason[];
-	/** Address of another live agent under this host's name, while there is one. */
+	/** Address of another live agent that uses this host's name; `undefined` when there is none. */
 	twin: () => string | undefined;
-	/** Takes changed keys for new connections. */
+	/** Uses changed keys for new connections. */
 	reloadKeys: () => void;
-	/** Says goodbye to the peers and ends. */
+	/** Tells the peers that this host leaves, then closes everything. */
 	stop: () => Promise<void>;
 };
--- a/src/programs/agent/_lib/create-document-store.ts
+++ b/src/programs/agent/_lib/create-document-store.ts
@@ -1,4 +1,4 @@
-/** The platform's two documents as this agent holds them, whoever they came from. */
+/** Holds the platform's two documents, configuration and host list, from whichever source they came. */
 import {type Log} from '../../../adapters/log/index.js';
 import {acceptConfig} from '../../../domain/accept-config/index.js';
 import {type FleetTable} from '../../../domain/create-fleet-table/index.js';
@@ -13,38 +13,38 @@
 export type HeldDocument = {
 	version: ConfigVersion;
 	text: string;
-	/** Of a document in parts. */
+	/** Parts of the document; absent for a document in one file. */
 	parts?: readonly ConfigPart[];
 };
 
-/** What came of a configuration that was offered. */
+/** Result of offering a configuration. */
 export type ConfigOfferResult = {
-	/** What is in force has changed. */
+	/** Whether the configuration in force has changed. */
 	isChanged: boolean;
-	/** Parts that it names and that were not found. */
+	/** Parts that the document references and that were not found. */
 	missing: readonly NamedPart[];
 };
 
 export type ConfigOfferOptions = {
-	/** Looks for parts that are not in force. */
+	/** Finds parts that are not in force. */
 	findPart?: FindPart;
-	/** Says nothing of missing parts, which are fetched next. */
+	/** Does not report missing parts, because the caller fetches them next. */
 	isQuiet?: boolean;
 };
 
-/** A configuration document that was not taken. */
+/** A configuration document that was refused. */
 export type RefusedDocument = {
 	revision: number;
-	/** Where it came from: the platform, a peer, or this host's entry. */
+	/** Source of the document: the platform, a peer, or this host's entry. */
 	from: string;
 	kind: string;
 	reason: string;
 };
 
-/** What staff should know of the last documents, until another one comes in force. */
+/** Notices to staff about the last documents, kept until another document comes in force. */
 export type DocumentNotices = {
 	refused: RefusedDocument | undefined;
-	/** What the document in force displaced, where that may not have been meant. */
+	/** Warns that the document in force replaced another one, perhaps unintentionally. */
 	warning: string | undefined;
 };
 
@@ -52,16 +52,16 @@
 	config: () => HeldDocument | undefined;
 	fleet: () => HeldDocument | undefined;
 	notices: () => DocumentNotices;
-	/** Judges a configuration document; `source` is for the log. */
+	/** Validates a configuration document and puts it in force if it is newer; `source` is for the log. */
 	offerConfig: (text: string, revision: number, source: string, options?: ConfigOfferOptions) => ConfigOfferResult;
-	/** Judges a list of hosts and servers. Returns whether it was taken. */
+	/** Validates a list of hosts and servers and keeps it if it is newer. Returns whether it was accepted. */
 	offerFleet: (text: string, revision: number, source: string) => boolean;
 };
 
 /**
- * Creates it.
+ * Creates the store.
  *
- * @param options - The table that shows what is in force, the log, and what is told of a new list of hosts and of a refused document.
+ * @param options - The table with the documents in force, the log, and callbacks for a new host list and a refused document.
  * @returns See {@link DocumentStore}.
  */
 export function createDocumentStore(options: {table: FleetTable; log: Log; onFleet: (fleet: FleetList) => void; onRefused: () => void}): DocumentStore {
@@ -71,7 +71,7 @@
 	let notices: DocumentNotices = {refused: undefined, warning: undefined};
 	let refusedDigest: string | undefined;
 
-	/** What is in force was published again after the refused one. */
+	/** Clears the notice of a refused document once the document in force was published again after it. */
 	function clearRefused(revision: number) {
 		if (notices.refused !== undefined && revision > notices.refused.revision) {
 			notices = {...notices, refused: undefined};
@@ -79,7 +79,7 @@
 		}
 	}
 
-	/** Told once, and again when other parts are missing than before. */
+	/** Logs a refused document once, and again when other parts are missing than before. */
 	function noteRefused(digest: string, refused: RefusedDocument) {
 		const isKnown = digest === refusedDigest;
 		if (isKnown && (refused.kind !== 'parts-missing' || refused.reason === notices.refused?.reason)) {
@@ -124,10 +124,10 @@
 			});
 			const warning = verdict.conflict?.message ?? verdict.warning;
 			notices = {refused: undefined, warning};
-			// Published again by mistake, it is told again.
+			// If the refused document is published again, it is reported again.
 			refusedDigest = undefined;
 			if (warning !== undefined) {
-				log.warn('configuration accepted over another', {edition, reason: warning});
+				log.warn('accepted configuration replaced another', {edition, reason: warning});
 			}
 
 			return {isChanged: true, missing: []};
@@ -140,7 +140,7 @@
 			const parsed = parseFleetList(text);
 			if (parsed.isErr()) {
 				log.warn('host list refused', {
-					revision, from: source, reason: parsed.error.message, remedy: 'publish a whole list under `fleet`; the one before stays in force',
+					revision, from: source, reason: parsed.error.message, remedy: 'publish a complete list under `fleet`; the previous list stays in force',
 				});
 				return false;
 			}
--- a/src/programs/agent/_lib/create-leaving-tracker.ts
+++ b/src/programs/agent/_lib/create-leaving-tracker.ts
@@ -1,4 +1,4 @@
-/** What a server's load report is worth after the server refused work as leaving. */
+/** Corrects the load reports of servers that refused work with `leaving`, and probes whether they accept work again. */
 import {type FleetTable} from '../../../domain/create-fleet-table/index.js';
 import {type LeavingOverrides} from '../../../domain/create-leaving-overrides/index.js';
 import {type Milliseconds} from '../../../ports/clock.js';
@@ -11,9 +11,9 @@
 export type LeavingTrackerOptions = Pick<AgentOptions, 'toEngine' | 'log'> & {
 	table: FleetTable;
 	hold: LeavingOverrides;
-	/** Servers that this host looks after now. */
+	/** Servers that this host polls. */
 	servers: () => readonly ServerEntry[];
-	/** In whose name a probe reserves. */
+	/** Owner of the reservations that probes make. */
 	owner: Owner;
 	/** Whether this process may act on what it knows. */
 	mayAct: () => boolean;
@@ -21,13 +21,15 @@
 };
 
 export type LeavingTracker = {
-	/** The report, with the state that is believed of the server. */
+	/** Returns the report with the effective state of the server, which may differ from the reported one. */
 	toEffectiveReport: (load: LoadReport) => LoadReport;
-	/** Asks the server that reported whether it accepts work again, if it is time to. */
+	/** Probes whether the server of the report accepts work again, if a probe is due. */
 	probeIfDue: (load: LoadReport) => Promise<void>;
 };
 
 /**
+ * Creates the tracker.
+ *
  * @param options - See {@link LeavingTrackerOptions}.
  * @returns See {@link LeavingTracker}.
  */
@@ -51,8 +53,8 @@
 				engine: toEngine(server), load, owner, count: probes,
 			});
 			hold.noteProbeResult(server.id, isAccepted, now());
-			const reason = isAccepted ? 'it accepts work and is used again' : 'it accepts none and is asked again later, each time after twice as long';
-			log.info('asked a server that was said to be leaving', {server: server.id, reason});
+			const reason = isAccepted ? 'the server accepted work and is used again' : 'the server refused work; the next probe follows after twice the delay';
+			log.info('probed a server that was reported as leaving', {server: server.id, reason});
 		},
 	};
 }
--- a/src/programs/agent/_lib/create-mesh.test.ts
+++ b/src/programs/agent/_lib/create-mesh.test.ts
@@ -8,8 +8,8 @@
 });
 
 describe('createMesh', () => {
-	it('tells once why a peer is not reached, and again only after it was', async context => {
-		const told: string[] = [];
+	it('reports once why a peer is unreachable, and again only after it was reached', async context => {
+		const reported: string[] = [];
 		const mesh = createMesh({
 			hello: () => toHello('a-1'),
 			tls: undefined,
@@ -18,7 +18,7 @@
 			silenceMs: 1000,
 			onUnreachable(address, reason) {
 				assert.match(reason, /was not reached/);
-				told.push(address);
+				reported.push(address);
 			},
 		});
 		const listen = async (port: number) => listenPeers({
@@ -34,18 +34,18 @@
 			assert.ok(failed.isErr());
 		}
 
-		assert.deepEqual(told, [address]);
+		assert.deepEqual(reported, [address]);
 		const second = await listen(port);
 		context.after(mesh.close);
 		const reached = await ask(address);
 		assert.equal(reached._unsafeUnwrap(), 'here');
 		await second.close();
-		// The mesh notices the end of its connection by itself.
+		// The mesh notices the end of its connection asynchronously.
 		const end = performance.now() + 10_000;
-		while (told.length < 2 && performance.now() < end) {
+		while (reported.length < 2 && performance.now() < end) {
 			await ask(address);
 		}
 
-		assert.deepEqual(told, [address, address]);
+		assert.deepEqual(reported, [address, address]);
 	});
 });
--- a/src/programs/agent/_lib/create-mesh.ts
+++ b/src/programs/agent/_lib/create-mesh.ts
@@ -1,7 +1,7 @@
 /**
- * Connections to the agents of other hosts: made when there is something to
- * say, shared by both directions, and dropped when the other side has fallen
- * silent, so that a healed link is used again at once.
+ * Connections to the agents of other hosts. A connection is opened on the first
+ * message, used by both sides, and dropped when the peer has been silent for too
+ * long, so that a new connection is made at once when the network recovers.
  */
 import {err, type Result} from 'neverthrow';
 import {
@@ -10,11 +10,11 @@
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type HostId} from '../../../ports/ids.js';
 
-/** Events that wait for one connection to be made. */
+/** Maximum number of events that wait for a connection to be opened. */
 const maxQueued = 32;
 const connectTimeoutMs = 1000;
 
-/** Addresses of hosts long gone must not gather. */
+/** Bounds the memory that addresses of replaced hosts take. */
 const maxReportedAddresses = 1000;
 
 export type MeshOptions = {
@@ -22,28 +22,28 @@
 	tls: (() => PeerKeys) | undefined;
 	onCall: CallHandler;
 	onEvent: (peer: PeerHello, name: string, body: unknown) => void;
-	/** Time without a byte from a peer that was spoken to, after which its connection is given up, milliseconds. */
+	/** Time without a byte from a peer to which something was sent, after which its connection is dropped, milliseconds. */
 	silenceMs: Milliseconds;
-	/** A peer could not be connected to, told once until it was. */
+	/** Called when connecting to a peer fails; once until a connection succeeds. */
 	onUnreachable?: (address: string, reason: string) => void;
 };
 
 export type Target = {
 	/** `undefined` for an address whose host is not known. */
 	to: HostId | undefined;
-	/** Empty when only an open connection will do. */
+	/** `IP:port`; empty to use only a connection that is open. */
 	address: string;
 };
 
 export type Mesh = {
-	/** Sends an event, over a new connection if need be. It may be lost. */
+	/** Sends an event, over a new connection if none is open. The event may be lost. */
 	send: (target: Target, name: string, body: unknown) => void;
 	call: (target: Target, method: string, body: unknown, options: {timeoutMs: Milliseconds}) => Promise<Result<unknown, PeerFailure>>;
 	/** Uses a connection that a peer has opened. */
 	addConnection: (connection: PeerConnection) => void;
-	/** Drops connections that fell silent; called on every tick. */
+	/** Drops connections whose peer has been silent for too long; called on every tick. */
 	dropSilent: (now: Milliseconds) => void;
-	/** Counts all silence from now again: after a pause it is this process's own. */
+	/** Measures the silence of all peers from now on. After a pause of this process, the silence before was its own. */
 	resetSilence: (now: Milliseconds) => void;
 	bytes: () => {sent: number; received: number; connections: number};
 	close: () => void;
@@ -96,7 +96,7 @@
 		return to === undefined ? undefined : [...byHost.get(to) ?? []].at(-1);
 	}
 
-	/** Keys of another authority look like a dead host to everybody else; here is the only place that knows the reason. */
+	/** Reports the reason of a failed connection. A peer whose keys are of another authority looks like a dead host everywhere else; only here is the reason known. */
 	function reportUnreachable(address: string, reason: string) {
 		if (reportedAddresses.size >= maxReportedAddresses) {
 			reportedAddresses.clear();
--- a/src/programs/agent/_lib/create-newest-reported-version.test.ts
+++ b/src/programs/agent/_lib/create-newest-reported-version.test.ts
@@ -10,7 +10,7 @@
 		assert.equal(createNewestReportedVersion().isNewerThan(undefined, 0), false);
 	});
 
-	it('keeps the newest, and compares it with what is in force', () => {
+	it('keeps the newest version and compares it with the version in force', () => {
 		const newest = createNewestReportedVersion();
 		newest.note(toVersion(3), 0);
 		newest.note(toVersion(2), 1);
@@ -19,7 +19,7 @@
 		assert.deepEqual([2, 3, 4].map(own => newest.isNewerThan(toVersion(own), 3)), [true, false, false]);
 	});
 
-	it('lets a report go that is not repeated for 30 s, and takes an older one then', () => {
+	it('expires a report that is not repeated for 30 s, and then accepts an older version', () => {
 		const newest = createNewestReportedVersion();
 		newest.note(toVersion(3), 0);
 		assert.equal(newest.isNewerThan(toVersion(1), 29_999), true);
--- a/src/programs/agent/_lib/create-newest-reported-version.ts
+++ b/src/programs/agent/_lib/create-newest-reported-version.ts
@@ -2,16 +2,20 @@
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type ShortVersion} from './peer-messages.js';
 
-/** Time for which a peer's report of a configuration counts; heartbeats repeat it. */
+/** Time after which a peer's report of a configuration expires; heartbeats repeat it. */
 const reportLifeMs = 30_000;
 
 export type NewestReportedVersion = {
 	note: (version: ShortVersion | undefined, now: Milliseconds) => void;
-	/** Whether the newest configuration that counts is newer than `own`; anything is newer than none. */
+	/** Whether the newest reported version that has not expired is newer than `own`; any version is newer than `undefined`. */
 	isNewerThan: (own: ShortVersion | undefined, now: Milliseconds) => boolean;
 };
 
-/** @returns Keeps the newest configuration that peers have reported lately. */
+/**
+ * Remembers the newest configuration version that peers have reported recently.
+ *
+ * @returns See {@link NewestReportedVersion}.
+ */
 export function createNewestReportedVersion(): NewestReportedVersion {
 	let newest: {version: ShortVersion; at: Milliseconds} | undefined;
 	const isFresh = (at: Milliseconds, now: Milliseconds): boolean => now - at < reportLifeMs;
--- a/src/programs/agent/_lib/create-pause-tracker.ts
+++ b/src/programs/agent/_lib/create-pause-tracker.ts
@@ -1,4 +1,4 @@
-/** What a pause of this process means for what it hears and does afterwards. */
+/** Detects pauses of this process and limits what it believes and does after one. */
 import {createPauseGuard} from '../../../domain/create-pause-guard/index.js';
 import {type Milliseconds} from '../../../ports/clock.js';
 
@@ -7,27 +7,28 @@
 export type PauseTrackerOptions = {
 	now: () => Milliseconds;
 	startedAt: Milliseconds;
-	/** Time after a pause in which this process still believes what was true before, milliseconds. */
+	/** Time after a pause in which this process may still hold outdated state and must not act, milliseconds. */
 	quietMs: Milliseconds;
 	onPaused: (pausedMs: Milliseconds) => void;
 };
 
 export type PauseTracker = {
-	/** Looks for a pause; called before anything that is heard or done. */
+	/** Checks for a pause; called before every received message and every action. */
 	check: () => void;
-	/** Whether this process may act on what it knows: not just awake. */
+	/** Whether this process may act on its state: it has not just woken up from a pause. */
 	mayAct: () => boolean;
-	/** Latest time at which something that was asked for then and read now is sure to have been true. */
+	/** Latest time at which an answer that is read now, to a question asked at `askedAt`, is certain to have been true. */
 	toTrustedTime: (askedAt: Milliseconds) => Milliseconds;
 	/**
-	 * When what a peer said has arrived, at the earliest. Just after a pause it may
-	 * have waited in a socket since before, and its age was true then.
+	 * Earliest time at which a message that is read now may have arrived. Just after
+	 * a pause, the message may have been in the socket since before the pause, and
+	 * the ages stated in it are relative to its arrival.
 	 */
 	toEarliestArrival: () => Milliseconds;
 };
 
 /**
- * Creates it.
+ * Creates the tracker.
  *
  * @param options - See {@link PauseTrackerOptions}.
  * @returns See {@link PauseTracker}.
--- a/src/programs/agent/_lib/create-peer-notifier.ts
+++ b/src/programs/agent/_lib/create-peer-notifier.ts
@@ -1,4 +1,4 @@
-/** Sends what membership says, and the versions of newer documents. */
+/** Sends membership messages and announces newer documents to peers. */
 import {type Membership, type OutMessage} from '../../../domain/create-membership/index.js';
 import {type HostId} from '../../../ports/ids.js';
 import {type Mesh} from './create-mesh.js';
@@ -6,21 +6,21 @@
 
 export type PeerNotifier = {
 	sendMessages: (messages: readonly OutMessage[]) => void;
-	/** Tells of a newer document whoever has not heard it from where it came from. */
+	/** Announces a newer document to the hosts that its origin does not notify. */
 	announceVersions: (origin: HostId) => void;
 };
 
 /**
- * Creates it.
+ * Creates the notifier.
  *
- * @param options - Connections, membership, and the versions that this host holds.
+ * @param options - Connections, membership, the versions that this host holds, and the summaries for pings.
  * @returns See {@link PeerNotifier}.
  */
 export function createPeerNotifier({mesh, membership, versions, toPiggybackedSummary}: {
 	mesh: Mesh;
 	membership: Membership;
 	versions: () => KnownVersions;
-	/** Bytes that ride on a ping to a host. */
+	/** Returns the packed summary to piggyback on a ping to a host; `undefined` if there is none. */
 	toPiggybackedSummary: (to: HostId) => Uint8Array | undefined;
 }): PeerNotifier {
 	return {
--- a/src/programs/agent/_lib/create-polled-servers.ts
+++ b/src/programs/agent/_lib/create-polled-servers.ts
@@ -6,12 +6,12 @@
 import {type HostStatus} from '../../../ports/view.js';
 
 /**
- * Keeps the list of servers that this host polls. It is asked for several times
- * a second and scores each server against each host, so it is made anew only
- * when configuration or hosts have changed.
+ * Caches the list of servers that this host polls. The list is read several
+ * times a second and computing it scores each server against each host, so it is
+ * computed again only when the configuration or the hosts have changed.
  *
- * @param options - Where configuration and hosts come from, and who we are.
- * @returns A function that gives the list.
+ * @param options - Sources of configuration and hosts, and the id of this host.
+ * @returns A function that returns the list.
  */
 export function createPolledServers({table, hosts, hostId}: {
 	table: FleetTable;
--- a/src/programs/agent/_lib/create-reread-schedule.test.ts
+++ b/src/programs/agent/_lib/create-reread-schedule.test.ts
@@ -14,19 +14,19 @@
 }
 
 describe('createReread', () => {
-	it('doubles the wait for what is refused, up to five minutes', () => {
+	it('doubles the delay while a value is refused, up to five minutes', () => {
 		assert.deepEqual(toWaits(Array.from({length: 11}, (): ValueVerdict => 'refused')), [1, 2, 4, 8, 16, 32, 64, 128, 256, 300, 300]);
 	});
 
-	it('reads again within ten seconds what lacks parts, since staff publish them next', () => {
+	it('reads a value that lacks parts again within ten seconds, since staff publish the parts next', () => {
 		assert.deepEqual(toWaits(Array.from({length: 6}, (): ValueVerdict => 'unfinished')), [1, 2, 4, 8, 10, 10]);
 	});
 
-	it('waits for the next revision once the value is held', () => {
+	it('waits for the next revision once the value is accepted', () => {
 		assert.deepEqual(toWaits(['refused', 'taken', 'refused']), [1, Infinity, 1]);
 	});
 
-	it('is due when the wait is over and not before', () => {
+	it('is due when the delay has passed and not before', () => {
 		let at = 0;
 		const reread = createRereadSchedule(() => at);
 		assert.equal(reread.isDue(), false);
--- a/src/programs/agent/_lib/create-reread-schedule.ts
+++ b/src/programs/agent/_lib/create-reread-schedule.ts
@@ -1,23 +1,28 @@
-/** When to read a value of the platform again that was not taken. */
+/** Schedules another read of a platform value that was not accepted. */
 import {type Milliseconds} from '../../../ports/clock.js';
 import {msPerMinute, msPerSecond} from '../../../ports/units.js';
 
-/** What was served and not taken is read again after this time, then twice it, and so on. */
+/** Delay of the first reread; it doubles with each further one. */
 const firstRereadMs = msPerSecond;
 const maxRereadMs = 5 * msPerMinute;
 
-/** A part that was published after its root is missed for no longer than this: staff wait for it. */
+/** Longest delay while parts are missing. Staff publish the parts right after the root and wait for them to take effect. */
 const maxPartsRereadMs = 10 * msPerSecond;
 
-/** What came of a value: it is held, it is not, or it will be once parts of it are there. */
+/** What became of a value: `taken` if it is held now, `refused` if not, `unfinished` if it lacks parts that may still be published. */
 export type ValueVerdict = 'taken' | 'refused' | 'unfinished';
 
 /**
- * When to read a value again at the revision that was seen. A platform that
- * serves a part of a document, or an old one, and then the right one under the
- * same revision gives a watch nothing to report: the edit would be in force
- * nowhere until the next one. A plain read after a wait shows it; the wait
- * doubles, since a bad edit of staff stays as it is.
+ * Schedules reads of a value at a revision that was already read.
+ *
+ * The platform may serve a truncated or an old document and later the right one
+ * under the same revision. A watch does not report that, so the edit would take
+ * effect nowhere until the next edit. A plain read after a delay finds the right
+ * document. The delay doubles because an invalid edit stays invalid until staff
+ * publish another one.
+ *
+ * @param now - Monotonic milliseconds.
+ * @returns `note` records the verdict on a value, `isDue` tells whether to read again, `limit` shortens the wait of a watch.
  */
 export function createRereadSchedule(now: () => Milliseconds) {
 	let waitMs: Milliseconds | undefined;
@@ -30,7 +35,7 @@
 			dueAt = waitMs === undefined ? Infinity : now() + waitMs;
 		},
 		isDue: () => now() >= dueAt,
-		/** Longest wait of a watch before the value is read again. */
+		/** Longest wait of a watch, so that the value is read again when due. */
 		limit: (longestMs: Milliseconds) => Math.min(longestMs, waitMs ?? Infinity),
 	};
 }
--- a/src/programs/agent/_lib/create-server-index.ts
+++ b/src/programs/agent/_lib/create-server-index.ts
@@ -3,15 +3,16 @@
 import {type ServerId, type ZoneId} from '../../../ports/ids.js';
 
 export type ServerIndex = {
-	/** The server whose name has this hash, as peers send it; `undefined` if none is in force here. */
+	/** Finds the server whose id has this hash, as sent by peers; `undefined` if the configuration in force has none. */
 	findByHash: (hash: number) => ServerId | undefined;
 	toZone: (server: ServerId) => ZoneId | undefined;
 };
 
 /**
- * Knows the servers of the configuration in force, worked out once for each.
+ * Indexes the servers of the configuration in force. The index is rebuilt when
+ * the configuration changes.
  *
- * @param table - Has the configuration.
+ * @param table - Holds the configuration.
  * @returns See {@link ServerIndex}.
  */
 export function createServerIndex(table: Pick<FleetTable, 'accepted'>): ServerIndex {
--- a/src/programs/agent/_lib/create-wanted-since.test.ts
+++ b/src/programs/agent/_lib/create-wanted-since.test.ts
@@ -4,7 +4,7 @@
 import {createWantedSince} from './create-wanted-since.js';
 
 describe('createWantedSince', () => {
-	it('starts anew when servers are to be something else, and not when rules change', () => {
+	it('restarts when servers need other weights, and not when rules change', () => {
 		let now = 1000;
 		const toSince = createWantedSince(() => now);
 		const config = toFleetConfig(10, 5);
--- a/src/programs/agent/_lib/create-wanted-since.ts
+++ b/src/programs/agent/_lib/create-wanted-since.ts
@@ -3,13 +3,13 @@
 import {type Config} from '../../../ports/config.js';
 
 /**
- * Tells since when the configuration has wanted of servers what it wants now.
- * Orders wait for some seconds after a change of that. Rules may change every
- * few seconds: were each edition to start the wait anew, no order would ever
- * go out.
+ * Remembers since when the configuration has required the present weights and
+ * roles of servers. Orders are delayed for some seconds after that changes.
+ * Rules may change every few seconds: if each edition restarted the delay, no
+ * order would ever be sent.
  *
  * @param now - Monotonic milliseconds.
- * @returns A function that takes the configuration in force.
+ * @returns A function from the configuration in force to that time, monotonic milliseconds.
  */
 export function createWantedSince(now: () => Milliseconds): (config: Config) => Milliseconds {
 	let last: {config: Config; key: string; since: Milliseconds} | undefined;
--- a/src/programs/agent/_lib/fetch-document.ts
+++ b/src/programs/agent/_lib/fetch-document.ts
@@ -1,4 +1,4 @@
-/** Fetches a document from a peer, as the chunks that are not here. */
+/** Fetches a document from a peer by requesting the chunks that this host lacks. */
 import {err, type Result} from 'neverthrow';
 import {isRecord} from '../../../_lib/is-record/index.js';
 import {fromConfigChunks} from '../../../domain/from-config-chunks/index.js';
@@ -15,7 +15,7 @@
 
 export type DocumentKind = 'config' | 'fleet';
 
-/** A document as it came, to be judged. */
+/** A received document that has not been validated yet. */
 export type OfferedDocument = ConfigOfferOptions & {
 	text: string;
 	revision: number;
@@ -24,9 +24,9 @@
 export type FetchDocumentOptions = {
 	kind: DocumentKind;
 	call: (host: HostId, method: string, body: unknown, options: {timeoutMs: Milliseconds}) => Promise<Result<unknown, {message: string}>>;
-	/** Judges a document that came from a peer; returns the parts that it needs besides. */
+	/** Validates a document that came from a peer, and puts it in force if it is newer; returns the parts that are missing. */
 	offer: (document: OfferedDocument, from: HostId) => readonly NamedPart[];
-	/** Chunks by digest that are here; those that come are added. */
+	/** Chunks that this host has, by digest; fetched chunks are added. */
 	known: Map<string, string>;
 };
 
@@ -38,7 +38,7 @@
 	return Array.isArray(value) && value.every(chunk => typeof chunk === 'string');
 }
 
-/** Fetches chunks into `known`; returns why it could not. */
+/** Fetches chunks into `known`; returns the reason of a failure. */
 async function fetchChunks(from: HostId, digests: readonly string[], {kind, call, known}: FetchDocumentOptions): Promise<string | undefined> {
 	for (let start = 0; start < digests.length; start += chunksInCall) {
 		const part = digests.slice(start, start + chunksInCall);
@@ -48,7 +48,7 @@
 		}
 
 		if (!isChunks(reply.value) || reply.value.length !== part.length) {
-			return 'the chunks are not what was asked for';
+			return 'the peer replied with other chunks than requested';
 		}
 
 		for (const [i, digest] of part.entries()) {
@@ -59,7 +59,7 @@
 	return undefined;
 }
 
-/** Puts a text together from the chunks that are known and those of a peer. */
+/** Assembles a text from the known chunks and those of a peer. */
 async function fetchText(from: HostId, manifest: ConfigManifest, options: FetchDocumentOptions): Promise<Result<string, string>> {
 	const find = (digest: string) => options.known.get(digest);
 	const first = fromConfigChunks(manifest, find);
@@ -70,10 +70,10 @@
 		}
 	}
 
-	return fromConfigChunks(manifest, find).mapErr(({kind}) => `its chunks do not make up its document (${kind})`);
+	return fromConfigChunks(manifest, find).mapErr(({kind}) => `the peer's chunks do not match its manifest (${kind})`);
 }
 
-/** Fetches parts into `texts`; returns why it could not. */
+/** Fetches parts into `texts`; returns the reason of a failure. */
 async function fetchParts(from: HostId, parts: readonly NamedPart[], texts: Map<string, string>, options: FetchDocumentOptions): Promise<string | undefined> {
 	const {kind, call} = options;
 	for (let start = 0; start < parts.length; start += partsInCall) {
@@ -84,12 +84,12 @@
 		}
 
 		if (!Array.isArray(reply.value) || reply.value.length !== wanted.length) {
-			return 'the manifests of its parts are malformed';
+			return 'the peer\'s manifests of the parts are malformed';
 		}
 
 		for (const [i, digests] of (reply.value as unknown[]).entries()) {
 			if (!(digests instanceof Uint8Array)) {
-				return 'it has another document by now';
+				return 'the peer has another document in force by now';
 			}
 
 			const text = await fetchText(from, {digest: wanted[i]!, chunkDigests: digests}, options);
@@ -105,11 +105,11 @@
 }
 
 /**
- * Fetches the document of one peer and has it judged.
+ * Fetches the document of one peer and offers it to this host.
  *
  * @param from - The peer.
  * @param options - See {@link FetchDocumentOptions}.
- * @returns Why it could not.
+ * @returns The reason of a failure; `undefined` when the document was fetched and offered.
  */
 export async function fetchDocument(from: HostId, options: FetchDocumentOptions): Promise<string | undefined> {
 	const {kind, call, offer} = options;
@@ -119,7 +119,7 @@
 	}
 
 	if (!isManifest(manifest.value)) {
-		return 'its manifest is malformed';
+		return 'the peer\'s manifest is malformed';
 	}
 
 	const {revision} = manifest.value;
@@ -140,9 +140,9 @@
 		return failure;
 	}
 
-	// Missed again, they have been replaced in force meanwhile by a newer document.
+	// If parts are missing now, a newer document without them has come in force since the first offer.
 	const missed = offer({
 		text, revision, isQuiet: true, findPart: ({sha256}) => texts.get(sha256),
 	}, from);
-	return missed.length > 0 ? 'other parts are in force by now' : undefined;
+	return missed.length > 0 ? 'a newer document has come in force during the fetch' : undefined;
 }
--- a/src/programs/agent/_lib/follow-entry.ts
+++ b/src/programs/agent/_lib/follow-entry.ts
@@ -1,6 +1,6 @@
 /**
- * What the agent knows of its own host's entry: whether it is there, as which
- * incarnation, and up to which incarnation earlier ones have ended.
+ * Tracks the entry of the agent's own host: whether an entry is connected, its
+ * incarnation, and the highest incarnation that is known to have ended.
  */
 import {type PeerConnection, type PeerHello, type PeerKeys} from '../../../adapters/peer-tcp/index.js';
 import {type FeedPing} from '../../../adapters/view-feed/index.js';
@@ -9,7 +9,7 @@
 import {type Incarnation} from '../../../ports/ids.js';
 import {isEntryAnswering} from './is-entry-answering.js';
 
-/** Time in which a restarted agent waits for an entry that may be alive. */
+/** Time for which a restarted agent waits for an entry that may still run to connect. */
 const startGraceMs = 3000;
 const probeTimeoutMs = 500;
 const probeGapMs = 250;
@@ -17,22 +17,22 @@
 export type FollowEntryOptions = {
 	hello: () => PeerHello;
 	tls: (() => PeerKeys) | undefined;
-	/** Tells the fleet. */
+	/** Publishes a change of this host's record to the fleet. */
 	publishState: (statement: OwnStatement) => void;
-	/** What peers remember of an entry before this agent started. */
+	/** The entry that peers knew before this agent started; incarnation 0 if they knew none. */
 	previousEntry: () => {incarnation: Incarnation; address: string};
 	onEnded: (incarnation: Incarnation) => void;
 	signal: AbortSignal;
 };
 
 export type EntryFollower = {
-	/** The entry has connected. */
+	/** Adds a new connection of the entry. */
 	add: (connection: PeerConnection) => void;
-	/** The entry says where it takes calls of peers, its present incarnation, and whether it drains. */
+	/** Handles a ping of the entry, which states its peer address, its present incarnation, and whether it drains. */
 	notePing: (connection: PeerConnection, ping: FeedPing) => void;
-	/** The connection to the entry, while there is one. */
+	/** The connection to the entry; `undefined` when there is none. */
 	connection: () => PeerConnection | undefined;
-	/** Least incarnation that the entry may use, above all that ended before it; 0 when its own will do. */
+	/** Lowest incarnation that the entry may use, above all entries that ended before; 0 when its own is high enough. */
 	incarnationFloor: () => Incarnation;
 };
 
@@ -43,7 +43,7 @@
 };
 
 /**
- * Starts following.
+ * Starts tracking this host's entry.
  *
  * @param options - See {@link FollowEntryOptions}.
  * @returns See {@link EntryFollower}.
@@ -64,7 +64,7 @@
 		}
 	}
 
-	/** Its feed has ended: it has died, or only its connection has. */
+	/** Probes an entry whose connection has ended until the entry no longer answers: the entry may have died, or only its connection may have broken. */
 	async function probeUntilEnded(incarnation: Incarnation, address: string) {
 		await waitFor(probeGapMs, signal);
 		while (!signal.aborted && endedIncarnation < incarnation && current?.incarnation !== incarnation) {
@@ -101,7 +101,7 @@
 	return {
 		add(connection) {
 			const {incarnation} = connection.peer;
-			// A connection of an older process that ends late must not take the newer one's place.
+			// A late connection of an older process must not replace the newer one's.
 			if ((current?.incarnation ?? 0) <= incarnation) {
 				void serve({connection, incarnation, address: ''});
 			}
@@ -113,9 +113,9 @@
 
 			current.address = entryAddress;
 			current.incarnation = Math.max(current.incarnation, incarnation);
-			// Until the next entry says otherwise, the host stays a leaving one: nobody serves on it.
+			// After a draining entry has ended, the host stays marked as leaving until the next entry clears the mark: nobody serves on it.
 			publishState({entryAddress, entryIncarnation: current.incarnation, leaving: stopping === true});
-			// A newer entry is in the place of all before it, once it has heard how high it must be.
+			// An entry whose incarnation is above that of the previous entry supersedes all entries before it.
 			if (current.incarnation > previousEntry().incarnation) {
 				noteEnded(current.incarnation - 1);
 			}
--- a/src/programs/agent/_lib/give-orders.ts
+++ b/src/programs/agent/_lib/give-orders.ts
@@ -1,6 +1,6 @@
 /**
- * Gives the servers that this agent polls the orders that follow from the
- * accepted configuration, and from nothing else.
+ * Sends orders to the servers that this agent polls. The orders follow from the
+ * accepted configuration alone.
  */
 import {type Log} from '../../../adapters/log/index.js';
 import {waitFor} from '../../../_lib/wait-for/index.js';
@@ -19,20 +19,20 @@
 const planIntervalMs = 2 * msPerSecond;
 const callTimeoutMs = 5 * msPerSecond;
 
-/** Time that a server has to show in its report that it took an order, before it is given again. */
+/** Time after which an order is repeated if the server's load report does not show its effect. */
 const repeatMs = 5 * msPerSecond;
 
 export type GiveOrdersOptions = {
 	view: () => FleetView;
-	/** Servers that this host looks after. */
+	/** Servers that this host polls. */
 	servers: () => readonly ServerEntry[];
 	toEngine: (server: ServerEntry) => Engine;
-	/** Whether this process may act: not just awake from a pause. */
+	/** Whether this process may act: it has not just woken up from a pause. */
 	mayAct: () => boolean;
 	/** Whether this host knows that a newer configuration than its own exists. */
 	isBehind: () => boolean;
 	onGiven: () => void;
-	/** Told with each plan of the orders that wait. */
+	/** Called after each planning round with the orders that wait. */
 	onHeld: (notices: readonly HeldNotice[]) => void;
 	log: Log;
 	now: () => Milliseconds;
@@ -40,16 +40,20 @@
 	signal: AbortSignal;
 };
 
-/** Runs until the signal aborts. */
+/**
+ * Plans and sends orders until the signal aborts.
+ *
+ * @param options - See {@link GiveOrdersOptions}.
+ */
 export async function giveOrders(options: GiveOrdersOptions): Promise<void> {
 	const {view, servers, toEngine, mayAct, isBehind, onGiven, onHeld, log, now, random, signal} = options;
 	const givenAt = new Map<ServerId, Milliseconds>();
 	const toWantedSince = createWantedSince(now);
 	let plannedVersion: ConfigVersion | undefined;
 
-	/** The last check; nothing is awaited between it and the sending. */
+	/** The last check before an order is sent; nothing is awaited between the check and the call. */
 	function mayGive(wanted: WantedOrder, decidedAt: Milliseconds): boolean {
-		// A peer's report that the platform confirmed its newer edition confirms nothing of ours.
+		// While a peer has a newer edition, the platform's confirmation that it relays is not about this host's edition.
 		if (!mayAct() || isBehind()) {
 			return false;
 		}
@@ -68,10 +72,10 @@
 		const fields = {server: server.id, order: wanted.order.kind, fence: wanted.order.fence};
 		if (result.isOk()) {
 			onGiven();
-			log.info('order given', fields);
+			log.info('order accepted by the server', fields);
 		} else {
-			log.warn('order not taken', {
-				...fields, kind: result.error.kind, reason: result.error.message, remedy: 'none for once, it is given again; if it goes on, take that server out and tell its makers',
+			log.warn('order failed', {
+				...fields, kind: result.error.kind, reason: result.error.message, remedy: 'none after a single failure, the order is repeated; if failures go on, take the server out and tell its makers',
 			});
 		}
 	}
--- a/src/programs/agent/_lib/is-entry-answering.ts
+++ b/src/programs/agent/_lib/is-entry-answering.ts
@@ -3,12 +3,12 @@
 import {type Owner} from '../../../ports/ids.js';
 
 /**
- * Asks whether an entry still answers at its peer port as the process that it was.
+ * Checks whether an entry still answers at its peer port under the same incarnation.
  *
  * @param owner - Host and incarnation of the entry.
  * @param address - `IP:port` of its peer port.
- * @param options - How to connect, and for how long to try, milliseconds.
- * @returns `false` also when somebody else answers there.
+ * @param options - How to connect, and the timeout in milliseconds.
+ * @returns `false` also when another process answers at the address.
  */
 export async function isEntryAnswering(owner: Owner, address: string, options: {
 	hello: () => PeerHello;
--- a/src/programs/agent/_lib/is-platform-reader.ts
+++ b/src/programs/agent/_lib/is-platform-reader.ts
@@ -1,4 +1,4 @@
-/** Who of a zone reads the platform. */
+/** Picks the hosts of a zone that read the platform. */
 import {pickRanked} from '../../../_lib/pick-ranked/index.js';
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type HostId, type ZoneId} from '../../../ports/ids.js';
@@ -6,17 +6,17 @@
 
 const readersOfZone = 2;
 
-/** Without news of the platform for this long, one more host of the zone reads it; and so on. */
+/** One more host of the zone reads the platform for each such period without a confirmation from it. */
 const moreReadersMs = 15_000;
 const mostReaders = 6;
 
 /**
- * Whether a host is among the readers of its zone.
+ * Whether a host is one of the hosts of its zone that read the platform.
  *
  * @param self - The host.
  * @param hosts - All known hosts.
  * @param silentMs - Time since the platform last confirmed anything, milliseconds.
- * @returns The same on all hosts that know the same hosts alive.
+ * @returns Whether the host reads. Hosts that know the same live hosts agree on the readers.
  */
 export function isPlatformReader(self: {id: HostId; zone: ZoneId}, hosts: Iterable<HostStatus>, silentMs: Milliseconds): boolean {
 	const count = Math.min(mostReaders, readersOfZone + Math.floor(silentMs / moreReadersMs));
--- a/src/programs/agent/_lib/is-small-fleet.ts
+++ b/src/programs/agent/_lib/is-small-fleet.ts
@@ -1,14 +1,16 @@
 import {type HostId} from '../../../ports/ids.js';
 import {type HostStatus} from '../../../ports/view.js';
 
-/** Below this many other live hosts all pass loads to all; from it on each zone keeps to itself, or the bytes would not fit. */
+/** Below this many other live hosts, every host sends loads to all others. In a larger fleet the bytes would exceed the budget, so loads stay within a zone. */
 const defaultSmallFleet = 40;
 
 /**
+ * Whether the loads of all servers are sent to all hosts.
+ *
  * @param self - This host.
  * @param hosts - Known hosts.
- * @param limit - Other live hosts from which on the fleet is large.
- * @returns Whether the loads of all servers travel to all hosts.
+ * @param limit - Number of other live hosts at which a fleet is large.
+ * @returns `true` while there are fewer other live hosts than the limit.
  */
 export function isSmallFleet(self: HostId, hosts: ReadonlyMap<HostId, HostStatus>, limit = defaultSmallFleet): boolean {
 	let others = 0;
--- a/src/programs/agent/_lib/keep-documents.ts
+++ b/src/programs/agent/_lib/keep-documents.ts
@@ -1,6 +1,7 @@
 /**
- * Keeps the platform's two documents: judges what the platform, peers and this
- * host's entry offer, tells peers of what is new, and fetches what they have newer.
+ * Keeps the platform's two documents up to date: validates documents from the
+ * platform, from peers and from this host's entry, announces new ones to peers,
+ * and fetches newer ones from them.
  */
 import {compareConfigVersions} from '../../../domain/compare-config-versions/index.js';
 import {type FleetTable} from '../../../domain/create-fleet-table/index.js';
@@ -20,17 +21,21 @@
 import {spreadDocument, type DocumentSpread, type SpreadDocumentOptions} from './spread-document.js';
 import {watchPlatform} from './watch-platform.js';
 
-/** Time in which a starting agent learns from its peers, before it listens to a platform that may be stale. */
+/** Time for which a starting agent with seeds waits for its peers' documents before it reads the platform, which may be stale. */
 const peerWaitMs: Milliseconds = 3 * msPerSecond;
 
 /**
- * Time for which a starting agent that holds nothing passes over what peers
- * don't vouch for. An agent that restarted too may tell what its entry has held
- * since before a pause, and callers would see an older configuration after a
- * newer one. A peer vouches once it has heard in its life what configuration the
- * platform serves and knows of nothing newer, so in a fleet that runs nothing is
- * lost by this. Where none vouches, readers have asked the platform by then; without
- * a platform, what is there is better than nothing.
+ * Time for which a starting agent without a configuration ignores versions from
+ * peers that do not vouch for them.
+ *
+ * A peer that has restarted too may offer the configuration that its entry held
+ * before a pause; callers would then see an older configuration after a newer
+ * one. A peer vouches (states `confirmedAgeMs`) once it has learned since its
+ * start which configuration the platform serves and knows of no newer one. In a
+ * running fleet some peer vouches, so ignoring the others costs nothing. Where no
+ * peer vouches, the zone's readers have asked the platform by the end of this
+ * time; if the platform does not answer either, an unconfirmed configuration is
+ * better than none.
  */
 const unvouchedWaitMs: Milliseconds = peerWaitMs + (2 * msPerSecond);
 
@@ -38,11 +43,11 @@
 	table: FleetTable;
 	pauses: PauseTracker;
 	call: SpreadDocumentOptions['call'];
-	/** A document has come in force here, from that host. */
+	/** Called when a document has come in force here, with the host it came from. */
 	onDocumentChange: (origin: HostId) => void;
-	/** A new list of hosts and servers. */
+	/** Called with each new list of hosts and servers. */
 	onFleet: (fleet: FleetList) => void;
-	/** Whether it is for this host to read the platform, which was silent for so long (milliseconds). */
+	/** Whether this host is one of its zone's readers when the platform was last confirmed so long ago, milliseconds. */
 	isPlatformReader: (silentMs: Milliseconds) => boolean;
 	counts: {platformReads: number; configsRefused: number};
 	now: () => Milliseconds;
@@ -52,15 +57,15 @@
 
 export type Documents = {
 	notices: () => DocumentNotices;
-	/** What this host holds, for its peers to hear. */
+	/** Versions that this host holds, to be sent to peers. */
 	versions: () => KnownVersions;
-	/** A peer says what it holds. */
+	/** Handles the versions that a peer holds. */
 	receiveVersions: (from: HostId, known: KnownVersions) => void;
-	/** Whether the configuration is newer than what is in force here. */
+	/** Whether a configuration version is newer than the one in force here. */
 	isNewer: (version: ConfigVersion | undefined) => boolean;
-	/** Whether a peer has lately named a newer configuration than the one in force here. */
+	/** Whether a peer has recently reported a newer configuration than the one in force here. */
 	isBehind: () => boolean;
-	/** Judges a configuration that this host's entry still holds. */
+	/** Validates the configuration that this host's entry holds, and puts it in force if it is newer. */
 	offerFromEntry: (document: OfferedDocument) => void;
 	/** Answers a peer's call for one of the documents. */
 	serve: (kind: DocumentKind, method: string, body: unknown) => unknown;
@@ -69,7 +74,7 @@
 };
 
 /**
- * Starts keeping them.
+ * Starts keeping the documents up to date.
  *
  * @param options - See {@link KeepDocumentsOptions}.
  * @returns See {@link Documents}.
@@ -78,7 +83,7 @@
 	const {settings, table, log, pauses, call, onDocumentChange, counts, now, startedAt, random, signal} = options;
 	const {hostId} = settings;
 	let hasHeardFromPeer = false;
-	/** Whether the platform's configuration was heard of in this life, from itself or from a peer that vouches. */
+	/** Whether this process has learned which configuration the platform serves, from the platform or from a peer that vouches. */
 	let isPlatformConfigKnown = false;
 	const newest = createNewestReportedVersion();
 
@@ -91,7 +96,7 @@
 		},
 	});
 
-	/** Judges a document; `source` is for the log. */
+	/** Validates a document and puts it in force if it is newer; `source` is for the log. */
 	function judgeDocument(kind: DocumentKind, {text, revision, ...partOptions}: OfferedDocument, origin: HostId, source: string = origin): ConfigOfferResult {
 		const offer = kind === 'config' ? held.offerConfig(text, revision, source, partOptions) : {isChanged: held.offerFleet(text, revision, source), missing: []};
 		if (offer.isChanged) {
@@ -111,7 +116,7 @@
 		offer: (document, from) => judgeDocument(kind, document, from).missing,
 		call,
 		onFailure(message, from) {
-			log.debug('a document was not fetched', {kind, peer: from, reason: message});
+			log.debug('fetching a document from a peer failed', {kind, peer: from, reason: message});
 		},
 		now,
 		random,
@@ -121,7 +126,7 @@
 
 	const confirmedAt = () => table.view(now()).platformConfirmedAt;
 
-	/** A restarted host hears its peers first: the platform may be stale. */
+	/** A restarted host learns from its peers before it reads the platform, which may be stale. */
 	function hasHeardPeersOrWaited(): boolean {
 		const isInformed = hasHeardFromPeer && !spreads.config.isBehind() && table.accepted() !== undefined;
 		return isInformed || settings.seeds.length === 0 || now() - startedAt >= peerWaitMs;
@@ -133,7 +138,7 @@
 	};
 
 	const onFailure = ({kind, message}: PlatformFailure) => {
-		log.debug('the platform was not read', {kind, reason: message});
+		log.debug('reading the platform failed', {kind, reason: message});
 	};
 
 	const partReader = createPartReader({
@@ -146,12 +151,12 @@
 		signal,
 	});
 
-	/** Judges what the platform serves, and reads the parts of it that are not here. */
+	/** Validates a document that the platform serves, after reading the parts that this host lacks. */
 	async function takeFromPlatform(key: DocumentKind, {value: text, revision}: PlatformValue): Promise<ValueVerdict> {
 		const before = held[key]();
 		let offer = judgeDocument(key, {text, revision, isQuiet: true}, hostId, 'platform');
 		if (offer.missing.length > 0) {
-			// Once something else is in force, be it this document from a peer, the rest would be read for nothing.
+			// Stops when another document comes in force, which may be this one from a peer: the remaining reads would be wasted.
 			const isAnswered = await partReader.read(offer.missing, () => held[key]()?.version.digest === before?.version.digest);
 			offer = judgeDocument(key, {
 				text, revision, findPart: partReader.toText, isQuiet: !isAnswered,
@@ -166,12 +171,12 @@
 			partReader.forget();
 		}
 
-		// The text in force under a later revision may be an old text in the place of a new one.
+		// A value with another text is not held, although its revision is not newer: the platform may serve an old text in place of a new one.
 		const isHeld = before !== undefined && before.version.revision >= revision && (key === 'fleet' || before.text === text);
 		return offer.isChanged || isHeld ? 'taken' : 'refused';
 	}
 
-	/** Whether nothing is held here, and it is too early to take what a peer can't vouch for. */
+	/** Whether to ignore a version that the peer does not vouch for, because this host has just started and holds no configuration. */
 	function isUnvouched({confirmedAgeMs}: KnownVersions): boolean {
 		return confirmedAgeMs === undefined && table.accepted() === undefined && now() - startedAt < unvouchedWaitMs;
 	}
@@ -184,7 +189,7 @@
 
 	const isBehind = () => newest.isNewerThan(spreads.config.version(), now());
 
-	/** Age of the platform's last answer, for peers; none while something newer than what is held here is known. */
+	/** Age of the platform's last confirmation, with which this host vouches for its version; `undefined` while it must not vouch. */
 	function toVouchedAgeMs(): Milliseconds | undefined {
 		const at = confirmedAt();
 		return at === undefined || !isPlatformConfigKnown || isBehind() ? undefined : Math.ceil(now() - at);
--- a/src/programs/agent/_lib/manage-servers.ts
+++ b/src/programs/agent/_lib/manage-servers.ts
@@ -1,4 +1,4 @@
-/** What this host does for the servers that are its to look after: polls them, frees orphans, and gives orders. */
+/** Manages the servers that this host polls: polls their loads, releases orphans, and sends orders. */
 import {type FleetTable} from '../../../domain/create-fleet-table/index.js';
 import {type LeavingOverrides} from '../../../domain/create-leaving-overrides/index.js';
 import {type Milliseconds} from '../../../ports/clock.js';
@@ -21,7 +21,7 @@
 	hosts: () => ReadonlyMap<HostId, HostStatus>;
 	loads: LoadsTask;
 	hold: LeavingOverrides;
-	/** Of this process. */
+	/** Incarnation of this process. */
 	incarnation: Incarnation;
 	pauses: PauseTracker;
 	/** Whether the owner's entry still answers at its peer port. */
@@ -34,7 +34,7 @@
 };
 
 export type ManageServersTask = OrphanTask & {
-	/** Orders that wait, and for what. */
+	/** Orders that wait, each with the reason. */
 	heldOrders: () => HeldOrders;
 };
 
--- a/src/programs/agent/_lib/peer-messages.ts
+++ b/src/programs/agent/_lib/peer-messages.ts
@@ -1,12 +1,12 @@
 /**
- * Events and calls between agents, and their checks: a peer of another version
- * must not poison the tables.
+ * Events and calls between agents, and their validation, so that a peer of
+ * another version can't put malformed values into this agent's tables.
  *
- * Messages carry no number of a version. An agent leaves alone an event that it
- * does not know and a field that it does not know, and does without a field that
- * it misses, so new ones may be added; what they hold in packed bytes begins
- * with a byte for its format. A change that old agents would misread needs a new
- * name, or, for all at once, a new `protocolVersion` of the frames.
+ * Messages carry no version number. An agent ignores unknown events and unknown
+ * fields and tolerates missing optional fields, so both may be added. Packed
+ * bytes in a field begin with a format byte. A change that old agents would
+ * misread needs a new name or, for all messages at once, a new `protocolVersion`
+ * of the frames.
  */
 import {isRecord} from '../../../_lib/is-record/index.js';
 import {type HostRecord, type MemberMessage} from '../../../domain/create-membership/index.js';
@@ -14,25 +14,25 @@
 import {type HostId} from '../../../ports/ids.js';
 
 export const peerEvents = {
-	/** A message of membership, with what its sender knows. */
+	/** A membership message, with the versions that its sender holds. */
 	member: 'member',
-	/** The sender has taken a newer document. */
+	/** The sender has put a newer document in force. */
 	versions: 'versions',
 	loads: 'loads',
-	/** Servers that the sender has learnt to be leaving. */
+	/** Servers that the sender has learned to be leaving. */
 	leaving: 'leaving',
-	/** Summaries of all zones that the sender knows, on their way through its own zone. */
+	/** Summaries of all zones that the sender knows, distributed within its own zone. */
 	summaries: 'summaries',
 } as const;
 
 export const peerCalls = {
-	/** Of a document, or with `parts` (digests) of parts of the one in force. */
+	/** Manifest of a document or, with `parts` (digests), manifests of parts of the document in force. */
 	manifest: 'manifest',
 	chunks: 'chunks',
 	reports: 'reports',
 } as const;
 
-/** A version with the first half of its digest's first half: enough to tell two documents apart in a heartbeat. */
+/** A version with the first quarter of its digest, which is enough to tell two documents apart and fits into a heartbeat. */
 export type ShortVersion = {
 	edition: number;
 	revision: number;
@@ -42,19 +42,19 @@
 export type KnownVersions = {
 	config: ShortVersion | undefined;
 	fleet: ShortVersion | undefined;
-	/** Age of the platform's last confirmation. */
+	/** Age of the platform's last confirmation; `undefined` while the sender does not vouch for its version. */
 	confirmedAgeMs: Milliseconds | undefined;
 };
 
 export type MemberEvent = {
 	message: MemberMessage;
-	/** With what begins an exchange; an answer leaves it out. */
+	/** Sent with messages that begin an exchange; replies omit it. */
 	versions?: KnownVersions;
-	/** With a ping to another zone, in a large fleet: the packed summary of the sender's zone. */
+	/** Packed summary of the sender's zone, piggybacked on pings to other zones in a large fleet. */
 	summaries?: Uint8Array;
 };
 
-/** A round in which a zone's contact tells its zone of all zones; who hears it passes what it knows itself on to its children in the round's tree. */
+/** A round in which a contact of a zone sends the summaries of all zones to its own zone. Each receiver sends the summaries that it knows itself to its children in the round's tree. */
 export type SummariesEvent = {
 	root: HostId;
 	round: number;
@@ -114,7 +114,7 @@
 	return value === undefined || (isRecord(value) && isCount(value.edition) && isCount(value.revision) && isName(value.digest));
 }
 
-/** Whether a value says what its sender knows. */
+/** Whether a value is a valid {@link KnownVersions}. */
 export function isKnownVersions(value: unknown): value is KnownVersions {
 	return isRecord(value)
 		&& isVersion(value.config)
@@ -122,7 +122,7 @@
 		&& (value.confirmedAgeMs === undefined || isCount(value.confirmedAgeMs));
 }
 
-/** Whether a value is a message of membership with all its fields. */
+/** Whether a value is a valid membership event with all required fields. */
 export function isMemberEvent(value: unknown): value is MemberEvent {
 	if (!isRecord(value) || !isRecord(value.message) || (value.versions !== undefined && !isKnownVersions(value.versions))) {
 		return false;
@@ -136,7 +136,7 @@
 		&& hasBody(message);
 }
 
-/** Whether a value is a round's message with all its fields. */
+/** Whether a value is a valid summaries event. */
 export function isSummariesEvent(value: unknown): value is SummariesEvent {
 	return isRecord(value) && isName(value.root) && isCount(value.round) && value.bytes instanceof Uint8Array;
 }
--- a/src/programs/agent/_lib/poll-loads.test.ts
+++ b/src/programs/agent/_lib/poll-loads.test.ts
@@ -9,10 +9,10 @@
 const server = {id: 'd1', url: 'http://127.0.0.1:9'} as unknown as ServerEntry;
 const deadlineMs = 10_000;
 
-/** Polls a server that fails at these polls, counted from 0, until `count` were answered or given up. */
+/** Polls a server that fails the polls selected by `isFailing` (numbered from 0), until `count` results were reported. */
 async function poll(isFailing: (call: number) => boolean, count: number): Promise<string[]> {
 	const stop = new AbortController();
-	const told: string[] = [];
+	const reports: string[] = [];
 	let calls = 0;
 	let clock = 0;
 	const load = () => isFailing(calls++)
@@ -25,28 +25,28 @@
 		toEngine: () => ({load}) as unknown as Engine,
 		intervalMs: 20,
 		onLoad(_report, askedAt) {
-			told.push(`load asked at ${askedAt}`);
+			reports.push(`load asked at ${askedAt}`);
 		},
 		onUnreachable(id, askedAt) {
-			told.push(`${id} lost since ${askedAt}`);
+			reports.push(`${id} lost since ${askedAt}`);
 		},
 		onEnd: () => undefined,
 		now: () => ++clock,
 		random: () => 0.5,
 		signal: stop.signal,
 	});
-	await waitUntil(() => told.length >= count, {deadlineMs, what: 'polls'});
+	await waitUntil(() => reports.length >= count, {deadlineMs, what: 'polls'});
 	stop.abort();
 	await polling;
-	return told.slice(0, count);
+	return reports.slice(0, count);
 }
 
 describe('pollLoads', () => {
-	it('asks again at once when a poll fails, and then reports the second answer', async () => {
+	it('repeats a failed poll at once, and then reports the second answer', async () => {
 		assert.deepEqual(await poll(call => call === 0, 2), ['load asked at 2', 'load asked at 3']);
 	});
 
-	it('tells of a server that failed two polls, with the time of the first', async () => {
+	it('reports a server that failed two polls, with the time of the first', async () => {
 		assert.deepEqual(await poll(call => call < 2, 2), ['d1 lost since 1', 'load asked at 3']);
 	});
 });
--- a/src/programs/agent/_lib/poll-loads.ts
+++ b/src/programs/agent/_lib/poll-loads.ts
@@ -1,6 +1,6 @@
 /**
- * Polls the load of servers: one task a server, so that a server that hangs
- * holds up no other.
+ * Polls the load of servers, with one task for each server, so that a server
+ * that hangs does not delay the others.
  */
 import {waitFor} from '../../../_lib/wait-for/index.js';
 import {type Milliseconds, type Random} from '../../../ports/clock.js';
@@ -12,14 +12,14 @@
 const taskRefreshMs = 500;
 
 export type PollOptions = {
-	/** Servers to poll now; asked again before each poll. */
+	/** Servers to poll now; called twice a second. */
 	servers: () => readonly ServerEntry[];
 	toEngine: (server: ServerEntry) => Engine;
 	intervalMs: Milliseconds;
 	onLoad: (load: LoadReport, askedAt: Milliseconds) => void;
-	/** Two polls in a row failed; the first was asked at that time. */
+	/** Called when two polls in a row failed, with the time at which the first was sent. */
 	onUnreachable: (server: ServerId, askedAt: Milliseconds) => void;
-	/** The server is no longer among those to poll. */
+	/** Called when a server is no longer to be polled. */
 	onEnd: (server: ServerId) => void;
 	now: () => Milliseconds;
 	random: Random;
@@ -27,9 +27,11 @@
 };
 
 /**
- * Bounds the calls of one task in time. Most calls are answered in time, so one
- * controller serves until it has aborted a call. `AbortSignal.any` on Node 20
- * keeps every combined signal alive as long as its sources; a task polls for weeks.
+ * Creates the load call of one task, with a timeout. Most calls are answered in
+ * time, so one controller is used for all calls until it has aborted one. A
+ * combined signal for each call would leak memory: on Node 20, `AbortSignal.any`
+ * keeps every combined signal alive as long as its sources, and a task polls for
+ * weeks.
  */
 function createLoadCaller(engine: Engine, timeoutMs: Milliseconds, stop: AbortSignal) {
 	let call = new AbortController();
@@ -41,7 +43,7 @@
 	return async () => {
 		let isOver = false;
 		const timer = setTimeout(() => {
-			// A process that was held up finds the time-out and the answer together: sockets are read before this runs.
+			// If this process was blocked, the timer and the answer are due at the same time. Sockets are read before `setImmediate` callbacks run, so the answer wins.
 			setImmediate(() => {
 				if (!isOver) {
 					abort();
@@ -59,13 +61,18 @@
 	};
 }
 
-/** Runs until the signal aborts; starts a task for each server it is given and ends it when the server is no longer among them. */
+/**
+ * Polls until the signal aborts. Starts a task for each server of
+ * {@link PollOptions.servers} and ends it when the server is no longer listed.
+ *
+ * @param options - See {@link PollOptions}.
+ */
 export async function pollLoads(options: PollOptions): Promise<void> {
 	const {servers, toEngine, intervalMs, now, random, signal} = options;
 	const tasks = new Map<ServerId, {url: string; stop: AbortController}>();
 	let waiting: Array<() => void> = [];
 
-	/** All polls of this host go out together: the process wakes once for them, and not once for each. */
+	/** Waits for the next round. All polls of this host are sent together, so that the process wakes up once for all of them. */
 	async function waitForRound() {
 		return new Promise<void>(resolve => {
 			waiting.push(resolve);
@@ -96,8 +103,9 @@
 			let askedAt = startedAt;
 			let load = await readLoad();
 			if (load.isErr() && !stop.aborted) {
-				// One lost poll is no proof: a cut that heals resets it, a busy machine answers late. All hosts would pass
-				// the server over for it until the next poll. A server that is gone fails the second one too.
+				// One failed poll proves nothing: the recovery of a network partition resets connections, and a busy machine
+				// answers late. All hosts would then avoid the server until its next poll. A server that is down fails the
+				// second poll too.
 				askedAt = now();
 				load = await readLoad();
 			}
--- a/src/programs/agent/_lib/probe-leaving-server.ts
+++ b/src/programs/agent/_lib/probe-leaving-server.ts
@@ -7,12 +7,12 @@
 const ttlMs = msPerSecond;
 
 /**
- * Asks a server that was said to be leaving for the smallest piece of work, and
- * gives it back: the room for one token, or the prefill of one word.
+ * Probes a server that was reported as leaving with the smallest piece of work, a
+ * reservation for one token or the prefill of one word, and cancels it again.
  *
  * @param server - The server.
- * @param options - Its engine, its last report, who asks, and a number that no other probe of that process has.
- * @returns Whether it accepted.
+ * @param options - The server's engine, its last load report, the owner of the probe, and a number that is unique among the probes of this process.
+ * @returns Whether the server accepted the work.
  */
 export async function probeLeavingServer(server: ServerEntry, {engine, load, owner, count}: {engine: Engine; load: LoadReport; owner: Owner; count: number}): Promise<boolean> {
 	const key = {requestId: `probe-${owner.host}-${owner.incarnation}-${count}`, attempt: 1, owner};
--- a/src/programs/agent/_lib/read-parts.test.ts
+++ b/src/programs/agent/_lib/read-parts.test.ts
@@ -35,14 +35,14 @@
 const all = new Map(parts.map(part => [toPartKey(part) as string, part.text]));
 
 describe('createPartReader', () => {
-	it('reads what is missing and finds it by digest', async () => {
+	it('reads missing parts and finds them by digest', async () => {
 		const {reader, reads} = createReader(all);
 		assert.equal(await reader.read(named, isAlways), true);
 		assert.deepEqual(reads, named.map(part => toPartKey(part)));
 		assert.deepEqual(named.map(part => reader.toText(part)), parts.map(({text}) => text));
 	});
 
-	it('reads only what is left after the platform failed in between', async () => {
+	it('reads only the remaining parts after a failure of the platform', async () => {
 		const {reader, reads} = createReader(all, {}, 3);
 		assert.equal(await reader.read(named, isAlways), false);
 		assert.equal(reads.length, 3);
@@ -50,7 +50,7 @@
 		assert.deepEqual(reads.slice(3), named.slice(2).map(part => toPartKey(part)));
 	});
 
-	it('reads a part again that was cut off', async () => {
+	it('reads a truncated part again', async () => {
 		const values = new Map([...all].map(([key, text]) => [key, text.slice(0, -1)]));
 		const {reader} = createReader(values);
 		await reader.read(named, isAlways);
@@ -59,21 +59,21 @@
 		assert.deepEqual(named.map(part => reader.toText(part) !== undefined), [true, false, false, false, false]);
 	});
 
-	it('forgets what is not asked for any more', async () => {
+	it('drops parts that are no longer asked for', async () => {
 		const {reader} = createReader(all);
 		await reader.read(named, isAlways);
 		await reader.read(named.slice(0, 1), isAlways);
 		assert.deepEqual(named.map(part => reader.toText(part) !== undefined), [true, false, false, false, false]);
 	});
 
-	it('answers although parts are missing, and stops asking when many are', async () => {
+	it('completes although parts are missing, and stops reading when many are missing', async () => {
 		const {reader, reads} = createReader(new Map());
 		const many = toNamed(Array.from({length: 40}, (_, i) => toPart(`p${i}`, `t${i}`)));
 		assert.equal(await reader.read(many, isAlways), true);
 		assert.equal(reads.length, 16);
 	});
 
-	for (const [what, isOfHost] of [['it is not for this host any more', true], ['the parts are not wanted any more', false]] as const) {
+	for (const [what, isOfHost] of [['this host is no longer a reader', true], ['the parts are no longer wanted', false]] as const) {
 		it(`stops once ${what}`, async () => {
 			let left = 2;
 			const isLeft = () => {
@@ -87,7 +87,7 @@
 		});
 	}
 
-	it('keeps a gap between reads behind the first ones, a longer one while it knows no other host', async () => {
+	it('leaves a gap between reads after the first ones, and a longer gap while it knows no other host', async () => {
 		const measure = async (isAlone: boolean) => {
 			const {reader} = createReader(all, {isAlone: () => isAlone, random: () => 0.5});
 			const startedAt = performance.now();
--- a/src/programs/agent/_lib/read-parts.ts
+++ b/src/programs/agent/_lib/read-parts.ts
@@ -1,12 +1,13 @@
 /**
  * Reads the parts of a new root document from the platform.
  *
- * A root names up to hundreds of parts, and the platform has some 2,000 reads a
- * second for all hosts. One edit changes a few, which are read at once; more
- * are read with a gap between them. Hosts that know their peers are two to six
- * a zone at this, so 72 of them make about 1,440 reads a second at most; 400
- * that start together and know nobody yet make about 1,200, beside 800 of root
- * and list of hosts.
+ * A root references up to hundreds of parts, and the platform allows about 2,000
+ * reads a second for all hosts together. One edit changes few parts, which are
+ * read without a gap; further parts are read with a gap in between. Where hosts
+ * know their peers, two to six hosts of each zone read, so 72 readers make at
+ * most about 1,440 reads a second. 400 hosts that start together and know no
+ * peers yet make about 1,200 reads a second, besides 800 for roots and host
+ * lists.
  */
 import {toDigest} from '../../../_lib/to-digest/index.js';
 import {waitFor} from '../../../_lib/wait-for/index.js';
@@ -15,19 +16,19 @@
 import {type FindPart, type NamedPart} from '../../../ports/config.js';
 import {type Platform, type PlatformFailure} from '../../../ports/platform.js';
 
-/** Parts that are read without a gap by a host that knows others. */
+/** Number of parts that a host reads without a gap if it knows other hosts. */
 const readsWithoutGap = 2;
 const gapMs = 50;
 const gapAloneMs = 333;
 
-/** Enough for staff to see what is wrong; with this many missing the others are not asked for. */
+/** Number of missing parts after which reading stops: enough to show staff what is wrong. */
 const maxMissingParts = 16;
 
 export type ReadPartsOptions = {
 	platform: Pick<Platform, 'read'>;
-	/** Whether this host should go on reading: it is a reader, and no peer has what it looks for. */
+	/** Whether this host should continue to read: it is one of its zone's readers, and no peer has the parts. */
 	isReader: () => boolean;
-	/** Whether it has heard of no other host. */
+	/** Whether this host has heard of no other host. */
 	isAlone: () => boolean;
 	onRead: () => void;
 	onFailure: (failure: PlatformFailure) => void;
@@ -36,23 +37,23 @@
 };
 
 export type PartReader = {
-	/** Looks among those that were read for the last root. */
+	/** Finds a part among those that were read for the last root. */
 	toText: FindPart;
 	/**
-	 * Reads parts. What was read is kept until it is not asked for any more, so
-	 * that a platform that fails in between is not asked again for all.
+	 * Reads parts. Texts are kept until a later call no longer asks for them, so
+	 * that after a failure of the platform only the remaining parts are read.
 	 *
 	 * @param missing - The parts.
-	 * @param isWanted - Whether they still are; asked before each read.
-	 * @returns Whether all was answered, be it that a part is missing; `false` when it should be tried again.
+	 * @param isWanted - Whether the parts are still wanted; called before each read.
+	 * @returns Whether the platform answered every read, even if parts are missing; `false` when reading should be retried.
 	 */
 	read: (missing: readonly NamedPart[], isWanted: () => boolean) => Promise<boolean>;
-	/** Lets go of what was read, once it is in force or refused for good. */
+	/** Drops the texts, once the document is in force or finally refused. */
 	forget: () => void;
 };
 
 /**
- * Creates it.
+ * Creates the reader.
  *
  * @param options - See {@link ReadPartsOptions}.
  * @returns See {@link PartReader}.
@@ -60,7 +61,7 @@
 export function createPartReader({platform, isReader, isAlone, onRead, onFailure, random, signal}: ReadPartsOptions): PartReader {
 	let texts: ReadonlyMap<string, string> = new Map();
 
-	/** Reads one; returns its text, `undefined` where it is missing, or why it was not read. */
+	/** Reads one part; returns its text, `undefined` if the platform does not have it, or the failure. */
 	async function readOne(part: NamedPart) {
 		onRead();
 		const result = await platform.read(toPartKey(part));
@@ -92,7 +93,7 @@
 					return false;
 				}
 
-				// What is cut off or of another edition is not kept, or it would never be read again.
+				// A text that is truncated or of another edition is not kept, or the part would never be read again.
 				if (text.value !== undefined && toDigest(text.value) === part.sha256) {
 					kept.set(part.sha256, text.value);
 				} else {
--- a/src/programs/agent/_lib/release-orphans.ts
+++ b/src/programs/agent/_lib/release-orphans.ts
@@ -1,6 +1,7 @@
 /**
- * Releases on the servers that this agent polls what belongs to nobody: at
- * once when a host or an entry ends, and in a slow sweep for what that missed.
+ * Releases orphans, which are the holds of ended hosts and entries, on the servers
+ * that this agent polls. Sweeps are quick after a host or an entry has ended;
+ * otherwise they are slow and catch what the quick ones missed.
  */
 import {type Log} from '../../../adapters/log/index.js';
 import {waitFor} from '../../../_lib/wait-for/index.js';
@@ -13,7 +14,7 @@
 
 const graceMs = 500;
 const quickSweepMs = 400;
-/** Time after an end during which sweeps are quick. */
+/** Time after the end of a host or an entry during which sweeps are quick. */
 const quickPeriodMs = 15_000;
 const slowSweepMs = 10_000;
 const callTimeoutMs = 2000;
@@ -24,7 +25,7 @@
 	hosts: () => ReadonlyMap<HostId, HostStatus>;
 	/** Whether the owner's entry still answers at its peer port. */
 	isAnswering: (owner: Owner, address: string) => Promise<boolean>;
-	/** Whether this process may act: not just awake from a pause. */
+	/** Whether this process may act: it has not just woken up from a pause. */
 	mayAct: () => boolean;
 	onReleased: (count: number) => void;
 	log: Log;
@@ -34,7 +35,7 @@
 };
 
 export type OrphanTask = {
-	/** Tells it that the hosts have changed. */
+	/** Called when hosts have changed. */
 	noteHosts: (hosts: ReadonlyMap<HostId, HostStatus>) => void;
 	/** Settles once the signal has aborted. */
 	done: Promise<void>;
@@ -75,7 +76,7 @@
 		}
 	}
 
-	/** The last look before something is taken away: an agent alone may have died, and its entry live on. */
+	/** The last check before a hold is released: if only the host's agent has died, its entry still runs and answers. */
 	async function isOwnerGone({hold, cause}: Orphan): Promise<boolean> {
 		const address = hosts().get(hold.owner.host)?.entryAddress ?? '';
 		return cause === 'entry-ended' || address === '' || !await isAnswering(hold.owner, address);
@@ -87,20 +88,20 @@
 			return 0;
 		}
 
-		// The probe took time, in which this process may have been paused or the owner come back.
+		// During the probe this process may have been paused, or the owner may have come back.
 		if (!mayAct() || toOrphanCause(owner, hosts()) === undefined) {
 			return 0;
 		}
 
 		const result = await engine.cancel({requestId, attempt, owner}, {signal: AbortSignal.timeout(callTimeoutMs)});
 		if (result.isErr()) {
-			log.warn('an orphan was not released', {
-				requestId, attempt, server: server.id, reason: result.error.message, remedy: 'none for once, it is tried again; if it goes on, restart that server',
+			log.warn('could not release the hold of an ended host within 2 s', {
+				requestId, attempt, server: server.id, reason: result.error.message, remedy: 'none after a single failure, the next sweep tries again; if failures go on, restart the server',
 			});
 			return 0;
 		}
 
-		log.info('released what an ended host held', {
+		log.info('released the hold of an ended host', {
 			requestId, attempt, server: server.id, peer: owner.host, cause: orphan.cause,
 		});
 		return 1;
--- a/src/programs/agent/_lib/serve-peers.ts
+++ b/src/programs/agent/_lib/serve-peers.ts
@@ -1,4 +1,4 @@
-/** Takes what agents of other hosts and this host's entry say, and passes it to whom it concerns. */
+/** Dispatches calls and events from agents of other hosts and from this host's entry to the parts of the agent. */
 import {type PeerConnection, type PeerHello} from '../../../adapters/peer-tcp/index.js';
 import {
 	feedConfigCall, feedEvents, type FeedConfig, type FeedLeaving, type FeedPing, type ViewPublisher,
@@ -30,7 +30,7 @@
 	summaries: SummariesTask;
 	entry: EntryFollower;
 	publisher: ViewPublisher;
-	/** Shows the entry what is known now. */
+	/** Pushes the current view to the entry. */
 	publish: () => void;
 	pauses: PauseTracker;
 	now: () => Milliseconds;
@@ -43,15 +43,15 @@
 };
 
 /**
- * Creates it.
+ * Creates the handlers.
  *
- * @param options - Those whom it concerns.
- * @returns Handlers for connections of either direction.
+ * @param options - Parts of the agent that handle the messages.
+ * @returns Handlers for incoming and outgoing connections.
  */
 export function servePeers(options: ServePeersOptions): PeerService {
 	const {hostId, membership, mesh, notifier, documents, loads, summaries, entry, publisher, publish, pauses, now} = options;
 
-	/** A restarted agent takes the configuration that its entry still holds. */
+	/** Fetches the configuration that this host's entry holds, if it is newer than the agent's; a restarted agent recovers its configuration this way. */
 	async function offerEntryConfig(connection: PeerConnection, {configVersion}: FeedPing) {
 		if (!documents.isNewer(configVersion)) {
 			return;
--- a/src/programs/agent/_lib/spread-document.ts
+++ b/src/programs/agent/_lib/spread-document.ts
@@ -1,7 +1,8 @@
 /**
- * Spreads one of the platform's documents between agents: whoever hears of a
- * newer version fetches it from one that has it, as the chunks it lacks. Of a
- * document in parts, the root goes first and then the parts that are not here.
+ * Spreads one of the platform's documents between agents. An agent that hears of
+ * a newer version fetches the chunks that it lacks from a peer that has the
+ * version. For a document in parts, it fetches the root first and then the
+ * missing parts.
  */
 import {isRecord} from '../../../_lib/is-record/index.js';
 import {waitFor} from '../../../_lib/wait-for/index.js';
@@ -22,11 +23,11 @@
 const maxTries = 10;
 const maxHolders = 16;
 
-/** What one host serves its peers; beyond it they are sent to others, which have the document by then. */
+/** Limit of what one host serves its peers. Above it calls fail with `busy`, and the peers retry with other holders, which have the document by then. */
 const servedBytesPerSecond = 4 * bytesPerMebibyte;
 
 export type SpreadDocumentOptions = Pick<FetchDocumentOptions, 'kind' | 'call' | 'offer'> & {
-	/** The document that is held. */
+	/** The document that this host holds. */
 	held: () => HeldDocument | undefined;
 	onFailure: (message: string, from: HostId) => void;
 	now: () => Milliseconds;
@@ -36,7 +37,7 @@
 
 export type DocumentSpread = {
 	version: () => ShortVersion | undefined;
-	/** A peer says which version it holds. */
+	/** Handles the version that a peer holds, and fetches it if it is newer. */
 	noteVersion: (from: HostId, version: ShortVersion | undefined) => void;
 	/** Whether a newer version is being fetched. */
 	isBehind: () => boolean;
@@ -49,16 +50,16 @@
 }
 
 type ChunkedDocument = {
-	/** Of the document or its root. */
+	/** Digest of the document or its root. */
 	digest: string;
 	root: ConfigChunks;
-	/** By the parts' digests. */
+	/** Chunks of the parts, by the parts' digests. */
 	parts: ReadonlyMap<string, ConfigChunks>;
-	/** Of root and parts. */
+	/** Texts of all chunks of root and parts, by digest. */
 	chunks: ReadonlyMap<string, string>;
 };
 
-/** Manifests of parts; nothing for one that is not in force here. */
+/** Returns the manifests of parts; `undefined` for a part that is not in force here. */
 function serveParts({parts}: ChunkedDocument, digests: readonly unknown[]): ReadonlyArray<Uint8Array | undefined> {
 	return digests.slice(0, partsInCall).map(digest => parts.get(String(digest))?.manifest.chunkDigests);
 }
@@ -77,7 +78,7 @@
 	let isFetching = false;
 	let served = {bytes: 0, since: -Infinity};
 
-	/** Parts that stand in the next document too are not cut again. */
+	/** Splits the held document into chunks. Parts that the previous document had too are not split again. */
 	function toChunkedDocument(): ChunkedDocument | undefined {
 		const document = held();
 		if (document && chunked?.digest !== document.version.digest) {
@@ -135,7 +136,7 @@
 				kind, call, offer, known: new Map(toChunkedDocument()?.chunks),
 			});
 			if (failure === undefined) {
-				// Fetched and judged. If it is still not held it was refused, and will be again.
+				// The document was fetched and validated. If it is still wanted, it was refused, and would be refused again.
 				refusedDigest = isWanted() ? wanted!.version.digest : refusedDigest;
 				break;
 			}
@@ -160,7 +161,7 @@
 			}
 
 			if (own && version.digest === toShort(own).digest) {
-				// The same text, which the platform has since served under a later revision.
+				// The same text as here; the platform has since served it under a later revision.
 				offer({text: held()!.text, revision: version.revision}, from);
 				return;
 			}
--- a/src/programs/agent/_lib/spread-loads.test.ts
+++ b/src/programs/agent/_lib/spread-loads.test.ts
@@ -24,7 +24,7 @@
 	slotsTotal: 20, slotsUsed: 1, queued: 0, queuedTokens: 0, tokensPerSecond: 30, linkBytesPerSecond: 1, fence: 0,
 });
 
-/** What host a-1 thinks of a server that it heard of at 10 s, after another host said at 11 s that it is not reached. */
+/** Returns the reachability that host a-1 assumes for a server with a load report from 10 s, after another host reported at 11 s that the server is unreachable. */
 function hear(from: string, server: string, {askedAt = 10_500, lifeOfB = 'alive'}: {askedAt?: number; lifeOfB?: HostLife} = {}): boolean | undefined {
 	const table = createFleetTable();
 	table.setConfig(accepted);
@@ -48,12 +48,12 @@
 
 describe('spreadLoads', () => {
 	const rows: Array<[string, Parameters<typeof hear>, boolean]> = [
-		['takes a report that a server is unreachable from its own zone', ['b-1', 'd-b'], false],
-		['takes it from a host of this zone', ['a-2', 'd-b'], false],
-		['takes it from afar when the server\'s zone has nobody', ['a-2', 'd-b', {lifeOfB: 'dead'}], false],
-		['does not take it from a zone that may only be cut off from the server', ['b-1', 'd-a'], true],
-		['does not take it from a host that it does not know', ['x-1', 'd-a'], true],
-		['does not take it when a report is younger than the polls that failed', ['a-2', 'd-a', {askedAt: 9000}], true],
+		['believes that a server is unreachable if a host of the server\'s zone reports it', ['b-1', 'd-b'], false],
+		['believes it if a host of its own zone reports it', ['a-2', 'd-b'], false],
+		['believes it from another zone if the server\'s zone has no live host', ['a-2', 'd-b', {lifeOfB: 'dead'}], false],
+		['ignores a report from a zone that may only be partitioned from the server', ['b-1', 'd-a'], true],
+		['ignores a report from an unknown host', ['x-1', 'd-a'], true],
+		['ignores a report if a load report is newer than the failed polls', ['a-2', 'd-a', {askedAt: 9000}], true],
 	];
 	for (const [name, said, expected] of rows) {
 		it(name, () => {
--- a/src/programs/agent/_lib/spread-loads.ts
+++ b/src/programs/agent/_lib/spread-loads.ts
@@ -1,4 +1,4 @@
-/** Passes load reports, reachability reports and news of leaving servers between agents. */
+/** Sends load reports, reachability reports and leaving servers between agents. */
 import {isRecord} from '../../../_lib/is-record/index.js';
 import {createLoadBroadcast, decodeLoads, type LoadBroadcast} from '../../../domain/create-load-broadcast/index.js';
 import {type FleetTable} from '../../../domain/create-fleet-table/index.js';
@@ -20,27 +20,28 @@
 	hosts: () => ReadonlyMap<HostId, HostStatus>;
 	send: (host: HostStatus, name: string, body: unknown) => void;
 	call: (host: HostId, method: string, body: unknown, options: {timeoutMs: Milliseconds}) => Promise<{isOk: () => boolean; unwrapOr: (value: unknown) => unknown}>;
-	/** Hosts to tell at once of something that came from a host. */
+	/** Hosts to notify at once of something that came from a host. */
 	spreadTargets: (origin: HostId) => readonly HostStatus[];
 	now: () => Milliseconds;
-	/** When what is being received has arrived at the earliest, monotonic milliseconds. */
+	/** Earliest time at which the message being handled may have arrived, monotonic milliseconds. */
 	toArrival: () => Milliseconds;
-	/** Other live hosts from which on the fleet is large. */
+	/** Number of other live hosts at which the fleet is large. */
 	smallFleet?: number;
 };
 
 export type LoadsTask = {
 	spread: LoadBroadcast;
-	/** Sends what is due. */
+	/** Sends the reports that are due. */
 	tick: () => void;
-	/** Takes news that servers are leaving, holds it, and passes on what the table did not know. */
+	/** Records that servers are leaving, and forwards those of which the table did not know it. */
 	noteLeaving: (servers: readonly ServerId[], origin: HostId) => void;
-	/** Takes an event of a peer; returns whether it was one of these. */
+	/** Handles an event of a peer; returns whether the event was of this kind. */
 	handleEvent: (from: HostId, name: string, body: unknown) => boolean;
+	/** Answers a peer's call for load reports. */
 	serveReports: (body: unknown) => LoadReport[];
 };
 
-/** @returns Names of servers in a peer's message, whatever else is in it. */
+/** Extracts the ids of servers from a peer's message; ignores everything else in it. */
 function toNames(body: unknown): string[] {
 	return isRecord(body) && Array.isArray(body.servers) ? body.servers.filter(server => typeof server === 'string') : [];
 }
@@ -61,13 +62,16 @@
 	}
 
 	/**
-	 * Whether a host's report that a server is unreachable counts here: the host
-	 * is of the server's zone, or of this one, or the server's zone has no live
-	 * host. Hosts on two sides of a cut poll each other's servers in vain. When
-	 * the cut heals, these reports reach the other zone, where the servers were
-	 * never out of reach, and its entries would refuse all. A host of the
-	 * server's zone sees it from beside it, one of this zone by the way that this
-	 * host has; where neither can tell, any report is better than none.
+	 * Whether to believe a host's report that a server is unreachable. The host
+	 * must be in the server's zone or in this host's zone, unless the server's zone
+	 * has no live host.
+	 *
+	 * During a network partition, hosts on each side fail to poll the servers of
+	 * the other side. When the partition heals, their reports reach the other side,
+	 * whose entries would refuse all requests although the servers were reachable
+	 * there all the time. A host of the server's zone polls the server locally, and
+	 * a host of this zone over the same network path as this host, so their reports
+	 * apply here. Where neither can report, any report is better than none.
 	 */
 	function isReportTrusted(from: HostId, server: ServerId): boolean {
 		const known = hosts();
--- a/src/programs/agent/_lib/spread-summaries.ts
+++ b/src/programs/agent/_lib/spread-summaries.ts
@@ -1,7 +1,8 @@
 /**
- * Passes summaries of zones between agents of a large fleet. Two hosts of each
- * zone make its summary; it rides on their pings to other zones, and what they
- * hear they tell their own zone in rounds.
+ * Sends summaries of zones between agents of a large fleet. Two hosts of each
+ * zone, its contacts, make the zone's summary. The summary is piggybacked on
+ * their pings to other zones, and they distribute the summaries that they receive
+ * within their own zone in rounds.
  */
 import {isRecord} from '../../../_lib/is-record/index.js';
 import {createZoneSummaries} from '../../../domain/create-zone-summaries/index.js';
@@ -15,14 +16,14 @@
 import {isSmallFleet} from './is-small-fleet.js';
 import {isSummariesEvent, peerEvents, type SummariesEvent} from './peer-messages.js';
 
-/** Heartbeat intervals between two summaries of the own zone, and between two rounds of one contact. */
+/** Heartbeat intervals between two summaries of this host's zone, and between two rounds of one contact. */
 const summaryIntervals = 1;
 const roundIntervals = 3;
 
-/** Each new view of the zones goes to the entry whole, so changes of one interval go together. */
+/** Heartbeat intervals between two updates of the table. Each update is sent to the entry as a whole, so the changes of one interval are combined. */
 const tableUpdateIntervals = 1;
 
-/** A contact whose rounds count from a lower number again, after a restart with a slower clock, is heard after this many intervals. */
+/** Heartbeat intervals after which a contact's last round number is forgotten. A contact that restarts with a slower clock numbers its rounds from a lower number, and would be ignored otherwise. */
 const roundMemoryIntervals = 8 * roundIntervals;
 const msPerRound = 1000;
 
@@ -35,19 +36,19 @@
 	now: () => Milliseconds;
 	wallNow: () => Milliseconds;
 	random: Random;
-	/** When what is being received has arrived at the earliest, monotonic milliseconds. */
+	/** Earliest time at which the message being handled may have arrived, monotonic milliseconds. */
 	toArrival: () => Milliseconds;
-	/** Other live hosts from which on the fleet is large. */
+	/** Number of other live hosts at which the fleet is large. */
 	smallFleet?: number;
 };
 
 export type SummariesTask = {
-	/** Makes and tells what is due, and shows what is known in the table. */
+	/** Makes the summary and starts the round that are due, and updates the table with the known summaries. */
 	tick: () => void;
-	/** Bytes that ride on a ping to a host of another zone. */
+	/** Returns the packed summary to piggyback on a ping to a host of another zone; `undefined` if there is none to send. */
 	toPiggybackedSummary: (to: HostId) => Uint8Array | undefined;
 	handlePiggybackedSummary: (bytes: Uint8Array) => void;
-	/** Takes an event of a peer; returns whether it was one of these. */
+	/** Handles an event of a peer; returns whether the event was of this kind. */
 	handleEvent: (name: string, body: unknown) => boolean;
 };
 
@@ -67,7 +68,7 @@
 	let nextRoundAt = now() + (random() * roundIntervals * intervalMs);
 	let round = 0;
 
-	/** Live hosts of the zone, and whether this host is one of the two that speak for it in a large fleet. */
+	/** Returns the live hosts of this zone, and whether this host is one of the zone's two contacts in a large fleet. */
 	function toZoneState() {
 		const known = hosts();
 		if (zoneState?.hosts !== known) {
@@ -114,7 +115,7 @@
 		}
 	}
 
-	/** Each round once, or hosts that disagree on who lives could pass it round in a ring. */
+	/** Whether a round is new. Each round is forwarded only once, because hosts that disagree on the live hosts could forward it in a circle. */
 	function isNewRound({root, round: number}: SummariesEvent): boolean {
 		const last = lastRounds.get(root);
 		const isNew = !last || number > last.round || now() - last.at > roundMemoryIntervals * intervalMs;
--- a/src/programs/agent/_lib/start-agent.ts
+++ b/src/programs/agent/_lib/start-agent.ts
@@ -1,7 +1,7 @@
 /**
- * The agent: gathers what is known of the fleet, keeps in touch with its peers,
- * and feeds its host's entry. All that touches the outside is handed in, so
- * that tests can run it whole.
+ * The agent: builds the view of the fleet, exchanges state with the agents of
+ * other hosts, and feeds its host's entry. Clock, platform and engines are
+ * passed in, so that tests can run the whole agent.
  */
 import {createViewPublisher} from '../../../adapters/view-feed/index.js';
 import {listenPeers, type PeerHello} from '../../../adapters/peer-tcp/index.js';
@@ -26,19 +26,19 @@
 
 export {type Agent, type AgentCounts, type AgentOptions} from './agent-types.js';
 
-/** Longest time between two ticks, milliseconds, and the fewest ticks in a heartbeat interval. */
+/** Longest time between two ticks, milliseconds, and the minimum number of ticks in a heartbeat interval. */
 const maxTickMs = 200;
 const ticksAnInterval = 5;
 
-/** Heartbeat intervals of silence after which a connection is dropped: it may be dead without an end. */
+/** Heartbeat intervals of silence after which a connection is dropped: if the peer has vanished without closing it, nothing else ends it soon. */
 const silentIntervals = 4;
 
-/** Intervals after a pause until this process has heard its peers again; before, it believes what was true then. */
+/** Heartbeat intervals after a pause in which this process hears from its peers again; until then its state may be outdated, and it does not act. */
 const quietIntervals = 2;
-/** Time for which another host's entry is asked whether it still answers, before its memory is released. */
+/** Timeout of the check whether another host's entry still answers, before what it holds on servers is released. */
 const probeTimeoutMs = 300;
 
-/** Time in which peers are told that this host leaves, before connections close. */
+/** Time for the messages that this host leaves to be sent, before connections are closed. */
 const leaveFlushMs = 100;
 
 function startMembership({settings, clock}: AgentOptions, agentAddress: string): Membership {
@@ -107,7 +107,7 @@
 		onEvent,
 		silenceMs: silentIntervals * intervalMs,
 		onUnreachable(peerAddress, reason) {
-			log.info('a peer is not reached', {peerAddress, reason, remedy: 'none if that host is gone; else see that its agent runs and has peer keys of the same authority'});
+			log.info('cannot connect to a peer', {peerAddress, reason, remedy: 'none if the host was removed; otherwise check that its agent runs and has peer keys of the same authority'});
 		},
 	});
 	const pauses = createPauseTracker({
@@ -116,7 +116,7 @@
 		quietMs: quietIntervals * intervalMs,
 		onPaused(pausedMs) {
 			mesh.resetSilence(now());
-			log.warn('this process was paused', {durationMs: Math.round(pausedMs), remedy: 'nothing, if it is rare; else replace this host, whose machine is overloaded or was moved'});
+			log.warn('this process was paused', {durationMs: Math.round(pausedMs), remedy: 'none if pauses are rare; otherwise replace this host, whose machine is overloaded or was migrated'});
 		},
 	});
 	const hosts = () => membership.hosts(now());
@@ -170,7 +170,7 @@
 		},
 		previousEntry: membership.entrySeen,
 		onEnded(ended) {
-			log.info('an entry of this host has ended', {reason: `every entry up to incarnation ${ended} is gone; what it held is released`});
+			log.info('an entry of this host has ended', {reason: `all entries up to incarnation ${ended} have ended; what they held on servers is released`});
 			noteHosts();
 		},
 		signal,
@@ -200,7 +200,7 @@
 	});
 
 	function publish() {
-		// An agent that knows nothing yet must not make its entry forget what it knows.
+		// Without a configuration the agent publishes nothing, so that it does not overwrite the view that its entry has from before a restart.
 		if (table.accepted()) {
 			publisher.publish(table.view(now()), entry.incarnationFloor(), now());
 		}
@@ -233,7 +233,7 @@
 		},
 		notices: documents.notices,
 		heldOrders: managedServers.heldOrders,
-		notReadyReasons: () => table.accepted() ? [] : [{reason: 'no configuration has been accepted yet', remedy: 'see that --platform-url or one of --seeds is reached and serves a valid document'}],
+		notReadyReasons: () => table.accepted() ? [] : [{reason: 'no configuration has been accepted yet', remedy: 'check that --platform-url or one of --seeds answers and serves a valid document'}],
 		warnings: twinWatch.reasons,
 		twin: () => membership.twin(now()),
 		reloadKeys: listener.reloadKeys,
--- a/src/programs/agent/_lib/to-status.ts
+++ b/src/programs/agent/_lib/to-status.ts
@@ -2,10 +2,10 @@
 import {type ConfigVersion} from '../../../ports/config.js';
 import {type FleetView, type HostStatus, type SummaryRow} from '../../../ports/view.js';
 
-/** What the operators' port shows of the agent's view. */
+/** The agent's view in the status document of the operators' port. */
 export type AgentStatus = {
 	config: ConfigVersion | undefined;
-	/** -1 when the platform never confirmed. */
+	/** Age of the platform's last confirmation; -1 if there was none. */
 	platformConfirmedAgeMs: Milliseconds;
 	hosts: readonly HostStatus[];
 	servers: ReadonlyArray<{
@@ -16,7 +16,7 @@
 		slotsUsed: number | undefined;
 		queued: number | undefined;
 	}>;
-	/** What other zones say of their servers; empty in a small fleet, where the loads of all are known. */
+	/** Summaries of other zones' servers; empty in a small fleet, where the loads of all servers are known. */
 	zones: ReadonlyArray<{zone: string; ageMs: Milliseconds; rows: readonly SummaryRow[]}>;
 };
 
--- a/src/programs/agent/_lib/watch-held-orders.test.ts
+++ b/src/programs/agent/_lib/watch-held-orders.test.ts
@@ -9,23 +9,23 @@
 };
 
 describe('watchHeld', () => {
-	it('warns once of orders that stand still, and again after they moved', () => {
-		const told: string[] = [];
+	it('warns once of orders that are stuck, and again when they get stuck after a change', () => {
+		const warnings: string[] = [];
 		const held = watchHeldOrders({
 			warn(message: string) {
-				told.push(message);
+				warnings.push(message);
 			},
 		} as unknown as Log);
 		for (const minute of [0, 4, 6, 8]) {
 			held.note([notice], minute * 60_000);
 		}
 
-		assert.deepEqual(told, ['orders wait']);
+		assert.deepEqual(warnings, ['orders wait']);
 		assert.deepEqual(held.list(480_000).map(({waitsForMs, isStuck}) => [waitsForMs, isStuck]), [[480_000, true]]);
 		held.note([], 500_000);
 		assert.deepEqual(held.list(500_000), []);
 		held.note([notice], 510_000);
 		held.note([notice], 900_000);
-		assert.equal(told.length, 2);
+		assert.equal(warnings.length, 2);
 	});
 });
--- a/src/programs/agent/_lib/watch-held-orders.ts
+++ b/src/programs/agent/_lib/watch-held-orders.ts
@@ -3,16 +3,16 @@
 import {type Milliseconds} from '../../../ports/clock.js';
 import {msPerMinute} from '../../../ports/units.js';
 
-/** Time that an order may wait before staff are told; most loads end sooner. */
+/** Time after which a waiting order counts as stuck and staff are warned; most loads of weights finish sooner. */
 const stuckMs = 5 * msPerMinute;
 
 export type HeldOrders = ReadonlyArray<HeldNotice & {waitsForMs: Milliseconds; isStuck: boolean}>;
 
 /**
- * Remembers since when orders wait, and warns once of each that stands still.
+ * Remembers since when orders wait, and logs one warning for each group that is stuck.
  *
- * @param log - Where to.
- * @returns `note` takes the notices of a plan, `list` gives them with their ages.
+ * @param log - Receives the warnings.
+ * @returns `note` records the notices of a planning round, `list` returns them with their ages.
  */
 export function watchHeldOrders(log: Log) {
 	const since = new Map<string, {at: Milliseconds; isTold: boolean}>();
--- a/src/programs/agent/_lib/watch-platform.ts
+++ b/src/programs/agent/_lib/watch-platform.ts
@@ -1,5 +1,5 @@
 /**
- * Follows one value of the platform: reads it, then waits for its next
+ * Watches one value of the platform: reads the value, then waits for its next
  * revision, with jittered backoff while the platform fails.
  */
 import {waitFor} from '../../../_lib/wait-for/index.js';
@@ -19,18 +19,18 @@
 	key: PlatformKey;
 	/** Whether this host is one of its zone's readers now. */
 	isReader: () => boolean;
-	/** Longest wait of one watching read, milliseconds. */
+	/** Longest wait of one watch, milliseconds. */
 	waitMs: Milliseconds;
 	/**
-	 * Judges a value. `refused` when it is not what is held afterwards, and
-	 * `unfinished` when it could be once parts of it are there; it is then read
-	 * again, see {@link createRereadSchedule}.
+	 * Validates a value. Resolves to `refused` when the value is not held afterwards,
+	 * and to `unfinished` when parts of it are still missing; in both cases the value
+	 * is read again, see {@link createRereadSchedule}.
 	 */
 	onValue: (value: PlatformValue) => Promise<ValueVerdict>;
-	/** The platform answered; `askedAt` is when it was asked, monotonic. */
+	/** Called when the platform has answered; `askedAt` is the monotonic time at which the read was sent. */
 	onConfirmed: (askedAt: Milliseconds) => void;
 	onFailure: (failure: PlatformFailure) => void;
-	/** Counts reads, for the budget. */
+	/** Called before each read, to count reads against the budget. */
 	onRead: () => void;
 	now: () => Milliseconds;
 	random: Random;
@@ -38,15 +38,15 @@
 };
 
 /**
- * Runs until the signal aborts.
+ * Watches until the signal aborts.
  *
  * @param options - See {@link WatchOptions}.
  */
 export async function watchPlatform(options: WatchOptions): Promise<void> {
 	const {platform, key, isReader, random, signal, now} = options;
 	let backoffMs = firstBackoffMs;
-	// What the platform itself served last, accepted or not: waiting for anything
-	// else would ask again at once for a document that was refused.
+	// Revision that the platform served last, whether its value was accepted or not.
+	// A watch since any other revision would return a refused document again at once.
 	let seenRevision: number | undefined;
 	const reread = createRereadSchedule(now);
 
@@ -81,7 +81,7 @@
 			seenRevision = undefined;
 		}
 
-		// Publications that come one upon the other, and values that were never published, are read no faster than this.
+		// Limits the rate of reads when publications follow each other quickly, and while the value was never published.
 		await waitFor(minReadGapMs * (0.5 + random()), signal);
 	}
 }
--- a/src/programs/agent/_lib/watch-twin.test.ts
+++ b/src/programs/agent/_lib/watch-twin.test.ts
@@ -4,7 +4,7 @@
 import {watchTwin} from './watch-twin.js';
 
 describe('watchTwin', () => {
-	it('logs each twin once, with both addresses and what to do, and its end', () => {
+	it('logs each twin once, with both addresses and the remedy, and logs when it is gone', () => {
 		const lines: Array<Record<string, unknown>> = [];
 		let twin: string | undefined;
 		const sink = {
--- a/src/programs/agent/_lib/watch-twin.ts
+++ b/src/programs/agent/_lib/watch-twin.ts
@@ -1,18 +1,18 @@
-/** Tells staff of another live agent under this host's name. */
+/** Reports a twin: another live agent that runs under this host's name. */
 import {type Log} from '../../../adapters/log/index.js';
 import {type HostId} from '../../../ports/ids.js';
 import {type AgentReason} from './agent-types.js';
 
 export type TwinWatch = {
-	/** Logs that a twin has appeared or is gone; called on every tick. */
+	/** Logs when a twin has appeared or is gone; called on every tick. */
 	check: () => void;
 	reasons: () => readonly AgentReason[];
 };
 
 /**
- * Creates it.
+ * Creates the watch.
  *
- * @param options - Name and address of this agent, and the address of its twin, if there is one.
+ * @param options - Name and address of this agent, and the address of its twin if there is one.
  * @returns See {@link TwinWatch}.
  */
 export function watchTwin({hostId, address, twin, log}: {
@@ -24,8 +24,8 @@
 	let reported: string | undefined;
 
 	const toReason = (other: string): AgentReason => ({
-		reason: `another agent runs as host ${hostId}: at ${other}, and this one at ${address}; the others believe now the one, now the other`,
-		remedy: 'stop agent and entry of the one that was to be replaced, or give one of them a --host-id of its own',
+		reason: `another agent also runs as host ${hostId}: at ${other}, and this one at ${address}; other hosts alternate between the two`,
+		remedy: 'stop agent and entry of the host that was to be replaced, or set a different --host-id for one of the two',
 	});
 
 	return {
@@ -37,7 +37,7 @@
 
 			reported = other;
 			if (other === undefined) {
-				log.info('no other agent runs under this host\'s name any more');
+				log.info('the other agent under this host\'s name is gone');
 			} else {
 				log.error('two agents under one host name', {peerAddress: other, ...toReason(other)});
 			}
--- a/src/programs/agent/main.ts
+++ b/src/programs/agent/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env -S node --max-old-space-size=40 --max-semi-space-size=1 --single-threaded-gc --v8-pool-size=1 --liftoff-only
-/** `banyanport-agent`: reads the platform, keeps in touch with peers, and feeds its host's entry. */
+/** `banyanport-agent`: reads the platform, exchanges state with agents of other hosts, and feeds its host's entry. */
 import {ResultAsync} from 'neverthrow';
 import {createEngineHttp} from '../../adapters/engine-http/index.js';
 import {createLog, type Log} from '../../adapters/log/index.js';
@@ -7,7 +7,7 @@
 import {createPlatformHttp} from '../../adapters/platform-http/index.js';
 import {loadSettings} from '../../adapters/settings/index.js';
 import {createEngines} from '../_engines/index.js';
-// Not through the index of the folder, which loads the burn report: the agent must stay small.
+// Imported without the folder's index, which also loads the burn report: the agent's memory must stay small.
 import {loadProgramKeys} from '../_operations/load-program-keys.js';
 import {startOperations} from '../_operations/start-operations.js';
 import {
@@ -20,7 +20,7 @@
 const logFlushMs = 1000;
 const operatorCloseMs = 500;
 
-/** Ends the process with a message that says what to mend. */
+/** Logs an error that names the remedy, and ends the process. */
 async function fail(log: Log, message: string): Promise<never> {
 	log.error(message);
 	await log.flush(logFlushMs);
@@ -78,7 +78,7 @@
 		tls: keys.peer,
 	}), error => error instanceof Error ? error.message : String(error));
 	if (started.isErr()) {
-		return fail(log, `cannot listen for peers (${started.error}): end what has that port, most often an agent that still runs, or give another --peer-port or --bind`);
+		return fail(log, `cannot listen for peers (${started.error}): stop the process that uses the port, most often another agent, or set another --peer-port or --bind`);
 	}
 
 	const agent = started.value;
@@ -103,8 +103,8 @@
 
 	log.info('listening', {peerPort: agent.peerPort, operatorPort: operatorServer.port});
 	if (settings.seeds.length === 0) {
-		log.warn('no --seeds are given', {
-			reason: 'after a restart this host takes what the platform serves, also when that is older than what its peers have', remedy: 'give --seeds the peer ports of two agents of other zones',
+		log.warn('no --seeds are set', {
+			reason: 'after a restart this host accepts the configuration that the platform serves, even if its peers have a newer one', remedy: 'set --seeds to the peer ports of two agents in other zones',
 		});
 	}
 
