--- a/src/programs/agent/main.ts
+++ b/src/programs/agent/main.ts
@@ -104,7 +104,7 @@
 	log.info('listening', {peerPort: agent.peerPort, operatorPort: operatorServer.port});
 	if (settings.seeds.length === 0) {
 		log.warn('no --seeds are set', {
-			reason: 'after a restart this host accepts the configuration that the platform serves, even if its peers have a newer one', remedy: 'set --seeds to the peer ports of two agents in other zones',
+			reason: 'after a restart this host accepts what the platform serves, even if its peers have a newer configuration', remedy: 'set --seeds to the peer ports of two agents in other zones',
 		});
 	}
 
