--- a/src/adapters/_lib/create-http-agent/index.ts
+++ b/src/adapters/_lib/create-http-agent/index.ts
@@ -39,7 +39,7 @@
 
 const resetCode = 'ECONNRESET';
 
-function toCutError(): Error {
+function toResetError(): Error {
 	return new Error('the connection was reset in the middle of an answer');
 }
 
@@ -69,11 +69,11 @@
 	socket.emit = (event: string, ...values: unknown[]): boolean => {
 		const isReset = event === 'error' && (values[0] as NodeJS.ErrnoException).code === resetCode;
 		if (isReset && isEndedByConnection()) {
-			return emit(event, toCutError());
+			return emit(event, toResetError());
 		}
 
 		if (event === 'end' && isEndedByConnection() && wasReset(socket)) {
-			socket.destroy(toCutError());
+			socket.destroy(toResetError());
 			return true;
 		}
 
--- a/src/adapters/_lib/dispatch-call/index.ts
+++ b/src/adapters/_lib/dispatch-call/index.ts
@@ -101,7 +101,7 @@
 		stop?.(new Error('aborted'));
 	}
 
-	const flowOf = (controller: Dispatcher.DispatchController): CallFlow => ({
+	const toFlow = (controller: Dispatcher.DispatchController): CallFlow => ({
 		pause() {
 			controller.pause();
 		},
@@ -154,7 +154,7 @@
 		},
 		onResponseStart(controller, status, headers) {
 			if (!isOver && status >= 200) {
-				sink.onStart(status, headers, flowOf(controller));
+				sink.onStart(status, headers, toFlow(controller));
 			}
 		},
 		onResponseData(_, bytes) {
--- a/src/adapters/caller-http/_lib/exchange.ts
+++ b/src/adapters/caller-http/_lib/exchange.ts
@@ -64,7 +64,7 @@
 const maxRequestIdLength = 128;
 
 /** Time for which the rest of a refused body is read and dropped, milliseconds. */
-const lingerMs = 1000;
+const discardBodyMs = 1000;
 
 /**
  * Creates the id of a request. The library joins it out of some twenty pieces,
@@ -128,16 +128,16 @@
 	});
 }
 
-async function waitForDrain(res: ServerResponse, gone: AbortSignal, timeoutMs: number): Promise<boolean> {
-	if (gone.aborted || !res.writableNeedDrain) {
-		return !gone.aborted;
+async function waitForDrain(res: ServerResponse, disconnected: AbortSignal, timeoutMs: number): Promise<boolean> {
+	if (disconnected.aborted || !res.writableNeedDrain) {
+		return !disconnected.aborted;
 	}
 
 	return new Promise(resolve => {
 		const settle = (isDrained: boolean) => {
 			clearTimeout(timer);
 			res.off('drain', onDrain);
-			gone.removeEventListener('abort', onGone);
+			disconnected.removeEventListener('abort', onDisconnect);
 			resolve(isDrained);
 		};
 
@@ -145,13 +145,13 @@
 			settle(true);
 		};
 
-		const onGone = () => {
+		const onDisconnect = () => {
 			settle(false);
 		};
 
-		const timer = setTimeout(onGone, timeoutMs);
+		const timer = setTimeout(onDisconnect, timeoutMs);
 		res.once('drain', onDrain);
-		gone.addEventListener('abort', onGone, {once: true});
+		disconnected.addEventListener('abort', onDisconnect, {once: true});
 	});
 }
 
@@ -168,7 +168,7 @@
  */
 async function endAfterBody(req: IncomingMessage, res: ServerResponse): Promise<void> {
 	await new Promise<void>(resolve => {
-		const timer = setTimeout(resolve, lingerMs);
+		const timer = setTimeout(resolve, discardBodyMs);
 		const settle = () => {
 			clearTimeout(timer);
 			resolve();
@@ -191,11 +191,11 @@
 export function createExchange(req: IncomingMessage, res: ServerResponse, options: ExchangeOptions): CallerExchange {
 	const requestId = toNamed(req, options.requestIdHeader) ?? createRequestId();
 	const target = req.url ?? '/';
-	const gone = new AbortController();
+	const disconnected = new AbortController();
 	const writer = createBodyWriter(req, res);
 	res.once('close', () => {
 		if (!res.writableFinished) {
-			gone.abort();
+			disconnected.abort();
 		}
 	});
 
@@ -205,7 +205,7 @@
 	}
 
 	/** An ended answer that nobody reads would keep its connection and its bytes for ever, and a planned stop waiting. */
-	function boundEnd(): void {
+	function limitFlushTime(): void {
 		res.setTimeout(options.writeTimeoutMs, () => {
 			res.destroy();
 		});
@@ -218,7 +218,7 @@
 
 		const bytes = Buffer.from(body);
 		startHead(status, {...headers, 'content-length': String(bytes.length)});
-		boundEnd();
+		limitFlushTime();
 		if (hasUnreadBody(req)) {
 			res.write(bytes);
 			void endAfterBody(req, res);
@@ -229,7 +229,7 @@
 	}
 
 	function finish(): void {
-		boundEnd();
+		limitFlushTime();
 		writer.end();
 	}
 
@@ -252,7 +252,7 @@
 		target,
 		// Node joins all headers that may come twice but Set-Cookie, which is no request header.
 		headers: req.headers as Record<string, string>,
-		disconnectSignal: gone.signal,
+		disconnectSignal: disconnected.signal,
 		readBody: async bodyOptions => readBody(req, bodyOptions),
 		incoming: req,
 		sendAnswer,
@@ -266,7 +266,7 @@
 		isStarted: () => res.headersSent,
 		isFlushing: () => res.writableEnded && !res.writableFinished,
 		write: sized.write,
-		drained: async timeoutMs => waitForDrain(res, gone.signal, timeoutMs),
+		drained: async timeoutMs => waitForDrain(res, disconnected.signal, timeoutMs),
 		end: sized.end,
 		destroy: sized.destroy,
 	};
--- a/src/adapters/caller-http/index.ts
+++ b/src/adapters/caller-http/index.ts
@@ -89,7 +89,7 @@
 	return app;
 }
 
-function breakOff(exchange: CallerExchange): void {
+function failExchange(exchange: CallerExchange): void {
 	if (exchange.isStarted()) {
 		exchange.destroy();
 		return;
@@ -165,7 +165,7 @@
 			await handler(exchange);
 		} catch (error) {
 			handlers.onFault(error, exchange);
-			breakOff(exchange);
+			failExchange(exchange);
 		}
 	}
 
--- a/src/adapters/engine-http/_lib/create-chunk-reader.ts
+++ b/src/adapters/engine-http/_lib/create-chunk-reader.ts
@@ -77,7 +77,7 @@
  * most of a relay's time. Anything unusual (escapes, an end mark, another order
  * of fields) gives `false`, has changed nothing, and goes to the parser.
  */
-function takePlainTokens(text: string, from: number, tokens: string[]): boolean {
+function parsePlainTokens(text: string, from: number, tokens: string[]): boolean {
 	const before = tokens.length;
 	let at = from;
 	for (;;) {
@@ -122,7 +122,7 @@
 	let finish: FinishReason | undefined;
 	let fault: string | undefined;
 
-	const takeParsed = (text: string, tokens: string[]): void => {
+	const handleParsedLine = (text: string, tokens: string[]): void => {
 		const line = parseLine(text);
 		if (line === undefined) {
 			fault = 'a line of the stream is no chunk';
@@ -158,18 +158,18 @@
 		finish = line.finish;
 	};
 
-	const takeLine = (text: string, tokens: string[]): void => {
-		const usual = `${head}${next},"tokens":["`;
+	const handleLine = (text: string, tokens: string[]): void => {
+		const expectedHead = `${head}${next},"tokens":["`;
 		const before = tokens.length;
-		if (finish === undefined && text.startsWith(usual) && takePlainTokens(text, usual.length, tokens)) {
+		if (finish === undefined && text.startsWith(expectedHead) && parsePlainTokens(text, expectedHead.length, tokens)) {
 			next += tokens.length - before;
 			return;
 		}
 
-		takeParsed(text, tokens);
+		handleParsedLine(text, tokens);
 	};
 
-	const takeLines = (block: Buffer, tokens: string[]): void => {
+	const handleLines = (block: Buffer, tokens: string[]): void => {
 		if (!isUtf8(block)) {
 			fault = 'the stream is no UTF-8';
 			return;
@@ -185,7 +185,7 @@
 			}
 
 			if (end > start) {
-				takeLine(text.slice(start, end), tokens);
+				handleLine(text.slice(start, end), tokens);
 			}
 
 			start = end + 1;
@@ -218,7 +218,7 @@
 					const block = parts.length === 0 ? whole : Buffer.concat([...parts, whole]);
 					parts = [];
 					partBytes = 0;
-					takeLines(block, tokens);
+					handleLines(block, tokens);
 				}
 
 				addRest(bytes.subarray(end));
--- a/src/adapters/engine-http/_lib/create-chunk-stream.ts
+++ b/src/adapters/engine-http/_lib/create-chunk-stream.ts
@@ -61,7 +61,7 @@
 
 	const hasChunk = (): boolean => !isDone && (tokens.length > 0 || finish !== undefined);
 
-	const serve = (): void => {
+	const settleWaiter = (): void => {
 		if (waiter === undefined) {
 			return;
 		}
@@ -82,14 +82,14 @@
 
 	const fail = (kind: EngineFailure['kind'], message: string): void => {
 		failure ??= toFailure(kind, message);
-		serve();
+		settleWaiter();
 	};
 
 	const iterator: AsyncIterator<DecodeChunk> = {
 		async next() {
 			return new Promise((resolve, reject) => {
 				waiter = {resolve, reject};
-				serve();
+				settleWaiter();
 			});
 		},
 		async return() {
@@ -104,7 +104,7 @@
 		},
 	};
 
-	const takeBytes = (): void => {
+	const readWaiting = (): void => {
 		if (waiting.length === 0) {
 			return;
 		}
@@ -128,7 +128,7 @@
 			flow.pause();
 		}
 
-		serve();
+		settleWaiter();
 	};
 
 	return {
@@ -137,17 +137,17 @@
 			waiting.push(bytes);
 			// An engine writes a piece for each token, and one read of the socket brings many: they are parsed together.
 			if (waiting.length === 1) {
-				queueMicrotask(takeBytes);
+				queueMicrotask(readWaiting);
 			}
 		},
 		onEnd() {
-			takeBytes();
+			readWaiting();
 			if (finish === undefined) {
 				fail('broken', 'the stream ended without its end mark');
 			}
 		},
 		onFault({kind, message}) {
-			takeBytes();
+			readWaiting();
 			// An answer that is whole stays whole, whatever becomes of its connection.
 			if (finish === undefined) {
 				fail(kind === 'aborted' ? 'aborted' : 'broken', message);
--- a/src/adapters/keys/index.ts
+++ b/src/adapters/keys/index.ts
@@ -66,18 +66,18 @@
 	let isChecking = false;
 	const listeners: KeyListener[] = [];
 
-	function tell(event: KeyEvent): void {
+	function notify(event: KeyEvent): void {
 		for (const listener of listeners) {
 			listener(event);
 		}
 	}
 
-	function take(read: Result<KeyPair, KeyFault>): void {
+	function applyRead(read: Result<KeyPair, KeyFault>): void {
 		if (read.isErr()) {
 			const isNew = fault?.message !== read.error.message || fault.file !== read.error.file;
 			fault = read.error;
 			if (isNew) {
-				tell({kind: 'kept-old', fault: read.error});
+				notify({kind: 'kept-old', fault: read.error});
 			}
 
 			return;
@@ -87,9 +87,9 @@
 		fault = undefined;
 		if (read.value.digest !== pair.digest) {
 			pair = read.value;
-			tell({kind: 'reloaded', expiresAt: pair.expiresAt});
+			notify({kind: 'reloaded', expiresAt: pair.expiresAt});
 		} else if (hadFault) {
-			tell({kind: 'recovered'});
+			notify({kind: 'recovered'});
 		}
 	}
 
@@ -100,7 +100,7 @@
 		}
 
 		isChecking = true;
-		take(await readKeyPair(options, wallNow()));
+		applyRead(await readKeyPair(options, wallNow()));
 		isChecking = false;
 	}
 
--- a/src/adapters/metrics/series.ts
+++ b/src/adapters/metrics/series.ts
@@ -41,7 +41,7 @@
 
 	const byKey = new Map<string, Series<State>>();
 
-	function toKept(label: string, value: string): string {
+	function toBoundedValue(label: string, value: string): string {
 		const known = seen.get(label)!;
 		if (known.has(value)) {
 			return value;
@@ -58,7 +58,7 @@
 
 	function pickState(labels: Labels<Set>): State {
 		const given = labels as Readonly<Record<string, string>>;
-		const key = labelNames.map(label => toKept(label, given[label] ?? otherValue)).join('\n');
+		const key = labelNames.map(label => toBoundedValue(label, given[label] ?? otherValue)).join('\n');
 		const existing = byKey.get(key);
 		if (existing !== undefined) {
 			return existing.state;
--- a/src/adapters/native-calls/index.ts
+++ b/src/adapters/native-calls/index.ts
@@ -4,7 +4,7 @@
 import {type FleetView} from '../../ports/view.js';
 
 /** The own interface says nothing of a plain request beside its body. */
-const noWork: RequestHints = {
+const noHints: RequestHints = {
 	timeoutMs: undefined, model: undefined, promptTokens: 0, maxTokens: 0, estimatedTokens: undefined,
 };
 
@@ -18,7 +18,7 @@
  */
 export function createNativeCalls({toView}: {toView: () => FleetView | undefined}): ServerCalls {
 	return {
-		parseHints: () => noWork,
+		parseHints: () => noHints,
 		toHeaders({headers, requestId, workspace}) {
 			const hasTokens = Object.keys(toView()?.accepted?.config.callerTokens ?? {}).length > 0;
 			return {
--- a/src/adapters/peer-tcp/_lib/create-call-sender.ts
+++ b/src/adapters/peer-tcp/_lib/create-call-sender.ts
@@ -16,7 +16,7 @@
 	/** Sends a call and waits for its reply, `timeoutMs` at most. */
 	call: (method: string, body: unknown, timeoutMs: number) => Promise<Outcome>;
 	/** Gives a reply to the call that waits for it. One whose call has timed out is dropped. */
-	takeReply: (reply: ReplyFrame) => void;
+	handleReply: (reply: ReplyFrame) => void;
 	/** Fails all calls that wait, as the connection has ended. */
 	failAll: (reason: string) => void;
 };
@@ -62,7 +62,7 @@
 			});
 			return fault === undefined ? waitForReply(id, method, timeoutMs) : err(toNotSent(method, fault));
 		},
-		takeReply(reply) {
+		handleReply(reply) {
 			outstanding.get(reply.id)?.resolve(reply);
 			outstanding.delete(reply.id);
 		},
--- a/src/adapters/peer-tcp/_lib/frame.ts
+++ b/src/adapters/peer-tcp/_lib/frame.ts
@@ -151,7 +151,7 @@
 		used += bytes.length;
 	}
 
-	function takeFrames(): Result<Frame[], FrameFault> {
+	function decodeFrames(): Result<Frame[], FrameFault> {
 		const frames: Frame[] = [];
 		let start = 0;
 		while (used - start >= headerBytes) {
@@ -174,11 +174,11 @@
 			start = end;
 		}
 
-		keepRest(start);
+		keepRemainder(start);
 		return ok(frames);
 	}
 
-	function keepRest(start: number) {
+	function keepRemainder(start: number) {
 		if (start === 0) {
 			return;
 		}
@@ -194,7 +194,7 @@
 			}
 
 			append(bytes);
-			const frames = takeFrames();
+			const frames = decodeFrames();
 			if (frames.isErr()) {
 				failed = frames.error;
 				buffer = Buffer.alloc(0);
--- a/src/adapters/peer-tcp/_lib/open-connection.ts
+++ b/src/adapters/peer-tcp/_lib/open-connection.ts
@@ -35,14 +35,14 @@
  * Exchanges hellos on a socket and then serves it until it ends.
  *
  * @param socket - A connected socket, TLS handshake included.
- * @param options - `hello`: what to say of ourselves. `speakFirst`: whether to
+ * @param options - `hello`: what to say of ourselves. `isInitiator`: whether to
  * send it at once; a listener waits for the peer's, so that a stranger learns
  * nothing. `handlers` and `limits`: see their types.
  * @returns The connection once the peer's hello has come; rejects with the reason otherwise.
  */
-export async function openConnection(socket: Socket, {hello, speakFirst, handlers, limits}: {
+export async function openConnection(socket: Socket, {hello, isInitiator, handlers, limits}: {
 	hello: PeerHello;
-	speakFirst: boolean;
+	isInitiator: boolean;
 	handlers: PeerHandlers;
 	limits: PeerLimits;
 }): Promise<PeerConnection> {
@@ -61,9 +61,9 @@
 	const answer = createCallAnswerer({
 		socket, write, onCall: handlers.onCall, limits, end,
 	});
-	const sayHello = () => write({type: 'hello', protocol: protocolVersion, ...hello});
+	const sendHello = () => write({type: 'hello', protocol: protocolVersion, ...hello});
 
-	function takeEvent(current: PeerConnection, name: string, body: unknown) {
+	function handleEvent(current: PeerConnection, name: string, body: unknown) {
 		try {
 			handlers.onEvent?.(current.peer, name, body, current);
 		} catch (error) {
@@ -73,7 +73,7 @@
 		}
 	}
 
-	function takeFrame(current: PeerConnection, frame: Frame) {
+	function handleFrame(current: PeerConnection, frame: Frame) {
 		switch (frame.type) {
 			case 'hello': {
 				end('the peer sent a second hello');
@@ -86,25 +86,25 @@
 			}
 
 			case 'reply': {
-				sender.takeReply(frame);
+				sender.handleReply(frame);
 				return;
 			}
 
 			case 'event': {
-				takeEvent(current, frame.name, frame.body);
+				handleEvent(current, frame.name, frame.body);
 			}
 		}
 	}
 
-	function takeHello(frame: Frame) {
+	function handleHello(frame: Frame) {
 		const peer = toHello(frame);
 		if (typeof peer === 'string') {
 			end(peer);
 			return;
 		}
 
-		if (!speakFirst) {
-			sayHello();
+		if (!isInitiator) {
+			sendHello();
 		}
 
 		clearTimeout(helloTimer);
@@ -130,7 +130,7 @@
 
 	const decoder = createFrameDecoder({limitBytes: limits.frameBytes});
 
-	function takeBytes(bytes: Uint8Array) {
+	function handleBytes(bytes: Uint8Array) {
 		const frames = decoder.push(bytes);
 		if (frames.isErr()) {
 			end(frames.error.message);
@@ -143,9 +143,9 @@
 			}
 
 			if (connection) {
-				takeFrame(connection, frame);
+				handleFrame(connection, frame);
 			} else {
-				takeHello(frame);
+				handleHello(frame);
 			}
 		}
 	}
@@ -154,7 +154,7 @@
 		end(`no hello came within ${limits.helloTimeoutMs} ms`);
 	}, limits.helloTimeoutMs);
 
-	socket.on('data', takeBytes);
+	socket.on('data', handleBytes);
 	socket.on('error', error => {
 		closeReason ??= error.message;
 	});
@@ -170,8 +170,8 @@
 		ended.resolve(closeReason);
 	});
 
-	if (speakFirst) {
-		sayHello();
+	if (isInitiator) {
+		sendHello();
 	}
 
 	return opened.promise;
--- a/src/adapters/peer-tcp/index.ts
+++ b/src/adapters/peer-tcp/index.ts
@@ -26,12 +26,12 @@
 };
 
 /** The value, or a function that gives the present one. */
-type Present<T> = T | (() => T);
+type ValueOrGetter<T> = T | (() => T);
 
 const defaultConnectTimeoutMs = 1000;
 const keepAliveDelayMs = 10_000;
 
-function toPresent(hello: Present<PeerHello>): PeerHello {
+function toHello(hello: ValueOrGetter<PeerHello>): PeerHello {
 	return typeof hello === 'function' ? hello() : hello;
 }
 
@@ -40,7 +40,7 @@
 	bind: string;
 	/** 0 for any free port. */
 	port: number;
-	hello: Present<PeerHello>;
+	hello: ValueOrGetter<PeerHello>;
 	onCall?: CallHandler;
 	onEvent?: EventHandler;
 	/** A peer's hello has come. */
@@ -79,7 +79,7 @@
 		socket.setKeepAlive(true, keepAliveDelayMs);
 		try {
 			const connection = await openConnection(socket, {
-				hello: toPresent(hello), speakFirst: false, handlers: {onCall, onEvent}, limits,
+				hello: toHello(hello), isInitiator: false, handlers: {onCall, onEvent}, limits,
 			});
 			connections.add(connection);
 			onConnect?.(connection);
@@ -135,7 +135,7 @@
 export type ConnectOptions = {
 	/** `IP:port`, or `[IP]:port` for IPv6. */
 	address: string;
-	hello: Present<PeerHello>;
+	hello: ValueOrGetter<PeerHello>;
 	/** Time for the connection and the peer's hello, milliseconds. */
 	connectTimeoutMs?: number;
 	onCall?: CallHandler;
@@ -195,8 +195,8 @@
 	socket.setKeepAlive(true, keepAliveDelayMs);
 	const {onCall, onEvent} = options;
 	return openConnection(socket, {
-		hello: toPresent(options.hello),
-		speakFirst: true,
+		hello: toHello(options.hello),
+		isInitiator: true,
 		handlers: {onCall, onEvent},
 		limits: {...defaultLimits, helloTimeoutMs: timeoutMs, ...options.limits},
 	});
--- a/src/adapters/view-feed/_lib/apply-update.ts
+++ b/src/adapters/view-feed/_lib/apply-update.ts
@@ -11,7 +11,7 @@
 import {type FeedServer, type FeedUpdate} from './messages.js';
 
 /** Time in which a restarted agent names the hosts that its entry knows, if it reaches any peer; the rest is forgotten then. */
-const unnamedForMs = 30 * msPerSecond;
+const unnamedLimitMs = 30 * msPerSecond;
 
 /** The entry's view, and the hosts in it that its agent has not named since it started. */
 export type FedView = FleetView & {
@@ -133,7 +133,7 @@
 	const statuses = update.servers.map(server => toStatus(server, view.servers.get(server.id), sentAt));
 	const confirmedAt = update.confirmedAgeMs === undefined ? undefined : sentAt - update.confirmedAgeMs;
 	const unnamed = toUnnamed(view, update, sentAt);
-	const isForgotten = unnamed !== undefined && sentAt - unnamed.since > unnamedForMs;
+	const isForgotten = unnamed !== undefined && sentAt - unnamed.since > unnamedLimitMs;
 	const hostsGone = isForgotten ? [...update.hostsGone, ...unnamed.hosts] : update.hostsGone;
 	const zones = update.zones ? new Map(update.zones.map(({ageMs, ...summary}) => [summary.zone, {...summary, at: sentAt - ageMs}])) : view.zones;
 	return {
--- a/src/adapters/view-feed/index.ts
+++ b/src/adapters/view-feed/index.ts
@@ -84,7 +84,7 @@
 		return typeof options.hello === 'function' ? options.hello() : options.hello;
 	}
 
-	function takeUpdate(update: FeedUpdate) {
+	function handleUpdate(update: FeedUpdate) {
 		view = applyUpdate(view, update, applyOptions);
 		backoffMs = firstBackoffMs;
 		options.onIncarnationSeen?.(update.incarnationFloor);
@@ -104,7 +104,7 @@
 
 	function onEvent(_peer: PeerHello, name: string, body: unknown) {
 		if (name === feedEvents.update) {
-			takeUpdate(body as FeedUpdate);
+			handleUpdate(body as FeedUpdate);
 		}
 	}
 
@@ -127,7 +127,7 @@
 
 	async function run() {
 		// Told once for each new reason: an entry with wrong keys or a wrong address would else just never be ready.
-		let toldReason: string | undefined;
+		let reportedReason: string | undefined;
 		while (!stop.signal.aborted) {
 			const connected = await connectPeer({
 				address: options.agentAddress,
@@ -137,13 +137,13 @@
 				onEvent,
 			});
 			if (connected.isOk() && !stop.signal.aborted) {
-				toldReason = undefined;
+				reportedReason = undefined;
 				await serve(connected.value);
 			} else if (connected.isOk()) {
 				connected.value.close();
-			} else if (connected.error.message !== toldReason) {
-				toldReason = connected.error.message;
-				options.onState?.('disconnected', toldReason);
+			} else if (connected.error.message !== reportedReason) {
+				reportedReason = connected.error.message;
+				options.onState?.('disconnected', reportedReason);
 			}
 
 			// Half of the wait is random, so that entries do not come back together.
--- a/src/adapters/view-feed/publish-view.ts
+++ b/src/adapters/view-feed/publish-view.ts
@@ -46,7 +46,7 @@
 	return changed;
 }
 
-function toGone<Key>(next: ReadonlyMap<Key, unknown>, prev: ReadonlyMap<Key, unknown> | undefined): Key[] {
+function toRemoved<Key>(next: ReadonlyMap<Key, unknown>, prev: ReadonlyMap<Key, unknown> | undefined): Key[] {
 	return prev && prev !== next ? [...prev.keys()].filter(key => !next.has(key)) : [];
 }
 
@@ -77,17 +77,17 @@
 		whole: sent === undefined,
 		config: isNewConfig ? toFeedConfig(accepted, subscriber) : undefined,
 		hosts: toChanged<string, HostStatus>(view.hosts, sent?.hosts),
-		hostsGone: toGone(view.hosts, sent?.hosts),
+		hostsGone: toRemoved(view.hosts, sent?.hosts),
 		servers: toChanged<string, ServerStatus>(view.servers, sent?.servers).map(({id, leaving, load, loadAt, reachable, reachableAt}) => ({
 			id, leaving, load, loadAgeMs: now - loadAt, reachable, reachableAgeMs: reachableAt === undefined ? undefined : now - reachableAt,
 		})),
-		serversGone: toGone(view.servers, sent?.servers),
+		serversGone: toRemoved(view.servers, sent?.servers),
 		...(view.zones !== sent?.zones && view.zones && {zones: [...view.zones.values()].map(({at, ...summary}) => ({...summary, ageMs: now - at}))}),
 		confirmedAgeMs: view.platformConfirmedAt === undefined ? undefined : now - view.platformConfirmedAt,
 	};
 }
 
-function hasNews(update: Omit<FeedUpdate, 'incarnationFloor'>): boolean {
+function hasChanges(update: Omit<FeedUpdate, 'incarnationFloor'>): boolean {
 	return update.whole
 		|| update.config !== undefined
 		|| update.zones !== undefined
@@ -127,7 +127,7 @@
 				}
 
 				const update = toUpdate(view, subscriber, now);
-				const isDue = hasNews(update) || now - subscriber.sentAt >= keepAliveMs;
+				const isDue = hasChanges(update) || now - subscriber.sentAt >= keepAliveMs;
 				// An update that was dropped is contained in the next one, because `sent` stays as it was.
 				if (isDue && subscriber.connection.send(feedEvents.update, {...update, incarnationFloor} satisfies FeedUpdate)) {
 					subscriber.sent = view;
--- a/src/programs/agent/_lib/give-orders.ts
+++ b/src/programs/agent/_lib/give-orders.ts
@@ -75,7 +75,7 @@
 			log.info('order accepted by the server', fields);
 		} else {
 			log.warn('order failed', {
-				...fields, kind: result.error.kind, reason: result.error.message, remedy: 'none after a single failure, the order is repeated; if failures go on, remove the server and tell its makers',
+				...fields, kind: result.error.kind, reason: result.error.message, remedy: 'none after a single failure, the order is repeated; if failures go on, remove the server',
 			});
 		}
 	}
