--- a/src/programs/agent/_lib/create-polled.ts
+++ b/src/programs/agent/_lib/create-polled-servers.ts
@@ -6,29 +6,29 @@
 import {type HostStatus} from '../../../ports/view.js';
 
 /**
- * Keeps the list of servers that this host polls. It is asked for several times
- * a second and scores each server against each host, so it is made anew only
- * when configuration or hosts have changed.
+ * Caches the list of servers that this host polls. The list is read several
+ * times a second and computing it scores each server against each host, so it is
+ * computed again only when the configuration or the hosts have changed.
  *
- * @param options - Where configuration and hosts come from, and who we are.
- * @returns A function that gives the list.
+ * @param options - Sources of configuration and hosts, and the id of this host.
+ * @returns A function that returns the list.
  */
-export function createPolled({table, hosts, hostId}: {
+export function createPolledServers({table, hosts, hostId}: {
 	table: FleetTable;
 	hosts: () => ReadonlyMap<HostId, HostStatus>;
 	hostId: HostId;
 }): () => readonly ServerEntry[] {
-	let made: {accepted: unknown; hosts: unknown; servers: readonly ServerEntry[]} | undefined;
+	let cached: {accepted: unknown; hosts: unknown; servers: readonly ServerEntry[]} | undefined;
 
 	return () => {
 		const accepted = table.accepted();
 		const known = hosts();
-		if (!made || made.accepted !== accepted || made.hosts !== known) {
+		if (!cached || cached.accepted !== accepted || cached.hosts !== known) {
 			const pollers = omitContacts([...known.values()].filter(({life}) => life === 'alive'));
 			const servers = accepted?.config.servers.filter(server => server.role !== 'plain' && pickPollers(server, pollers, 1)[0] === hostId) ?? [];
-			made = {accepted, hosts: known, servers};
+			cached = {accepted, hosts: known, servers};
 		}
 
-		return made.servers;
+		return cached.servers;
 	};
 }
--- a/src/programs/agent/_lib/follow-entry.ts
+++ b/src/programs/agent/_lib/follow-entry.ts
@@ -1,6 +1,6 @@
 /**
- * What the agent knows of its own host's entry: whether it is there, as which
- * incarnation, and up to which incarnation earlier ones have ended.
+ * Tracks the entry of the agent's own host: whether an entry is connected, its
+ * incarnation, and the highest incarnation that is known to have ended.
  */
 import {type PeerConnection, type PeerHello, type PeerKeys} from '../../../adapters/peer-tcp/index.js';
 import {type FeedPing} from '../../../adapters/view-feed/index.js';
@@ -9,7 +9,7 @@
 import {type Incarnation} from '../../../ports/ids.js';
 import {isEntryAnswering} from './is-entry-answering.js';
 
-/** Time in which a restarted agent waits for an entry that may be alive. */
+/** Time for which a restarted agent waits for an entry that may still run to connect. */
 const startGraceMs = 3000;
 const probeTimeoutMs = 500;
 const probeGapMs = 250;
@@ -17,23 +17,23 @@
 export type FollowEntryOptions = {
 	hello: () => PeerHello;
 	tls: (() => PeerKeys) | undefined;
-	/** Tells the fleet. */
-	state: (statement: OwnStatement) => void;
-	/** What peers remember of an entry before this agent started. */
-	seenBefore: () => {incarnation: Incarnation; address: string};
+	/** Publishes a change of this host's record to the fleet. */
+	publishState: (statement: OwnStatement) => void;
+	/** The entry that peers knew before this agent started; incarnation 0 if they knew none. */
+	previousEntry: () => {incarnation: Incarnation; address: string};
 	onEnded: (incarnation: Incarnation) => void;
 	signal: AbortSignal;
 };
 
 export type EntryFollower = {
-	/** The entry has connected. */
+	/** Adds a new connection of the entry. */
 	add: (connection: PeerConnection) => void;
-	/** The entry says where it takes calls of peers, its present incarnation, and whether it drains. */
+	/** Handles a ping of the entry, which states its peer address, its present incarnation, and whether it drains. */
 	notePing: (connection: PeerConnection, ping: FeedPing) => void;
-	/** The connection to the entry, while there is one. */
+	/** The connection to the entry; `undefined` when there is none. */
 	connection: () => PeerConnection | undefined;
-	/** Least incarnation that the entry may use, above all that ended before it; 0 when its own will do. */
-	floor: () => Incarnation;
+	/** Lowest incarnation that the entry may use, above all entries that ended before; 0 when its own is high enough. */
+	incarnationFloor: () => Incarnation;
 };
 
 type Current = {
@@ -43,33 +43,33 @@
 };
 
 /**
- * Starts following.
+ * Starts tracking this host's entry.
  *
  * @param options - See {@link FollowEntryOptions}.
  * @returns See {@link EntryFollower}.
  */
-export function followEntry({hello, tls, state, seenBefore, onEnded, signal}: FollowEntryOptions): EntryFollower {
+export function followEntry({hello, tls, publishState, previousEntry, onEnded, signal}: FollowEntryOptions): EntryFollower {
 	let current: Current | undefined;
-	let gone: Incarnation = 0;
+	let endedIncarnation: Incarnation = 0;
 
 	const isAnswering = async (address: string, incarnation: Incarnation) => isEntryAnswering({host: hello().host, incarnation}, address, {
 		hello, tls, connectTimeoutMs: probeTimeoutMs,
 	});
 
-	function noteGone(incarnation: Incarnation) {
-		if (incarnation > gone) {
-			gone = incarnation;
-			state({entryGone: gone});
-			onEnded(gone);
+	function noteEnded(incarnation: Incarnation) {
+		if (incarnation > endedIncarnation) {
+			endedIncarnation = incarnation;
+			publishState({entryGone: endedIncarnation});
+			onEnded(endedIncarnation);
 		}
 	}
 
-	/** Its feed has ended: it has died, or only its connection has. */
-	async function judge(incarnation: Incarnation, address: string) {
+	/** Probes an entry whose connection has ended until the entry no longer answers: the entry may have died, or only its connection may have broken. */
+	async function probeUntilEnded(incarnation: Incarnation, address: string) {
 		await waitFor(probeGapMs, signal);
-		while (!signal.aborted && gone < incarnation && current?.incarnation !== incarnation) {
+		while (!signal.aborted && endedIncarnation < incarnation && current?.incarnation !== incarnation) {
 			if (address === '' || !await isAnswering(address, incarnation)) {
-				noteGone(incarnation);
+				noteEnded(incarnation);
 				return;
 			}
 
@@ -77,31 +77,31 @@
 		}
 	}
 
-	async function judgeEarlier() {
+	async function probePreviousEntry() {
 		await waitFor(startGraceMs, signal);
-		const {incarnation, address} = seenBefore();
+		const {incarnation, address} = previousEntry();
 		if (incarnation > 0 && current?.incarnation !== incarnation) {
-			await judge(incarnation, address);
+			await probeUntilEnded(incarnation, address);
 		}
 	}
 
 	async function serve(connected: Current) {
 		current = connected;
-		state({entryIncarnation: connected.incarnation});
+		publishState({entryIncarnation: connected.incarnation});
 		await connected.connection.closed;
 		if (current === connected) {
 			current = undefined;
 		}
 
-		await judge(connected.incarnation, connected.address);
+		await probeUntilEnded(connected.incarnation, connected.address);
 	}
 
-	void judgeEarlier();
+	void probePreviousEntry();
 
 	return {
 		add(connection) {
 			const {incarnation} = connection.peer;
-			// A connection of an older process that ends late must not take the newer one's place.
+			// A late connection of an older process must not replace the newer one's.
 			if ((current?.incarnation ?? 0) <= incarnation) {
 				void serve({connection, incarnation, address: ''});
 			}
@@ -113,16 +113,16 @@
 
 			current.address = entryAddress;
 			current.incarnation = Math.max(current.incarnation, incarnation);
-			// Until the next entry says otherwise, the host stays a leaving one: nobody serves on it.
-			state({entryAddress, entryIncarnation: current.incarnation, leaving: stopping === true});
-			// A newer entry is in the place of all before it, once it has heard how high it must be.
-			if (current.incarnation > seenBefore().incarnation) {
-				noteGone(current.incarnation - 1);
+			// After a draining entry has ended, the host stays marked as leaving until the next entry clears the mark: nobody serves on it.
+			publishState({entryAddress, entryIncarnation: current.incarnation, leaving: stopping === true});
+			// An entry whose incarnation is above that of the previous entry supersedes all entries before it.
+			if (current.incarnation > previousEntry().incarnation) {
+				noteEnded(current.incarnation - 1);
 			}
 		},
 		connection: () => current?.connection,
-		floor() {
-			const before = Math.max(gone, seenBefore().incarnation);
+		incarnationFloor() {
+			const before = Math.max(endedIncarnation, previousEntry().incarnation);
 			return before === current?.incarnation ? 0 : before + 1;
 		},
 	};
--- a/src/programs/agent/_lib/spread-document.ts
+++ b/src/programs/agent/_lib/spread-document.ts
@@ -1,7 +1,8 @@
 /**
- * Spreads one of the platform's documents between agents: whoever hears of a
- * newer version fetches it from one that has it, as the chunks it lacks. Of a
- * document in parts, the root goes first and then the parts that are not here.
+ * Spreads one of the platform's documents between agents. An agent that hears of
+ * a newer version fetches the chunks that it lacks from a peer that has the
+ * version. For a document in parts, it fetches the root first and then the
+ * missing parts.
  */
 import {isRecord} from '../../../_lib/is-record/index.js';
 import {waitFor} from '../../../_lib/wait-for/index.js';
@@ -14,7 +15,7 @@
 import {
 	chunksInCall, fetchDocument, partsInCall, type FetchDocumentOptions,
 } from './fetch-document.js';
-import {type HeldDocument} from './hold-documents.js';
+import {type HeldDocument} from './create-document-store.js';
 import {peerCalls, type ShortVersion} from './peer-messages.js';
 
 const shortDigestLength = 16;
@@ -22,11 +23,11 @@
 const maxTries = 10;
 const maxHolders = 16;
 
-/** What one host serves its peers; beyond it they are sent to others, which have the document by then. */
+/** Limit of what one host serves its peers. Above it calls fail with `busy`, and the peers retry with other holders, which have the document by then. */
 const servedBytesPerSecond = 4 * bytesPerMebibyte;
 
 export type SpreadDocumentOptions = Pick<FetchDocumentOptions, 'kind' | 'call' | 'offer'> & {
-	/** The document that is held. */
+	/** The document that this host holds. */
 	held: () => HeldDocument | undefined;
 	onFailure: (message: string, from: HostId) => void;
 	now: () => Milliseconds;
@@ -36,7 +37,7 @@
 
 export type DocumentSpread = {
 	version: () => ShortVersion | undefined;
-	/** A peer says which version it holds. */
+	/** Handles the version that a peer holds, and fetches it if it is newer. */
 	noteVersion: (from: HostId, version: ShortVersion | undefined) => void;
 	/** Whether a newer version is being fetched. */
 	isBehind: () => boolean;
@@ -48,18 +49,18 @@
 	return {edition, revision, digest: digest.slice(0, shortDigestLength)};
 }
 
-type Cut = {
-	/** Of the document or its root. */
+type ChunkedDocument = {
+	/** Digest of the document or its root. */
 	digest: string;
 	root: ConfigChunks;
-	/** By the parts' digests. */
+	/** Chunks of the parts, by the parts' digests. */
 	parts: ReadonlyMap<string, ConfigChunks>;
-	/** Of root and parts. */
+	/** Texts of all chunks of root and parts, by digest. */
 	chunks: ReadonlyMap<string, string>;
 };
 
-/** Manifests of parts; nothing for one that is not in force here. */
-function serveParts({parts}: Cut, digests: readonly unknown[]): ReadonlyArray<Uint8Array | undefined> {
+/** Returns the manifests of parts; `undefined` for a part that is not in force here. */
+function serveParts({parts}: ChunkedDocument, digests: readonly unknown[]): ReadonlyArray<Uint8Array | undefined> {
 	return digests.slice(0, partsInCall).map(digest => parts.get(String(digest))?.manifest.chunkDigests);
 }
 
@@ -71,29 +72,29 @@
  */
 export function spreadDocument(options: SpreadDocumentOptions): DocumentSpread {
 	const {kind, held, offer, call, onFailure, now, random, signal} = options;
-	let cut: Cut | undefined;
+	let chunked: ChunkedDocument | undefined;
 	let wanted: {version: ShortVersion; holders: Set<HostId>} | undefined;
-	let refused: string | undefined;
+	let refusedDigest: string | undefined;
 	let isFetching = false;
 	let served = {bytes: 0, since: -Infinity};
 
-	/** Parts that stand in the next document too are not cut again. */
-	function toCut(): Cut | undefined {
+	/** Splits the held document into chunks. Parts that the previous document had too are not split again. */
+	function toChunkedDocument(): ChunkedDocument | undefined {
 		const document = held();
-		if (document && cut?.digest !== document.version.digest) {
+		if (document && chunked?.digest !== document.version.digest) {
 			const {version: {digest}, text, parts = []} = document;
-			const before = cut?.parts;
+			const before = chunked?.parts;
 			const pieces = new Map(parts.map(part => [part.sha256, before?.get(part.sha256) ?? toConfigChunks(part.text)]));
 			const root = toConfigChunks(text);
-			cut = {
+			chunked = {
 				digest, root, parts: pieces, chunks: new Map([root, ...pieces.values()].flatMap(({chunks}) => [...chunks])),
 			};
 		}
 
-		return document && cut;
+		return document && chunked;
 	}
 
-	function countServed(bytes: number) {
+	function enforceServeLimit(bytes: number) {
 		if (now() - served.since >= msPerSecond) {
 			served = {bytes: 0, since: now()};
 		}
@@ -106,7 +107,7 @@
 	}
 
 	function serve(method: string, body: unknown): unknown {
-		const own = toCut();
+		const own = toChunkedDocument();
 		if (!own || !isRecord(body)) {
 			throw new Error(`no ${kind} here`);
 		}
@@ -117,7 +118,7 @@
 
 		const digests = Array.isArray(body.digests) ? body.digests as unknown[] : [];
 		const found = digests.slice(0, chunksInCall).map(digest => typeof digest === 'string' ? own.chunks.get(digest) ?? '' : '');
-		countServed(found.reduce((sum, chunk) => sum + chunk.length, 0));
+		enforceServeLimit(found.reduce((sum, chunk) => sum + chunk.length, 0));
 		return found;
 	}
 
@@ -126,17 +127,17 @@
 		return wanted !== undefined && (!version || compareConfigVersions(wanted.version, toShort(version)) > 0);
 	}
 
-	async function fetch() {
+	async function fetchWanted() {
 		isFetching = true;
 		for (let tries = 0; tries < maxTries && isWanted() && !signal.aborted; tries++) {
 			const holders = [...wanted!.holders];
 			const from = holders[Math.floor(random() * holders.length)]!;
 			const failure = await fetchDocument(from, {
-				kind, call, offer, known: new Map(toCut()?.chunks),
+				kind, call, offer, known: new Map(toChunkedDocument()?.chunks),
 			});
 			if (failure === undefined) {
-				// Fetched and judged. If it is still not held it was refused, and will be again.
-				refused = isWanted() ? wanted!.version.digest : refused;
+				// The document was fetched and validated. If it is still wanted, it was refused, and would be refused again.
+				refusedDigest = isWanted() ? wanted!.version.digest : refusedDigest;
 				break;
 			}
 
@@ -155,12 +156,12 @@
 		},
 		noteVersion(from, version) {
 			const own = held()?.version;
-			if (!version || version.digest === refused || (own && compareConfigVersions(version, toShort(own)) <= 0)) {
+			if (!version || version.digest === refusedDigest || (own && compareConfigVersions(version, toShort(own)) <= 0)) {
 				return;
 			}
 
 			if (own && version.digest === toShort(own).digest) {
-				// The same text, which the platform has since served under a later revision.
+				// The same text as here; the platform has since served it under a later revision.
 				offer({text: held()!.text, revision: version.revision}, from);
 				return;
 			}
@@ -174,7 +175,7 @@
 			}
 
 			if (!isFetching) {
-				void fetch();
+				void fetchWanted();
 			}
 		},
 		isBehind: () => isFetching,
--- a/src/programs/agent/_lib/spread-loads.ts
+++ b/src/programs/agent/_lib/spread-loads.ts
@@ -1,4 +1,4 @@
-/** Passes load reports, reachability reports and news of leaving servers between agents. */
+/** Sends load reports, reachability reports and leaving servers between agents. */
 import {isRecord} from '../../../_lib/is-record/index.js';
 import {createLoadBroadcast, decodeLoads, type LoadBroadcast} from '../../../domain/create-load-broadcast/index.js';
 import {type FleetTable} from '../../../domain/create-fleet-table/index.js';
@@ -7,7 +7,7 @@
 import {type LoadReport} from '../../../ports/engine.js';
 import {type HostId, type ServerId} from '../../../ports/ids.js';
 import {type HostStatus} from '../../../ports/view.js';
-import {createServerNames} from './create-server-names.js';
+import {createServerIndex} from './create-server-index.js';
 import {isSmallFleet} from './is-small-fleet.js';
 import {peerCalls, peerEvents} from './peer-messages.js';
 
@@ -20,27 +20,28 @@
 	hosts: () => ReadonlyMap<HostId, HostStatus>;
 	send: (host: HostStatus, name: string, body: unknown) => void;
 	call: (host: HostId, method: string, body: unknown, options: {timeoutMs: Milliseconds}) => Promise<{isOk: () => boolean; unwrapOr: (value: unknown) => unknown}>;
-	/** Hosts to tell at once of something that came from a host. */
+	/** Hosts to notify at once of something that came from a host. */
 	spreadTargets: (origin: HostId) => readonly HostStatus[];
 	now: () => Milliseconds;
-	/** When what is being received has arrived at the earliest, monotonic milliseconds. */
+	/** Earliest time at which the message being handled may have arrived, monotonic milliseconds. */
 	toArrival: () => Milliseconds;
-	/** Other live hosts from which on the fleet is large. */
+	/** Number of other live hosts at which the fleet is large. */
 	smallFleet?: number;
 };
 
 export type LoadsTask = {
 	spread: LoadBroadcast;
-	/** Sends what is due. */
+	/** Sends the reports that are due. */
 	tick: () => void;
-	/** Takes news that servers are leaving, holds it, and passes on what the table did not know. */
+	/** Records that servers are leaving, and forwards those of which the table did not know it. */
 	noteLeaving: (servers: readonly ServerId[], origin: HostId) => void;
-	/** Takes an event of a peer; returns whether it was one of these. */
-	takeEvent: (from: HostId, name: string, body: unknown) => boolean;
+	/** Handles an event of a peer; returns whether the event was of this kind. */
+	handleEvent: (from: HostId, name: string, body: unknown) => boolean;
+	/** Answers a peer's call for load reports. */
 	serveReports: (body: unknown) => LoadReport[];
 };
 
-/** @returns Names of servers in a peer's message, whatever else is in it. */
+/** Extracts the ids of servers from a peer's message; ignores everything else in it. */
 function toNames(body: unknown): string[] {
 	return isRecord(body) && Array.isArray(body.servers) ? body.servers.filter(server => typeof server === 'string') : [];
 }
@@ -53,30 +54,33 @@
  */
 export function spreadLoads({table, hold, self, hosts, send, call, spreadTargets, now, toArrival, smallFleet}: SpreadLoadsOptions): LoadsTask {
 	const spread = createLoadBroadcast();
-	const asking = new Set<HostId>();
-	const names = createServerNames(table);
+	const pendingRequests = new Set<HostId>();
+	const names = createServerIndex(table);
 
 	function findLoad(server: ServerId): LoadReport | undefined {
 		return table.view(now()).servers.get(server)?.load;
 	}
 
 	/**
-	 * Whether a host's report that a server is unreachable counts here: the host
-	 * is of the server's zone, or of this one, or the server's zone has no live
-	 * host. Hosts on two sides of a cut poll each other's servers in vain. When
-	 * the cut heals, these reports reach the other zone, where the servers were
-	 * never out of reach, and its entries would refuse all. A host of the
-	 * server's zone sees it from beside it, one of this zone by the way that this
-	 * host has; where neither can tell, any report is better than none.
+	 * Whether to believe a host's report that a server is unreachable. The host
+	 * must be in the server's zone or in this host's zone, unless the server's zone
+	 * has no live host.
+	 *
+	 * During a network partition, hosts on each side fail to poll the servers of
+	 * the other side. When the partition heals, their reports reach the other side,
+	 * whose entries would refuse all requests although the servers were reachable
+	 * there all the time. A host of the server's zone polls the server locally, and
+	 * a host of this zone over the same network path as this host, so their reports
+	 * apply here. Where neither can report, any report is better than none.
 	 */
-	function countsHere(from: HostId, server: ServerId): boolean {
+	function isReportTrusted(from: HostId, server: ServerId): boolean {
 		const known = hosts();
 		const zone = known.get(from)?.zone;
 		const serverZone = names.toZone(server);
 		return zone === self().zone || zone === serverZone || ![...known.values()].some(host => host.zone === serverZone && host.life === 'alive');
 	}
 
-	function receivers(): HostStatus[] {
+	function toReceivers(): HostStatus[] {
 		const {id: ownId, zone: ownZone} = self();
 		const alive = [...hosts().values()].filter(({id, life}) => id !== ownId && life === 'alive');
 		return isSmallFleet(ownId, hosts(), smallFleet) ? alive : alive.filter(({zone}) => zone === ownZone);
@@ -96,14 +100,14 @@
 		}
 	}
 
-	async function ask(from: HostId, wanted: readonly number[]) {
-		if (asking.has(from)) {
+	async function requestReports(from: HostId, wanted: readonly number[]) {
+		if (pendingRequests.has(from)) {
 			return;
 		}
 
-		asking.add(from);
+		pendingRequests.add(from);
 		const reply = await call(from, peerCalls.reports, {servers: wanted}, {timeoutMs: callTimeoutMs});
-		asking.delete(from);
+		pendingRequests.delete(from);
 		const reports = reply.unwrapOr(undefined);
 		for (const load of Array.isArray(reports) ? reports as LoadReport[] : []) {
 			if (isRecord(load) && typeof load.server === 'string' && typeof load.ageMs === 'number' && Array.isArray(load.adapters)) {
@@ -112,36 +116,36 @@
 		}
 	}
 
-	function takeLoads(from: HostId, body: unknown) {
+	function handleLoads(from: HostId, body: unknown) {
 		const {loads, unreachable, wanted} = decodeLoads(body instanceof Uint8Array ? body : new Uint8Array(), names.findByHash, findLoad);
 		for (const load of loads) {
 			table.noteLoad(load, toArrival() - load.ageMs);
 		}
 
 		for (const {server, ageMs} of unreachable) {
-			if (countsHere(from, server)) {
+			if (isReportTrusted(from, server)) {
 				table.noteUnreachable(server, toArrival() - ageMs);
 			}
 		}
 
 		if (wanted.length > 0) {
-			void ask(from, wanted);
+			void requestReports(from, wanted);
 		}
 	}
 
 	return {
 		spread,
 		tick() {
-			const to = receivers();
+			const to = toReceivers();
 			const bytes = spread.takeDue(to.length, now());
 			for (const host of bytes ? to : []) {
 				send(host, peerEvents.loads, bytes);
 			}
 		},
 		noteLeaving,
-		takeEvent(from, name, body) {
+		handleEvent(from, name, body) {
 			if (name === peerEvents.loads) {
-				takeLoads(from, body);
+				handleLoads(from, body);
 			} else if (name === peerEvents.leaving) {
 				noteLeaving(toNames(body), from);
 			}
--- a/src/programs/agent/_lib/spread-summaries.ts
+++ b/src/programs/agent/_lib/spread-summaries.ts
@@ -1,7 +1,8 @@
 /**
- * Passes summaries of zones between agents of a large fleet. Two hosts of each
- * zone make its summary; it rides on their pings to other zones, and what they
- * hear they tell their own zone in rounds.
+ * Sends summaries of zones between agents of a large fleet. Two hosts of each
+ * zone, its contacts, make the zone's summary. The summary is piggybacked on
+ * their pings to other zones, and they distribute the summaries that they receive
+ * within their own zone in rounds.
  */
 import {isRecord} from '../../../_lib/is-record/index.js';
 import {createZoneSummaries} from '../../../domain/create-zone-summaries/index.js';
@@ -15,15 +16,15 @@
 import {isSmallFleet} from './is-small-fleet.js';
 import {isSummariesEvent, peerEvents, type SummariesEvent} from './peer-messages.js';
 
-/** Heartbeat intervals between two summaries of the own zone, and between two rounds of one contact. */
-const makeIntervals = 1;
+/** Heartbeat intervals between two summaries of this host's zone, and between two rounds of one contact. */
+const summaryIntervals = 1;
 const roundIntervals = 3;
 
-/** Each new view of the zones goes to the entry whole, so changes of one interval go together. */
-const showIntervals = 1;
+/** Heartbeat intervals between two updates of the table. Each update is sent to the entry as a whole, so the changes of one interval are combined. */
+const tableUpdateIntervals = 1;
 
-/** A contact whose rounds count from a lower number again, after a restart with a slower clock, is heard after this many intervals. */
-const forgetIntervals = 8 * roundIntervals;
+/** Heartbeat intervals after which a contact's last round number is forgotten. A contact that restarts with a slower clock numbers its rounds from a lower number, and would be ignored otherwise. */
+const roundMemoryIntervals = 8 * roundIntervals;
 const msPerRound = 1000;
 
 export type SpreadSummariesOptions = {
@@ -35,20 +36,20 @@
 	now: () => Milliseconds;
 	wallNow: () => Milliseconds;
 	random: Random;
-	/** When what is being received has arrived at the earliest, monotonic milliseconds. */
+	/** Earliest time at which the message being handled may have arrived, monotonic milliseconds. */
 	toArrival: () => Milliseconds;
-	/** Other live hosts from which on the fleet is large. */
+	/** Number of other live hosts at which the fleet is large. */
 	smallFleet?: number;
 };
 
 export type SummariesTask = {
-	/** Makes and tells what is due, and shows what is known in the table. */
+	/** Makes the summary and starts the round that are due, and updates the table with the known summaries. */
 	tick: () => void;
-	/** Bytes that ride on a ping to a host of another zone. */
-	toRider: (to: HostId) => Uint8Array | undefined;
-	takeRider: (bytes: Uint8Array) => void;
-	/** Takes an event of a peer; returns whether it was one of these. */
-	takeEvent: (name: string, body: unknown) => boolean;
+	/** Returns the packed summary to piggyback on a ping to a host of another zone; `undefined` if there is none to send. */
+	toPiggybackedSummary: (to: HostId) => Uint8Array | undefined;
+	handlePiggybackedSummary: (bytes: Uint8Array) => void;
+	/** Handles an event of a peer; returns whether the event was of this kind. */
+	handleEvent: (name: string, body: unknown) => boolean;
 };
 
 /**
@@ -59,39 +60,39 @@
  */
 export function spreadSummaries({table, self, hosts, send, intervalMs, now, wallNow, random, toArrival, smallFleet}: SpreadSummariesOptions): SummariesTask {
 	const summaries = createZoneSummaries();
-	const heard = new Map<HostId, {round: number; at: Milliseconds}>();
-	let seen: {hosts: ReadonlyMap<HostId, HostStatus>; mates: readonly HostId[]; isActing: boolean} | undefined;
+	const lastRounds = new Map<HostId, {round: number; at: Milliseconds}>();
+	let zoneState: {hosts: ReadonlyMap<HostId, HostStatus>; liveHosts: readonly HostId[]; isActing: boolean} | undefined;
 	let others: {zones: ReadonlyMap<string, ZoneSummary>; shown: ReadonlyMap<string, ZoneSummary>} | undefined;
-	let makeAt = -Infinity;
-	let showAt = -Infinity;
-	let roundAt = now() + (random() * roundIntervals * intervalMs);
+	let nextSummaryAt = -Infinity;
+	let nextTableUpdateAt = -Infinity;
+	let nextRoundAt = now() + (random() * roundIntervals * intervalMs);
 	let round = 0;
 
-	/** Live hosts of the zone, and whether this host is one of the two that speak for it in a large fleet. */
-	function look() {
+	/** Returns the live hosts of this zone, and whether this host is one of the zone's two contacts in a large fleet. */
+	function toZoneState() {
 		const known = hosts();
-		if (seen?.hosts !== known) {
+		if (zoneState?.hosts !== known) {
 			const ofZone = [...known.values()].filter(({zone}) => zone === self.zone);
-			seen = {
+			zoneState = {
 				hosts: known,
-				mates: ofZone.filter(({life}) => life === 'alive').map(({id}) => id),
+				liveHosts: ofZone.filter(({life}) => life === 'alive').map(({id}) => id),
 				isActing: !isSmallFleet(self.id, known, smallFleet) && pickZoneContacts(self.zone, ofZone).includes(self.id),
 			};
 		}
 
-		return seen;
+		return zoneState;
 	}
 
-	function tellOn(root: HostId, number: number) {
+	function forwardRound(root: HostId, number: number) {
 		const bytes = summaries.pack(now());
-		const children = bytes ? pickTreeChildren(`${root} ${number}`, look().mates, root, self.id) : [];
+		const children = bytes ? pickTreeChildren(`${root} ${number}`, toZoneState().liveHosts, root, self.id) : [];
 		for (const id of children) {
 			send(hosts().get(id)!, peerEvents.summaries, {root, round: number, bytes} satisfies Partial<SummariesEvent>);
 		}
 	}
 
-	function make() {
-		makeAt = now() + (makeIntervals * intervalMs);
+	function makeSummary() {
+		nextSummaryAt = now() + (summaryIntervals * intervalMs);
 		const {rows, at} = summariseZone(table.view(now()), self.zone, now());
 		if (rows.length > 0) {
 			summaries.setOwn({zone: self.zone, at, rows}, now(), wallNow());
@@ -99,13 +100,13 @@
 	}
 
 	function startRound() {
-		roundAt = now() + (roundIntervals * intervalMs * (0.9 + (random() / 5)));
+		nextRoundAt = now() + (roundIntervals * intervalMs * (0.9 + (random() / 5)));
 		round = Math.max(round + 1, Math.floor(wallNow() / msPerRound));
-		tellOn(self.id, round);
+		forwardRound(self.id, round);
 	}
 
-	function show() {
-		showAt = now() + (showIntervals * intervalMs);
+	function updateTable() {
+		nextTableUpdateAt = now() + (tableUpdateIntervals * intervalMs);
 		const config = table.accepted()?.config;
 		const zones = config && summaries.view(config, now());
 		if (zones && zones !== others?.zones) {
@@ -114,12 +115,12 @@
 		}
 	}
 
-	/** Each round once, or hosts that disagree on who lives could pass it round in a ring. */
+	/** Whether a round is new. Each round is forwarded only once, because hosts that disagree on the live hosts could forward it in a circle. */
 	function isNewRound({root, round: number}: SummariesEvent): boolean {
-		const last = heard.get(root);
-		const isNew = !last || number > last.round || now() - last.at > forgetIntervals * intervalMs;
+		const last = lastRounds.get(root);
+		const isNew = !last || number > last.round || now() - last.at > roundMemoryIntervals * intervalMs;
 		if (isNew) {
-			heard.set(root, {round: number, at: now()});
+			lastRounds.set(root, {round: number, at: now()});
 		}
 
 		return isNew;
@@ -127,24 +128,24 @@
 
 	return {
 		tick() {
-			const {isActing} = look();
-			if (isActing && now() >= makeAt) {
-				make();
+			const {isActing} = toZoneState();
+			if (isActing && now() >= nextSummaryAt) {
+				makeSummary();
 			}
 
-			if (isActing && now() >= roundAt) {
+			if (isActing && now() >= nextRoundAt) {
 				startRound();
 			}
 
-			if (now() >= showAt) {
-				show();
+			if (now() >= nextTableUpdateAt) {
+				updateTable();
 			}
 		},
-		toRider: to => look().isActing && hosts().get(to)?.zone !== self.zone ? summaries.pack(now(), self.zone) : undefined,
-		takeRider(bytes) {
+		toPiggybackedSummary: to => toZoneState().isActing && hosts().get(to)?.zone !== self.zone ? summaries.pack(now(), self.zone) : undefined,
+		handlePiggybackedSummary(bytes) {
 			summaries.merge(bytes, toArrival(), now());
 		},
-		takeEvent(name, body) {
+		handleEvent(name, body) {
 			if (name !== peerEvents.summaries) {
 				return false;
 			}
@@ -152,7 +153,7 @@
 			if (isSummariesEvent(body) && hosts().get(body.root)?.zone === self.zone) {
 				summaries.merge(body.bytes, toArrival(), now());
 				if (isNewRound(body)) {
-					tellOn(body.root, body.round);
+					forwardRound(body.root, body.round);
 				}
 			}
 
