--- a/src/domain/create-membership/_lib/create-verdicts.ts
+++ b/src/domain/create-membership/_lib/create-failure-detector.ts
@@ -3,55 +3,55 @@
 import {type HostId, type ZoneId} from '../../../ports/ids.js';
 import {type Records} from './create-records.js';
 import {type Targets} from './create-targets.js';
-import {type Contacts} from './create-zone-contacts.js';
+import {type ZoneContactTimes} from './create-zone-contact-times.js';
 import {type HostRecord} from './types.js';
 
 /** Two hosts must have had no answer themselves, where there are two. */
-const witnessesNeeded = 2;
+const minWitnesses = 2;
 
-export type Verdicts = {
+export type FailureDetector = {
 	/** Whether a zone has too few hosts to judge by itself, so that bridges of other zones are its jurors. */
-	needsJurors: (id: HostId) => boolean;
+	needsRemoteObservers: (id: HostId) => boolean;
 	/** Hosts that could say now whether a host is there; those behind a cut cannot. */
-	jurors: (id: HostId, now: Milliseconds) => HostRecord[];
+	reachableObservers: (id: HostId, now: Milliseconds) => HostRecord[];
 	/** Zones that nobody here has heard for long. */
 	staleZones: (now: Milliseconds) => ZoneId[];
 	/** Hosts did not answer this host; returns the records that must be told at once. */
 	suspect: (ids: readonly HostId[], now: Milliseconds) => HostRecord[];
 	/** Declares dead whom it is time for; returns their records. `slowness` is by how much this process is itself late. */
-	buryDead: (now: Milliseconds, slowness: number) => HostRecord[];
+	declareDead: (now: Milliseconds, slowness: number) => HostRecord[];
 };
 
 /**
  * Creates it.
  *
  * @param input - Tables, who we are, and patience in milliseconds.
- * @returns See {@link Verdicts}.
+ * @returns See {@link FailureDetector}.
  */
-export function createVerdicts({records, targets, contacts, ownId, ownZone, suspicionMs, zonePatienceMs}: {
+export function createFailureDetector({records, targets, contacts, ownId, ownZone, suspicionMs, zoneTimeoutMs}: {
 	records: Records;
 	targets: Targets;
-	contacts: Contacts;
+	contacts: ZoneContactTimes;
 	ownId: HostId;
 	ownZone: ZoneId;
 	suspicionMs: Milliseconds;
-	zonePatienceMs: Milliseconds;
-}): Verdicts {
+	zoneTimeoutMs: Milliseconds;
+}): FailureDetector {
 	function staleZones(now: Milliseconds): ZoneId[] {
-		return contacts.staleZones(records.zones().filter(zone => zone !== ownZone), now, zonePatienceMs);
+		return contacts.staleZones(records.zones().filter(zone => zone !== ownZone), now, zoneTimeoutMs);
 	}
 
-	function jurors(id: HostId, now: Milliseconds): HostRecord[] {
+	function reachableObservers(id: HostId, now: Milliseconds): HostRecord[] {
 		const stale = staleZones(now);
-		return targets.jury(id).filter(({zone}) => !stale.includes(zone));
+		return targets.observers(id).filter(({zone}) => !stale.includes(zone));
 	}
 
 	function needsJurors(id: HostId): boolean {
 		const zone = records.get(id)?.zone;
-		return targets.jury(id).some(juror => juror.zone !== zone);
+		return targets.observers(id).some(observer => observer.zone !== zone);
 	}
 
-	function accuse(id: HostId, now: Milliseconds): HostRecord[] {
+	function suspectOne(id: HostId, now: Milliseconds): HostRecord[] {
 		const record = records.get(id);
 		if (!record || record.life === 'dead' || record.life === 'left') {
 			return [];
@@ -67,23 +67,23 @@
 	}
 
 	return {
-		needsJurors,
-		jurors,
+		needsRemoteObservers: needsJurors,
+		reachableObservers,
 		staleZones,
-		suspect: (ids, now) => ids.flatMap(id => accuse(id, now)),
+		suspect: (ids, now) => ids.flatMap(id => suspectOne(id, now)),
 		// Only a host's own zone buries it: from another zone a cut looks the same as
 		// the death of all, and the work of hosts behind a cut must be left alone.
-		buryDead(now, slowness) {
-			const patienceMs = suspicionMs * (1 + (slowness / 2));
+		declareDead(now, slowness) {
+			const timeoutMs = suspicionMs * (1 + (slowness / 2));
 			const dead = records.ofZone(ownZone).filter(({id, life, witnesses}) => life === 'suspect'
-				&& now - records.suspectSince(id) >= patienceMs
-				&& witnesses.length >= Math.min(witnessesNeeded, jurors(id, now).length));
-			const buried = dead.map(record => ({...record, life: 'dead' as const, witnesses: []}));
-			for (const record of buried) {
+				&& now - records.suspectSince(id) >= timeoutMs
+				&& witnesses.length >= Math.min(minWitnesses, reachableObservers(id, now).length));
+			const declared = dead.map(record => ({...record, life: 'dead' as const, witnesses: []}));
+			for (const record of declared) {
 				records.merge(record, now);
 			}
 
-			return buried;
+			return declared;
 		},
 	};
 }
--- a/src/domain/create-membership/_lib/create-messages.ts
+++ b/src/domain/create-membership/_lib/create-messages.ts
@@ -4,12 +4,12 @@
 import {type OwnRecord} from './create-own-record.js';
 import {type Records} from './create-records.js';
 import {type Targets} from './create-targets.js';
-import {type Contacts} from './create-zone-contacts.js';
+import {type ZoneContactTimes} from './create-zone-contact-times.js';
 import {
 	type HostRecord, type MemberMessage, type MessageBody, type OutMessage,
 } from './types.js';
 
-const updatesInMessage = 6;
+const updatesPerMessage = 6;
 
 export type Messages = {
 	/** To a known host. */
@@ -17,7 +17,7 @@
 	/** To a host that may be a stranger so far: the answer goes back over its own connection. */
 	reply: (to: HostId, body: MessageBody, now: Milliseconds, extra?: readonly HostRecord[]) => OutMessage;
 	/** To an address whose host is not known; it hears of this host first of all. */
-	greet: (address: string, body: MessageBody, now: Milliseconds) => OutMessage;
+	sendToAddress: (address: string, body: MessageBody, now: Milliseconds) => OutMessage;
 	/** At once to all who pass it on, but for where it came from; nothing when there are no records. */
 	flood: (updates: readonly HostRecord[], origin: HostId, now: Milliseconds) => OutMessage[];
 };
@@ -31,7 +31,7 @@
 export function createMessages({records, own, contacts, targets, ownZone}: {
 	records: Records;
 	own: OwnRecord;
-	contacts: Contacts;
+	contacts: ZoneContactTimes;
 	targets: Targets;
 	ownZone: ZoneId;
 }): Messages {
@@ -39,7 +39,7 @@
 		const {incarnation, revision} = own.self();
 		// A host that is not seen alive must hear it first of all, to take it back.
 		const first = to && to.life !== 'alive' ? [to, ...extra] : extra;
-		const rest = records.takeUpdates(updatesInMessage - Math.min(first.length, updatesInMessage));
+		const rest = records.takeUpdates(updatesPerMessage - Math.min(first.length, updatesPerMessage));
 		const updates = [...first, ...rest.filter(record => !first.some(({id}) => id === record.id))];
 		return {
 			...body, incarnation, revision, digest: records.digest(), updates, contacts: body.kind === 'ping' && to?.zone === ownZone ? contacts.ages(now) : undefined,
@@ -52,7 +52,7 @@
 			const record = records.get(to);
 			return {to, address: record?.agentAddress ?? '', message: toMessage(body, record, now, extra)};
 		},
-		greet: (address, body, now) => ({to: undefined, address, message: toMessage(body, undefined, now, [own.self()])}),
+		sendToAddress: (address, body, now) => ({to: undefined, address, message: toMessage(body, undefined, now, [own.self()])}),
 		flood(updates, origin, now) {
 			const receivers = updates.length > 0 ? targets.spreadTo(origin) : [];
 			return receivers.map(to => ({to: to.id, address: to.agentAddress, message: toMessage({kind: 'news'}, undefined, now, updates)}));
--- a/src/domain/create-membership/_lib/create-own-record.ts
+++ b/src/domain/create-membership/_lib/create-own-record.ts
@@ -8,13 +8,13 @@
 export type OwnRecord = {
 	self: () => HostRecord;
 	/** Speaks for this host anew; `changes` are what it says. */
-	restate: (changes: Partial<HostRecord>, now: Milliseconds) => void;
+	revise: (changes: Partial<HostRecord>, now: Milliseconds) => void;
 	/** Takes back what somebody says of this host that it has not said itself; returns whether it had to. */
 	refute: (rumour: HostRecord, now: Milliseconds) => boolean;
 	/** Highest incarnation of an earlier entry of this host that anybody has seen, and where that was. */
 	entrySeen: () => {incarnation: Incarnation; address: string};
 	/** Address of another live process under this host's name, heard of within the patience (milliseconds). */
-	twin: (now: Milliseconds, patienceMs: Milliseconds) => string | undefined;
+	twin: (now: Milliseconds, timeoutMs: Milliseconds) => string | undefined;
 };
 
 /**
@@ -43,7 +43,7 @@
 
 	const self = () => records.get(options.id)!;
 
-	function restate(changes: Partial<HostRecord>, now: Milliseconds) {
+	function revise(changes: Partial<HostRecord>, now: Milliseconds) {
 		const current = self();
 		records.merge({
 			...current, life: 'alive', witnesses: [], revision: current.revision + 1, ...changes,
@@ -72,7 +72,7 @@
 
 	return {
 		self,
-		restate,
+		revise,
 		refute(rumour, now) {
 			noteEntry(rumour);
 			const current = self();
@@ -90,18 +90,18 @@
 			if (rumour.incarnation > current.incarnation || isFinal) {
 				// An earlier process of this host had a clock that was ahead, or this one
 				// was taken for dead. Both end only with a larger incarnation.
-				restate({incarnation: rumour.incarnation + 1, revision: 0}, now);
+				revise({incarnation: rumour.incarnation + 1, revision: 0}, now);
 				return true;
 			}
 
 			if (rumour.revision >= current.revision) {
-				restate({revision: rumour.revision + 1}, now);
+				revise({revision: rumour.revision + 1}, now);
 				return true;
 			}
 
 			return false;
 		},
 		entrySeen: () => entrySeen,
-		twin: (now, patienceMs) => twin && now - twin.heardAt < patienceMs ? twin.address : undefined,
+		twin: (now, timeoutMs) => twin && now - twin.heardAt < timeoutMs ? twin.address : undefined,
 	};
 }
--- a/src/domain/create-membership/_lib/create-prober.ts
+++ b/src/domain/create-membership/_lib/create-prober.ts
@@ -15,7 +15,7 @@
 };
 
 /** A ping that this host sends on behalf of another. */
-type Errand = {
+type RelayedPing = {
 	requester: HostId;
 	requestSeq: number;
 	target: HostId;
@@ -26,18 +26,18 @@
 	/** Starts a probe and returns its number; `undefined` while one of the target is under way. */
 	start: (target: HostId, now: Milliseconds) => number | undefined;
 	/** Notes a ping for somebody else and returns its number; `undefined` when there are too many. */
-	startErrand: (requester: HostId, requestSeq: number, target: HostId, now: Milliseconds) => number | undefined;
-	/** An answer came. Returns the errand that it ends, if it ends one. */
-	takeAnswer: (seq: number, target: HostId) => Errand | undefined;
+	startRelayedPing: (requester: HostId, requestSeq: number, target: HostId, now: Milliseconds) => number | undefined;
+	/** An answer came. Returns the relayed that it ends, if it ends one. */
+	takeAnswer: (seq: number, target: HostId) => RelayedPing | undefined;
 	/** Probes that now need the help of others, and those that have failed; the failed ones are over. */
-	takeDue: (now: Milliseconds, patience: {directMs: Milliseconds; totalMs: Milliseconds}) => {helpless: readonly Probe[]; failed: readonly HostId[]};
+	takeDue: (now: Milliseconds, timeouts: {directMs: Milliseconds; totalMs: Milliseconds}) => {unanswered: readonly Probe[]; failed: readonly HostId[]};
 	/** Forgets everything under way. */
 	clear: () => void;
 	/** Ends the probe of a host that was heard from otherwise. */
 	end: (target: HostId) => void;
 };
 
-const maxErrands = 64;
+const maxRelayedPings = 64;
 
 /**
  * Creates a prober with nothing under way.
@@ -46,7 +46,7 @@
  */
 export function createProber(): Prober {
 	const probes = new Map<HostId, Probe>();
-	const errands = new Map<number, Errand>();
+	const relayedPings = new Map<number, RelayedPing>();
 	let nextSeq = 1;
 
 	function takeSeq(): number {
@@ -66,13 +66,13 @@
 			});
 			return seq;
 		},
-		startErrand(requester, requestSeq, target, now) {
-			if (errands.size >= maxErrands) {
+		startRelayedPing(requester, requestSeq, target, now) {
+			if (relayedPings.size >= maxRelayedPings) {
 				return undefined;
 			}
 
 			const seq = takeSeq();
-			errands.set(seq, {
+			relayedPings.set(seq, {
 				requester, requestSeq, target, startedAt: now,
 			});
 			return seq;
@@ -82,12 +82,12 @@
 				probes.delete(target);
 			}
 
-			const errand = errands.get(seq);
-			errands.delete(seq);
-			return errand?.target === target ? errand : undefined;
+			const relayed = relayedPings.get(seq);
+			relayedPings.delete(seq);
+			return relayed?.target === target ? relayed : undefined;
 		},
 		takeDue(now, {directMs, totalMs}) {
-			const helpless: Probe[] = [];
+			const unanswered: Probe[] = [];
 			const failed: HostId[] = [];
 			for (const probe of probes.values()) {
 				const age = now - probe.startedAt;
@@ -96,21 +96,21 @@
 					probes.delete(probe.target);
 				} else if (age >= directMs && !probe.isIndirect) {
 					probe.isIndirect = true;
-					helpless.push(probe);
+					unanswered.push(probe);
 				}
 			}
 
-			for (const [seq, {startedAt}] of errands) {
+			for (const [seq, {startedAt}] of relayedPings) {
 				if (now - startedAt >= totalMs) {
-					errands.delete(seq);
+					relayedPings.delete(seq);
 				}
 			}
 
-			return {helpless, failed};
+			return {unanswered, failed};
 		},
 		clear() {
 			probes.clear();
-			errands.clear();
+			relayedPings.clear();
 		},
 		end(target) {
 			probes.delete(target);
--- a/src/domain/create-membership/_lib/create-records.ts
+++ b/src/domain/create-membership/_lib/create-records.ts
@@ -15,7 +15,7 @@
 	record: HostRecord;
 	stamp: number;
 	/** Messages into which the record still goes. */
-	retransmits: number;
+	retransmitsLeft: number;
 	suspectSince: Milliseconds;
 };
 
@@ -77,7 +77,7 @@
  */
 export function createRecords({spreadCount}: {spreadCount: (hosts: number) => number}): Records {
 	const entries = new Map<HostId, Entry>();
-	const spreading = new Set<HostId>();
+	const pendingGossip = new Set<HostId>();
 	const zones = new Map<ZoneId, HostRecord[]>();
 	const digests = new Map<ZoneId, number>();
 	let digest: number | undefined;
@@ -87,17 +87,17 @@
 		const prev = entries.get(record.id);
 		const wasSuspect = prev?.record.life === 'suspect' && record.life === 'suspect' && prev.record.incarnation === record.incarnation;
 		entries.set(record.id, {
-			record, stamp: toStamp(record), retransmits: spreadCount(entries.size + 1), suspectSince: wasSuspect ? prev.suspectSince : now,
+			record, stamp: toStamp(record), retransmitsLeft: spreadCount(entries.size + 1), suspectSince: wasSuspect ? prev.suspectSince : now,
 		});
-		spreading.delete(record.id);
-		spreading.add(record.id);
-		forget(record.zone);
+		pendingGossip.delete(record.id);
+		pendingGossip.add(record.id);
+		invalidate(record.zone);
 		if (prev) {
-			forget(prev.record.zone);
+			invalidate(prev.record.zone);
 		}
 	}
 
-	function forget(zone: ZoneId) {
+	function invalidate(zone: ZoneId) {
 		zones.clear();
 		digests.delete(zone);
 		digest = undefined;
@@ -196,14 +196,14 @@
 		zoneDigest,
 		takeUpdates(count) {
 			const taken: HostRecord[] = [];
-			for (const id of [...spreading].slice(0, count)) {
+			for (const id of [...pendingGossip].slice(0, count)) {
 				const entry = entries.get(id)!;
-				entry.retransmits -= 1;
+				entry.retransmitsLeft -= 1;
 				taken.push(entry.record);
 				// Set order is insertion order: what was just sent goes to the end.
-				spreading.delete(id);
-				if (entry.retransmits > 0) {
-					spreading.add(id);
+				pendingGossip.delete(id);
+				if (entry.retransmitsLeft > 0) {
+					pendingGossip.add(id);
 				}
 			}
 
--- a/src/domain/create-membership/_lib/create-answers.ts
+++ b/src/domain/create-membership/_lib/create-responder.ts
@@ -7,7 +7,7 @@
 import {type Sync} from './create-sync.js';
 import {type MemberMessage, type OutMessage} from './types.js';
 
-export type Answers = {
+export type Responder = {
 	/** Answers a message whose records were merged. */
 	answer: (message: MemberMessage, from: HostId, now: Milliseconds) => OutMessage[];
 	/** Asks a host whose table has differed for a while where it differs. */
@@ -18,14 +18,14 @@
  * Creates it.
  *
  * @param input - The table, the probes under way, and what makes messages.
- * @returns See {@link Answers}.
+ * @returns See {@link Responder}.
  */
-export function createAnswers({records, prober, sync, messages}: {
+export function createResponder({records, prober, sync, messages}: {
 	records: Records;
 	prober: Prober;
 	sync: Sync;
 	messages: Messages;
-}): Answers {
+}): Responder {
 	const {send, reply} = messages;
 
 	return {
@@ -36,13 +36,13 @@
 				}
 
 				case 'ack': {
-					const errand = prober.takeAnswer(message.seq, from);
-					return errand ? [reply(errand.requester, {kind: 'ping-reply', seq: errand.requestSeq, target: from}, now)] : [];
+					const relayed = prober.takeAnswer(message.seq, from);
+					return relayed ? [reply(relayed.requester, {kind: 'ping-reply', seq: relayed.requestSeq, target: from}, now)] : [];
 				}
 
 				case 'ping-request': {
 					const target = records.get(message.target);
-					const seq = target && prober.startErrand(from, message.seq, target.id, now);
+					const seq = target && prober.startRelayedPing(from, message.seq, target.id, now);
 					return seq === undefined ? [] : [send(target!, {kind: 'ping', seq}, now)];
 				}
 
--- a/src/domain/create-membership/_lib/create-targets.ts
+++ b/src/domain/create-membership/_lib/create-targets.ts
@@ -6,14 +6,14 @@
 import {type Records} from './create-records.js';
 import {type HostRecord} from './types.js';
 
-const pingsAnInterval = 2;
+const pingsPerInterval = 2;
 /** Intervals between two pings to one other zone, and to one host that is gone. */
 const zoneIntervals = 3;
-const goneIntervals = 5;
+const unavailableIntervals = 5;
 const seedIntervals = 1;
-const seedsAtOnce = 2;
-const verifiers = 3;
-const leastJurors = 2;
+const maxSeedsPerRound = 2;
+const verifiersPerSuspect = 3;
+const minObservers = 2;
 
 export type Targets = {
 	/** Hosts to ping now. */
@@ -23,7 +23,7 @@
 	/** A host is suspected; ping it at once if this host is among the few that look. */
 	verify: (id: HostId) => void;
 	/** Live hosts that can say whether a host is there: those of its zone, and bridges of other zones where it has fewer than two. */
-	jury: (id: HostId) => readonly HostRecord[];
+	observers: (id: HostId) => readonly HostRecord[];
 	/** Hosts to tell of something that came from a host: this zone if it is news to it, and bridges of other zones if it began here. */
 	spreadTo: (origin: HostId) => readonly HostRecord[];
 	sample: (records: readonly HostRecord[], count: number, random: Random) => HostRecord[];
@@ -48,10 +48,10 @@
 	let zoneAt = startedAt;
 	let goneAt = startedAt;
 	let seedAt = startedAt;
-	let turn = 0;
-	let cache: {version: number; mates: readonly HostRecord[]; bridges: ReadonlyMap<ZoneId, readonly HostRecord[]>} | undefined;
+	let round = 0;
+	let cache: {version: number; peers: readonly HostRecord[]; bridges: ReadonlyMap<ZoneId, readonly HostRecord[]>} | undefined;
 
-	function isThere({life}: HostRecord): boolean {
+	function isNotGone({life}: HostRecord): boolean {
 		return life === 'alive' || life === 'suspect';
 	}
 
@@ -59,11 +59,11 @@
 		return pickZoneContacts(zone, records.ofZone(zone)).map(id => records.get(id)!);
 	}
 
-	function look() {
+	function readCache() {
 		if (cache?.version !== records.version()) {
 			cache = {
 				version: records.version(),
-				mates: records.ofZone(ownZone).filter(({id, life}) => id !== ownId && life === 'alive'),
+				peers: records.ofZone(ownZone).filter(({id, life}) => id !== ownId && life === 'alive'),
 				bridges: new Map(records.zones().map(zone => [zone, toBridges(zone)])),
 			};
 		}
@@ -72,7 +72,7 @@
 	}
 
 	function isBridge(): boolean {
-		return look().bridges.get(ownZone)?.some(({id}) => id === ownId) ?? false;
+		return readCache().bridges.get(ownZone)?.some(({id}) => id === ownId) ?? false;
 	}
 
 	function otherZones(): ZoneId[] {
@@ -86,66 +86,66 @@
 			.map(({item}) => item);
 	}
 
-	function toJury(id: HostId): readonly HostRecord[] {
+	function toObservers(id: HostId): readonly HostRecord[] {
 		const zone = records.get(id)?.zone;
 		const neighbours = (zone === undefined ? [] : records.ofZone(zone)).filter(record => record.id !== id && record.life === 'alive');
-		if (neighbours.length >= leastJurors) {
+		if (neighbours.length >= minObservers) {
 			return neighbours;
 		}
 
-		const bridges = records.zones().filter(other => other !== zone).flatMap(other => look().bridges.get(other) ?? []);
+		const bridges = records.zones().filter(other => other !== zone).flatMap(other => readCache().bridges.get(other) ?? []);
 		return [...neighbours, ...bridges.filter(({life}) => life === 'alive')];
 	}
 
 	/** Everybody once in a random order, then again: nobody waits for a ping longer than two rounds. */
-	function takeMate(random: Random): HostId | undefined {
+	function takeZonePeer(random: Random): HostId | undefined {
 		if (queue.length === 0) {
-			const mates = records.ofZone(ownZone).filter(record => record.id !== ownId && isThere(record));
-			queue.push(...shuffle(mates.map(({id}) => id), random));
+			const peers = records.ofZone(ownZone).filter(record => record.id !== ownId && isNotGone(record));
+			queue.push(...shuffle(peers.map(({id}) => id), random));
 		}
 
 		return queue.shift();
 	}
 
-	function takeMates(now: Milliseconds, random: Random): HostId[] {
+	function takeZonePings(now: Milliseconds, random: Random): HostId[] {
 		const suspected = [...toVerify];
 		toVerify.clear();
 		if (now < pingAt) {
 			return suspected;
 		}
 
-		pingAt = now + (intervalMs / pingsAnInterval * (0.9 + (random() / 5)));
-		const mate = takeMate(random);
-		return mate === undefined ? suspected : [mate, ...suspected];
+		pingAt = now + (intervalMs / pingsPerInterval * (0.9 + (random() / 5)));
+		const peer = takeZonePeer(random);
+		return peer === undefined ? suspected : [peer, ...suspected];
 	}
 
-	function takeBridges(now: Milliseconds, random: Random): HostId[] {
+	function takeRemotePings(now: Milliseconds, random: Random): HostId[] {
 		if (now < zoneAt || !isBridge()) {
 			return [];
 		}
 
 		zoneAt = now + (zoneIntervals * intervalMs * (0.8 + (random() * 0.4)));
-		turn += 1;
+		round += 1;
 		return otherZones().flatMap(zone => {
-			const bridges = look().bridges.get(zone) ?? [];
-			const bridge = bridges[turn % bridges.length];
+			const bridges = readCache().bridges.get(zone) ?? [];
+			const bridge = bridges[round % bridges.length];
 			return bridge ? [bridge.id] : [];
 		});
 	}
 
 	/** A host that was buried by mistake, or came back and does not know us, is found again. */
-	function takeGone(now: Milliseconds, random: Random): HostId[] {
+	function takeUnavailable(now: Milliseconds, random: Random): HostId[] {
 		if (now < goneAt) {
 			return [];
 		}
 
-		goneAt = now + (goneIntervals * intervalMs * (0.8 + (random() * 0.4)));
+		goneAt = now + (unavailableIntervals * intervalMs * (0.8 + (random() * 0.4)));
 		const gone = [...records.all()].filter(({id, life, zone}) => id !== ownId && (life === 'dead' || (life === 'suspect' && zone !== ownZone)));
 		return shuffle(gone, random).slice(0, 1).map(({id}) => id);
 	}
 
 	return {
-		takeDue: (now, random) => [...new Set([...takeMates(now, random), ...takeBridges(now, random), ...takeGone(now, random)])],
+		takeDue: (now, random) => [...new Set([...takeZonePings(now, random), ...takeRemotePings(now, random), ...takeUnavailable(now, random)])],
 		takeSeeds(seeds, now, random) {
 			if (now < seedAt || seeds.size === 0) {
 				return [];
@@ -153,28 +153,28 @@
 
 			// Once the fleet is known, a stranger is an address that nobody has taken
 			// yet: worth a look now and then, and the only way back when all were cut off.
-			const intervals = records.size() > 1 ? goneIntervals : seedIntervals;
+			const intervals = records.size() > 1 ? unavailableIntervals : seedIntervals;
 			const known = new Set([...records.all()].map(({agentAddress}) => agentAddress));
-			const strangers = [...seeds].filter(address => !known.has(address));
+			const unknown = [...seeds].filter(address => !known.has(address));
 			seedAt = now + (intervals * intervalMs * (0.8 + (random() * 0.4)));
-			return shuffle(strangers, random).slice(0, records.size() > 1 ? 1 : seedsAtOnce);
+			return shuffle(unknown, random).slice(0, records.size() > 1 ? 1 : maxSeedsPerRound);
 		},
 		verify(id) {
-			const jurors = toJury(id).map(juror => juror.id);
-			if (pickRanked(id, jurors, verifiers).includes(ownId)) {
+			const observers = toObservers(id).map(observer => observer.id);
+			if (pickRanked(id, observers, verifiersPerSuspect).includes(ownId)) {
 				toVerify.add(id);
 			}
 		},
-		jury: toJury,
+		observers: toObservers,
 		spreadTo(origin) {
-			const {mates, bridges} = look();
+			const {peers, bridges} = readCache();
 			const originZone = records.get(origin)?.zone;
 			if (origin === ownId) {
-				return [...mates, ...otherZones().flatMap(zone => bridges.get(zone) ?? [])];
+				return [...peers, ...otherZones().flatMap(zone => bridges.get(zone) ?? [])];
 			}
 
 			// Who began it has told its own zone and the bridges of the others; a bridge tells its zone.
-			return originZone !== ownZone && isBridge() ? mates.filter(({id}) => id !== origin) : [];
+			return originZone !== ownZone && isBridge() ? peers.filter(({id}) => id !== origin) : [];
 		},
 		sample: (candidates, count, random) => shuffle(candidates, random).slice(0, count),
 	};
--- a/src/domain/create-membership/_lib/create-intake.ts
+++ b/src/domain/create-membership/_lib/create-update-merger.ts
@@ -5,10 +5,10 @@
 import {type OwnRecord} from './create-own-record.js';
 import {type Records} from './create-records.js';
 import {type Targets} from './create-targets.js';
-import {type Verdicts} from './create-verdicts.js';
+import {type FailureDetector} from './create-failure-detector.js';
 import {type HostRecord, type OutMessage} from './types.js';
 
-export type Intake = {
+export type UpdateMerger = {
 	/** Takes the records of a message; returns the messages that pass on what cannot wait. */
 	take: (updates: readonly HostRecord[], from: HostId, now: Milliseconds) => OutMessage[];
 };
@@ -17,18 +17,18 @@
  * Creates it.
  *
  * @param input - The tables, and what makes messages.
- * @returns See {@link Intake}.
+ * @returns See {@link UpdateMerger}.
  */
-export function createIntake({records, own, targets, verdicts, messages}: {
+export function createUpdateMerger({records, own, targets, failureDetector, messages}: {
 	records: Records;
 	own: OwnRecord;
 	targets: Targets;
-	verdicts: Verdicts;
+	failureDetector: FailureDetector;
 	messages: Messages;
-}): Intake {
+}): UpdateMerger {
 	function isUrgent({id, life, leaving}: HostRecord, prev: HostRecord | undefined): boolean {
 		// Gossip alone would be slow to fetch a juror from another zone.
-		const isSuspicion = life === 'suspect' && prev?.life !== 'suspect' && verdicts.needsJurors(id);
+		const isSuspicion = life === 'suspect' && prev?.life !== 'suspect' && failureDetector.needsRemoteObservers(id);
 		return life === 'dead' || life === 'left' || (leaving && prev?.leaving !== true) || isSuspicion;
 	}
 
--- a/src/domain/create-membership/_lib/create-zone-contacts.ts
+++ b/src/domain/create-membership/_lib/create-zone-contact-times.ts
@@ -6,13 +6,13 @@
 const maxZones = 256;
 const unitMs = 100;
 
-export type Contacts = {
+export type ZoneContactTimes = {
 	note: (zone: ZoneId, now: Milliseconds) => void;
 	/** Takes over what a host of the same zone knows. */
 	merge: (ages: ZoneContacts, now: Milliseconds) => void;
 	/** Ages for a message, rounded up. */
 	ages: (now: Milliseconds) => ZoneContacts;
-	staleZones: (zones: readonly ZoneId[], now: Milliseconds, patienceMs: Milliseconds) => ZoneId[];
+	staleZones: (zones: readonly ZoneId[], now: Milliseconds, timeoutMs: Milliseconds) => ZoneId[];
 	/** Counts all silence from now again: after a pause it is this process's own. */
 	restart: (now: Milliseconds) => void;
 };
@@ -20,9 +20,9 @@
 /**
  * Creates it with no contact known. A zone is not stale before it was heard once.
  *
- * @returns See {@link Contacts}.
+ * @returns See {@link ZoneContactTimes}.
  */
-export function createZoneContacts(): Contacts {
+export function createZoneContactTimes(): ZoneContactTimes {
 	const heardAt = new Map<ZoneId, Milliseconds>();
 
 	function note(zone: ZoneId, at: Milliseconds) {
@@ -39,7 +39,7 @@
 			}
 		},
 		ages: now => Object.fromEntries([...heardAt].map(([zone, at]) => [zone, Math.ceil((now - at) / unitMs) * unitMs])),
-		staleZones: (zones, now, patienceMs) => zones.filter(zone => now - (heardAt.get(zone) ?? now) > patienceMs),
+		staleZones: (zones, now, timeoutMs) => zones.filter(zone => now - (heardAt.get(zone) ?? now) > timeoutMs),
 		restart(now) {
 			for (const zone of heardAt.keys()) {
 				heardAt.set(zone, now);
--- a/src/domain/create-membership/_test/create-settled.ts
+++ b/src/domain/create-membership/_test/create-converged.ts
@@ -12,11 +12,11 @@
 }
 
 /** Hosts of each zone. */
-export const two = {a: 2, b: 2};
-export const three = {a: 4, b: 3, c: 3};
+export const twoZones = {a: 2, b: 2};
+export const threeZones = {a: 4, b: 3, c: 3};
 
 /** Runs a network until all hosts know each other. */
-export function createSettled(zones: Readonly<Record<string, number>>, passes?: (link: Link) => boolean, seed = 7): Network {
+export function createConverged(zones: Readonly<Record<string, number>>, passes?: (link: Link) => boolean, seed = 7): Network {
 	const network = createNetwork({zones, passes, random: createRandom(seed)});
 	network.run(8000);
 	// Gossip has a tail: with one seed of 400 the last record is found by the comparison of tables, after 9 s.
@@ -34,7 +34,7 @@
 }
 
 /** Runs and returns every life but alive in which a live host was seen meanwhile. */
-export function watch(network: Network, ms: number): Set<string> {
+export function collectNotAlive(network: Network, ms: number): Set<string> {
 	const seen = new Set<string>();
 	network.run(ms, () => {
 		if (network.now() % 100 === 0) {
--- a/src/domain/create-membership/cuts.test.ts
+++ b/src/domain/create-membership/cuts.test.ts
@@ -3,35 +3,35 @@
 import fc from 'fast-check';
 import {type Link} from './_test/create-network.js';
 import {
-	createSettled, three, two, watch, zoneOf,
-} from './_test/create-settled.js';
+	createConverged, threeZones, twoZones, collectNotAlive, zoneOf,
+} from './_test/create-converged.js';
 import {createMembership} from './index.js';
 
 describe('createMembership over cut links', () => {
 	type Cut = {name: string; zones: Readonly<Record<string, number>>; blocks: (link: Link) => boolean; allowed: readonly string[]};
 	const cuts: readonly Cut[] = [
 		{
-			name: 'a link cut one way', zones: three, blocks: ({from, to}) => from === 'a-1' && to === 'a-2', allowed: [],
+			name: 'a link cut one way', zones: threeZones, blocks: ({from, to}) => from === 'a-1' && to === 'a-2', allowed: [],
 		},
 		{
-			name: 'a link cut both ways', zones: three, blocks: ({from, to}) => [from, to].sort().join(' ') === 'a-1 a-2', allowed: [],
+			name: 'a link cut both ways', zones: threeZones, blocks: ({from, to}) => [from, to].sort().join(' ') === 'a-1 a-2', allowed: [],
 		},
 		{
-			name: 'a link that flaps each second', zones: three, blocks: ({from, to, at}) => at % 2000 < 1000 && [from, to].sort().join(' ') === 'a-1 a-2', allowed: [],
+			name: 'a link that flaps each second', zones: threeZones, blocks: ({from, to, at}) => at % 2000 < 1000 && [from, to].sort().join(' ') === 'a-1 a-2', allowed: [],
 		},
 		{
-			name: 'the only link of a zone of two, with another zone as witness', zones: two, blocks: ({from, to}) => zoneOf(from) === 'a' && zoneOf(to) === 'a', allowed: [],
+			name: 'the only link of a zone of two, with another zone as witness', zones: twoZones, blocks: ({from, to}) => zoneOf(from) === 'a' && zoneOf(to) === 'a', allowed: [],
 		},
 		{
-			name: 'a fifth of all messages lost', zones: three, blocks: ({at, from, to}) => ((at / 10) + Number(from.at(-1)) + (3 * Number(to.at(-1)))) % 5 === 0, allowed: ['suspect'],
+			name: 'a fifth of all messages lost', zones: threeZones, blocks: ({at, from, to}) => ((at / 10) + Number(from.at(-1)) + (3 * Number(to.at(-1)))) % 5 === 0, allowed: ['suspect'],
 		},
 	];
 	for (const {name, zones, blocks, allowed} of cuts) {
 		it(`declares nobody dead over ${name}`, () => {
 			let isCut = false;
-			const network = createSettled(zones, link => !isCut || !blocks(link));
+			const network = createConverged(zones, link => !isCut || !blocks(link));
 			isCut = true;
-			const lives = new Set([...watch(network, 60_000)].map(entry => entry.split(' ')[1]!));
+			const lives = new Set([...collectNotAlive(network, 60_000)].map(entry => entry.split(' ')[1]!));
 			assert.deepEqual([...lives].filter(life => life === 'dead' || (allowed.length > 0 && !allowed.includes(life))), []);
 			isCut = false;
 			network.run(15_000);
@@ -41,9 +41,9 @@
 
 	it('keeps the hosts of a zone behind a cut suspect and not dead, and rejoins them', () => {
 		let isCut = false;
-		const network = createSettled(three, ({from, to}) => !isCut || (zoneOf(from) === 'c') === (zoneOf(to) === 'c'));
+		const network = createConverged(threeZones, ({from, to}) => !isCut || (zoneOf(from) === 'c') === (zoneOf(to) === 'c'));
 		isCut = true;
-		const seen = watch(network, 60_000);
+		const seen = collectNotAlive(network, 60_000);
 		assert.ok(![...seen].some(entry => entry.endsWith('dead')), [...seen].join(', '));
 		assert.equal(network.life('a-1', 'c-2'), 'suspect');
 		assert.equal(network.life('c-1', 'c-2'), 'alive');
@@ -58,7 +58,7 @@
 	});
 
 	it('never declares a live, connected host dead for good, whatever was cut, paused and restarted before', () => {
-		const ids = Object.entries(three).flatMap(([zone, count]) => Array.from({length: count}, (_, i) => `${zone}-${i + 1}`));
+		const ids = Object.entries(threeZones).flatMap(([zone, count]) => Array.from({length: count}, (_, i) => `${zone}-${i + 1}`));
 		const event = fc.oneof(
 			fc.record({kind: fc.constant('pause' as const), id: fc.constantFrom(...ids), ms: fc.integer({min: 100, max: 20_000})}),
 			fc.record({kind: fc.constant('restart' as const), id: fc.constantFrom(...ids), ms: fc.integer({min: 1, max: 3000})}),
@@ -67,7 +67,7 @@
 		fc.assert(fc.property(fc.integer(), fc.array(fc.tuple(event, fc.integer({min: 0, max: 6000})), {maxLength: 6}), (seed, events) => {
 			const cut = new Map<string, number>();
 			const isBehind = (id: string, at: number) => (cut.get(id) ?? 0) > at || (cut.get(zoneOf(id)) ?? 0) > at;
-			const network = createSettled(three, ({from, to, at}) => zoneOf(from) === zoneOf(to)
+			const network = createConverged(threeZones, ({from, to, at}) => zoneOf(from) === zoneOf(to)
 				? !((cut.get(from) ?? 0) > at || (cut.get(to) ?? 0) > at)
 				: !isBehind(from, at) && !isBehind(to, at), seed);
 			for (const [{kind, id, ms}, gapMs] of events) {
--- a/src/domain/create-membership/index.ts
+++ b/src/domain/create-membership/index.ts
@@ -10,16 +10,16 @@
 import {type HostId, type Incarnation, type ZoneId} from '../../ports/ids.js';
 import {type HostStatus} from '../../ports/view.js';
 import {createPauseGuard} from '../create-pause-guard/index.js';
-import {createAnswers} from './_lib/create-answers.js';
-import {createIntake} from './_lib/create-intake.js';
+import {createResponder} from './_lib/create-responder.js';
+import {createUpdateMerger} from './_lib/create-update-merger.js';
 import {createMessages} from './_lib/create-messages.js';
 import {createOwnRecord} from './_lib/create-own-record.js';
 import {createProber} from './_lib/create-prober.js';
 import {createRecords} from './_lib/create-records.js';
 import {createSync} from './_lib/create-sync.js';
 import {createTargets} from './_lib/create-targets.js';
-import {createVerdicts} from './_lib/create-verdicts.js';
-import {createZoneContacts} from './_lib/create-zone-contacts.js';
+import {createFailureDetector} from './_lib/create-failure-detector.js';
+import {createZoneContactTimes} from './_lib/create-zone-contact-times.js';
 import {type Membership, type MembershipOptions, type OwnStatement} from './_lib/membership-types.js';
 import {toHosts} from './_lib/to-hosts.js';
 import {type OutMessage} from './_lib/types.js';
@@ -27,25 +27,25 @@
 export {type HostRecord, type MemberMessage, type OutMessage} from './_lib/types.js';
 export {type Membership, type MembershipOptions, type OwnStatement} from './_lib/membership-types.js';
 
-const helpersAsked = 2;
+const helpersPerProbe = 2;
 
 /** Share of a probe's time after which others are asked to help. */
 const directShare = 0.4;
 
 /** Sends of a change beyond the logarithm of the hosts; what gossip still misses, the comparison of tables finds. */
-const spareSends = 1;
+const extraRetransmits = 1;
 const maxSlowness = 4;
 
 /** Limits in heartbeat intervals, so that one setting scales them all. */
 const probeIntervals = 1;
 const suspicionIntervals = 3;
-const pausePatience = 2;
+const pauseIntervals = 2;
 
 /** A contact is made every third interval and takes a few more to be known in a large zone. */
-const zonePatience = 12;
+const zoneTimeoutIntervals = 12;
 
 /** Twins that live overtake each other within a few intervals. */
-const twinPatience = 30;
+const twinIntervals = 30;
 
 /**
  * Creates the membership of one host.
@@ -63,33 +63,33 @@
 export function createMembership(options: MembershipOptions): Membership {
 	const {id: ownId, zone: ownZone, intervalMs = 1000} = options;
 	const {probeMs = probeIntervals * intervalMs, suspicionMs = suspicionIntervals * intervalMs} = options;
-	const records = createRecords({spreadCount: hosts => spareSends + Math.ceil(Math.log2(hosts + 1))});
+	const records = createRecords({spreadCount: hosts => extraRetransmits + Math.ceil(Math.log2(hosts + 1))});
 	const prober = createProber();
-	const guard = createPauseGuard({limitMs: pausePatience * intervalMs, startedAt: options.startedAt});
-	const contacts = createZoneContacts();
+	const guard = createPauseGuard({limitMs: pauseIntervals * intervalMs, startedAt: options.startedAt});
+	const contacts = createZoneContactTimes();
 	const sync = createSync({records, ownId, minGapMs: intervalMs});
 	const targets = createTargets({
 		records, ownId, ownZone, intervalMs, startedAt: options.startedAt,
 	});
-	const verdicts = createVerdicts({
-		records, targets, contacts, ownId, ownZone, suspicionMs, zonePatienceMs: zonePatience * intervalMs,
+	const failureDetector = createFailureDetector({
+		records, targets, contacts, ownId, ownZone, suspicionMs, zoneTimeoutMs: zoneTimeoutIntervals * intervalMs,
 	});
 	const seeds = new Set(options.seeds);
 	const own = createOwnRecord({records, options});
 	const messages = createMessages({
 		records, own, contacts, targets, ownZone,
 	});
-	const intake = createIntake({
-		records, own, targets, verdicts, messages,
+	const updateMerger = createUpdateMerger({
+		records, own, targets, failureDetector, messages,
 	});
-	const {answer, compare} = createAnswers({
+	const {answer, compare} = createResponder({
 		records, prober, sync, messages,
 	});
 	let heardAt: Milliseconds | undefined;
-	let quietUntil = options.startedAt;
+	let noSuspicionUntil = options.startedAt;
 	let slowness = 0;
 	let tickedAt = options.startedAt;
-	let shown: {version: number; stale: string; hosts: ReadonlyMap<HostId, HostStatus>} | undefined;
+	let cachedView: {version: number; stale: string; hosts: ReadonlyMap<HostId, HostStatus>} | undefined;
 
 	const {self} = own;
 	const {send, flood} = messages;
@@ -113,26 +113,26 @@
 		return seq === undefined ? [] : [send(target!, {kind: 'ping', seq}, now)];
 	}
 
-	function askForHelp(target: HostId, seq: number, now: Milliseconds, random: Random): OutMessage[] {
-		const helpers = verdicts.jurors(target, now).filter(({id}) => id !== ownId);
-		return targets.sample(helpers, helpersAsked, random).map(helper => send(helper, {kind: 'ping-request', seq, target}, now));
+	function requestIndirectPings(target: HostId, seq: number, now: Milliseconds, random: Random): OutMessage[] {
+		const helpers = failureDetector.reachableObservers(target, now).filter(({id}) => id !== ownId);
+		return targets.sample(helpers, helpersPerProbe, random).map(helper => send(helper, {kind: 'ping-request', seq, target}, now));
 	}
 
 	function probe(now: Milliseconds, random: Random): OutMessage[] {
 		const factor = 1 + slowness;
-		const {helpless, failed} = prober.takeDue(now, {
+		const {unanswered, failed} = prober.takeDue(now, {
 			directMs: directShare * probeMs * factor, totalMs: probeMs * factor,
 		});
 		return [
-			...(now >= quietUntil ? flood(verdicts.suspect(failed, now), ownId, now) : []),
-			...helpless.flatMap(({target, seq}) => askForHelp(target, seq, now, random)),
+			...(now >= noSuspicionUntil ? flood(failureDetector.suspect(failed, now), ownId, now) : []),
+			...unanswered.flatMap(({target, seq}) => requestIndirectPings(target, seq, now, random)),
 			...targets.takeDue(now, random).flatMap(id => ping(id, now)),
 		];
 	}
 
-	function greetSeeds(now: Milliseconds, random: Random): OutMessage[] {
+	function contactSeeds(now: Milliseconds, random: Random): OutMessage[] {
 		return targets.takeSeeds(seeds, now, random)
-			.map(address => messages.greet(address, {kind: 'zones', zones: sync.zones()}, now));
+			.map(address => messages.sendToAddress(address, {kind: 'zones', zones: sync.zones()}, now));
 	}
 
 	/** Notices a pause of this process before it does or says anything. */
@@ -143,7 +143,7 @@
 			// suspected for them, and no suspicion may ripen, until they are read.
 			prober.clear();
 			records.restartSuspicions(now);
-			quietUntil = now + intervalMs;
+			noSuspicionUntil = now + intervalMs;
 			contacts.restart(now);
 		}
 
@@ -162,9 +162,9 @@
 			const pausedMs = checkPause(now);
 			noteSlowness(now);
 			const due = [
-				...(now >= quietUntil ? flood(verdicts.buryDead(now, slowness), ownId, now) : []),
+				...(now >= noSuspicionUntil ? flood(failureDetector.declareDead(now, slowness), ownId, now) : []),
 				...probe(now, random),
-				...greetSeeds(now, random),
+				...contactSeeds(now, random),
 			];
 			return {messages: due, pausedMs};
 		},
@@ -174,7 +174,7 @@
 				return [];
 			}
 
-			const onward = intake.take(message.updates, from, now);
+			const onward = updateMerger.take(message.updates, from, now);
 			noteHeard(from, now);
 			if (message.contacts) {
 				contacts.merge(message.contacts, now);
@@ -189,11 +189,11 @@
 				return [];
 			}
 
-			own.restate(statement, now);
+			own.revise(statement, now);
 			return flood([self()], ownId, now);
 		},
 		leave(now) {
-			own.restate({life: 'left'}, now);
+			own.revise({life: 'left'}, now);
 			return flood([self()], ownId, now);
 		},
 		addSeeds(addresses) {
@@ -202,19 +202,19 @@
 			}
 		},
 		hosts(now) {
-			const stale = verdicts.staleZones(now);
+			const stale = failureDetector.staleZones(now);
 			const staleKey = stale.join(' ');
-			if (shown?.version !== records.version() || shown.stale !== staleKey) {
-				shown = {version: records.version(), stale: staleKey, hosts: toHosts(records.all(), new Set(stale), shown?.hosts)};
+			if (cachedView?.version !== records.version() || cachedView.stale !== staleKey) {
+				cachedView = {version: records.version(), stale: staleKey, hosts: toHosts(records.all(), new Set(stale), cachedView?.hosts)};
 			}
 
-			return shown.hosts;
+			return cachedView.hosts;
 		},
 		self,
 		record: records.get,
 		spreadTargets: targets.spreadTo,
 		entrySeen: own.entrySeen,
-		twin: now => own.twin(now, twinPatience * intervalMs),
+		twin: now => own.twin(now, twinIntervals * intervalMs),
 		lastHeardAt: () => heardAt,
 	};
 }
--- a/src/domain/create-membership/test.ts
+++ b/src/domain/create-membership/test.ts
@@ -2,27 +2,27 @@
 import {describe, it} from 'node:test';
 import fc from 'fast-check';
 import {
-	createSettled, three, two, watch,
-} from './_test/create-settled.js';
+	createConverged, threeZones, twoZones, collectNotAlive,
+} from './_test/create-converged.js';
 import {createMembership} from './index.js';
 
 describe('createMembership', () => {
 	it('makes hosts that start together known to each other', () => {
-		assert.equal(createSettled(three).now(), 8000);
+		assert.equal(createConverged(threeZones).now(), 8000);
 	});
 
 	it('finds by the comparison of tables what gossip has missed', () => {
-		createSettled(three, undefined, -2_147_483_623);
+		createConverged(threeZones, undefined, -2_147_483_623);
 	});
 
 	const deaths: ReadonlyArray<{zones: Readonly<Record<string, number>>; victim: string}> = [
-		{zones: three, victim: 'a-1'}, {zones: three, victim: 'c-3'}, {zones: two, victim: 'b-2'}, {zones: {a: 2}, victim: 'a-2'}, {zones: {a: 9}, victim: 'a-5'},
+		{zones: threeZones, victim: 'a-1'}, {zones: threeZones, victim: 'c-3'}, {zones: twoZones, victim: 'b-2'}, {zones: {a: 2}, victim: 'a-2'}, {zones: {a: 9}, victim: 'a-5'},
 	];
 	for (const {zones, victim} of deaths) {
 		it(`suspects before it declares dead: ${victim} of ${JSON.stringify(zones)}`, () => {
-			const network = createSettled(zones);
+			const network = createConverged(zones);
 			network.kill(victim);
-			const seen = watch(network, 12_000);
+			const seen = collectNotAlive(network, 12_000);
 			assert.deepEqual([...seen].sort(), [`${victim} dead`, `${victim} suspect`]);
 			assert.deepEqual(network.others(victim, 'dead'), []);
 		});
@@ -30,7 +30,7 @@
 
 	it('declares a host dead in a zone of two, whoever suspects it first', () => {
 		fc.assert(fc.property(fc.integer(), fc.constantFrom('a-1', 'a-2', 'b-1', 'b-2'), (seed, victim) => {
-			const network = createSettled(two, undefined, seed);
+			const network = createConverged(twoZones, undefined, seed);
 			network.run(30_000);
 			network.kill(victim);
 			network.run(12_000);
@@ -39,22 +39,22 @@
 	});
 
 	it('keeps a host that is alone in its zone suspect: its death and a cut look the same', () => {
-		const network = createSettled({a: 3, b: 1});
+		const network = createConverged({a: 3, b: 1});
 		network.kill('b-1');
 		network.run(30_000);
 		assert.deepEqual(network.others('b-1', 'suspect'), []);
 	});
 
 	it('tells everybody at once when a host leaves, and never calls it suspect', () => {
-		const network = createSettled(three);
+		const network = createConverged(threeZones);
 		network.leave('b-1');
 		network.run(100);
 		assert.deepEqual(network.others('b-1', 'left'), []);
-		assert.deepEqual([...watch(network, 10_000)], ['b-1 left']);
+		assert.deepEqual([...collectNotAlive(network, 10_000)], ['b-1 left']);
 	});
 
 	it('tells everybody at once that a host drains', () => {
-		const network = createSettled(three);
+		const network = createConverged(threeZones);
 		const {membership} = network.nodes.get('a-1')!;
 		const messages = membership.state({leaving: true}, network.now());
 		for (const {to, message} of messages) {
@@ -73,7 +73,7 @@
 	];
 	for (const {name, incarnation} of restarts) {
 		it(`takes back a host that was killed and restarts ${name}, above its old incarnation`, () => {
-			const network = createSettled(three);
+			const network = createConverged(threeZones);
 			const before = network.nodes.get('b-2')!.membership.self().incarnation;
 			network.kill('b-2');
 			network.run(12_000);
@@ -85,7 +85,7 @@
 	}
 
 	it('survives the restart of everybody at once, clocks off by two minutes either way', () => {
-		const network = createSettled(three);
+		const network = createConverged(threeZones);
 		for (const [i, id] of network.ids.entries()) {
 			network.restart(id, 1000 + (i % 2 === 0 ? -120_000 : 120_000));
 		}
@@ -95,25 +95,25 @@
 	});
 
 	it('lets a host that was paused suspect nobody on waking, and takes it back', () => {
-		const network = createSettled(three);
+		const network = createConverged(threeZones);
 		network.pause('a-2', 40_000);
 		network.run(20_000);
 		assert.deepEqual(network.others('a-2', 'dead'), []);
 		network.run(20_000);
-		const seen = watch(network, 12_000);
+		const seen = collectNotAlive(network, 12_000);
 		assert.deepEqual([...seen].filter(entry => !entry.startsWith('a-2 ')), []);
 		assert.deepEqual(network.unseen(), []);
 	});
 
 	it('suspects nobody for a pause within its patience', () => {
-		const network = createSettled(three);
+		const network = createConverged(threeZones);
 		network.pause('a-2', 700);
-		assert.ok(![...watch(network, 8000)].some(entry => entry.endsWith('dead')));
+		assert.ok(![...collectNotAlive(network, 8000)].some(entry => entry.endsWith('dead')));
 		assert.deepEqual(network.unseen(), []);
 	});
 
 	it('tells of an earlier entry of this host, so that a new one can go above it', () => {
-		const network = createSettled(two);
+		const network = createConverged(twoZones);
 		network.nodes.get('a-1')!.membership.state({entryAddress: 'x', entryIncarnation: 900}, network.now());
 		network.run(8000);
 		network.restart('a-1', 5);
--- a/src/domain/create-membership/twin.test.ts
+++ b/src/domain/create-membership/twin.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {two} from './_test/create-settled.js';
+import {twoZones} from './_test/create-converged.js';
 import {createMembership, type HostRecord, type Membership} from './index.js';
 
 // Somebody starts the replacement of a host that still runs elsewhere. Each of the two hears from peers what the
