--- a/src/domain/create-membership/_lib/create-failure-detector.ts
+++ b/src/domain/create-membership/_lib/create-failure-detector.ts
@@ -1,4 +1,4 @@
-/** Who is suspected, and who is declared dead. */
+/** Decides which hosts are suspected, and which are declared dead. */
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type HostId, type ZoneId} from '../../../ports/ids.js';
 import {type Records} from './create-records.js';
@@ -6,26 +6,26 @@
 import {type ZoneContactTimes} from './create-zone-contact-times.js';
 import {type HostRecord} from './types.js';
 
-/** Two hosts must have had no answer themselves, where there are two. */
+/** Hosts that must each have probed a suspect without an answer before it is declared dead; fewer where fewer can probe it. */
 const minWitnesses = 2;
 
 export type FailureDetector = {
-	/** Whether a zone has too few hosts to judge by itself, so that bridges of other zones are its jurors. */
+	/** Whether the zone of the host has too few hosts to confirm a failure by itself, so that bridges of other zones are among its observers. */
 	needsRemoteObservers: (id: HostId) => boolean;
-	/** Hosts that could say now whether a host is there; those behind a cut cannot. */
+	/** Hosts that can probe the given host now; hosts of stale zones cannot. */
 	reachableObservers: (id: HostId, now: Milliseconds) => HostRecord[];
-	/** Zones that nobody here has heard for long. */
+	/** Zones from which no host of this zone has had a message within the zone timeout. */
 	staleZones: (now: Milliseconds) => ZoneId[];
-	/** Hosts did not answer this host; returns the records that must be told at once. */
+	/** Marks hosts that did not answer this host as suspect; returns the records to send at once. */
 	suspect: (ids: readonly HostId[], now: Milliseconds) => HostRecord[];
-	/** Declares dead whom it is time for; returns their records. `slowness` is by how much this process is itself late. */
+	/** Declares suspects dead whose suspicion timeout has passed; returns their records. `slowness` lengthens the timeout by how late this process itself runs. */
 	declareDead: (now: Milliseconds, slowness: number) => HostRecord[];
 };
 
 /**
- * Creates it.
+ * Creates the failure detector of one host.
  *
- * @param input - Tables, who we are, and patience in milliseconds.
+ * @param input - Tables, the own host and zone, and timeouts in milliseconds.
  * @returns See {@link FailureDetector}.
  */
 export function createFailureDetector({records, targets, contacts, ownId, ownZone, suspicionMs, zoneTimeoutMs}: {
@@ -58,10 +58,10 @@
 		}
 
 		const change = records.merge({...record, life: 'suspect', witnesses: [...new Set([...record.witnesses, ownId])]}, now);
-		// A juror's verdict counts only where the suspect's own zone hears it. Gossip
-		// may spend its few sends elsewhere, and digests do not cover witnesses: a
-		// dead host would stay suspect. A juror of another zone therefore says it
-		// each time that it finds the suspect gone.
+		// Only the suspect's own zone declares it dead, so a witness counts only once that
+		// zone has its record. Gossip may spend its few sends on other hosts, and digests do
+		// not cover witnesses: a dead host would stay suspect. An observer of another zone
+		// therefore sends the record after each failed probe.
 		const isTold = needsJurors(id) && (change !== 'none' || record.zone !== ownZone);
 		return isTold ? [records.get(id)!] : [];
 	}
@@ -71,8 +71,8 @@
 		reachableObservers,
 		staleZones,
 		suspect: (ids, now) => ids.flatMap(id => suspectOne(id, now)),
-		// Only a host's own zone buries it: from another zone a cut looks the same as
-		// the death of all, and the work of hosts behind a cut must be left alone.
+		// Only a host's own zone declares it dead: seen from another zone, a partition looks
+		// the same as the death of all hosts, and work of hosts behind a partition must be left alone.
 		declareDead(now, slowness) {
 			const timeoutMs = suspicionMs * (1 + (slowness / 2));
 			const dead = records.ofZone(ownZone).filter(({id, life, witnesses}) => life === 'suspect'
--- a/src/domain/create-membership/_lib/create-messages.ts
+++ b/src/domain/create-membership/_lib/create-messages.ts
@@ -1,4 +1,4 @@
-/** Makes messages: what each carries beside its own statement, and whom it goes to. */
+/** Makes messages: adds the header and gossip to a body, and addresses the message. */
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type HostId, type ZoneId} from '../../../ports/ids.js';
 import {type OwnRecord} from './create-own-record.js';
@@ -12,18 +12,18 @@
 const updatesPerMessage = 6;
 
 export type Messages = {
-	/** To a known host. */
+	/** Makes a message to a known host. */
 	send: (to: HostRecord, body: MessageBody, now: Milliseconds) => OutMessage;
-	/** To a host that may be a stranger so far: the answer goes back over its own connection. */
+	/** Makes a message to a host that may not be in the table yet: the reply goes back over that host's own connection. */
 	reply: (to: HostId, body: MessageBody, now: Milliseconds, extra?: readonly HostRecord[]) => OutMessage;
-	/** To an address whose host is not known; it hears of this host first of all. */
+	/** Makes a message to an address whose host is not known; this host's own record comes first in it. */
 	sendToAddress: (address: string, body: MessageBody, now: Milliseconds) => OutMessage;
-	/** At once to all who pass it on, but for where it came from; nothing when there are no records. */
+	/** Makes messages that spread records at once, to all hosts that pass them on but the origin; none when there are no records. */
 	flood: (updates: readonly HostRecord[], origin: HostId, now: Milliseconds) => OutMessage[];
 };
 
 /**
- * Creates it.
+ * Creates the message factory of one host.
  *
  * @param input - The tables, and the zone of this host.
  * @returns See {@link Messages}.
@@ -37,7 +37,7 @@
 }): Messages {
 	function toMessage(body: MessageBody, to: HostRecord | undefined, now: Milliseconds, extra: readonly HostRecord[] = []): MemberMessage {
 		const {incarnation, revision} = own.self();
-		// A host that is not seen alive must hear it first of all, to take it back.
+		// The record of a receiver that is not seen alive comes first, so that the receiver can refute it.
 		const first = to && to.life !== 'alive' ? [to, ...extra] : extra;
 		const rest = records.takeUpdates(updatesPerMessage - Math.min(first.length, updatesPerMessage));
 		const updates = [...first, ...rest.filter(record => !first.some(({id}) => id === record.id))];
--- a/src/domain/create-membership/_lib/create-own-record.ts
+++ b/src/domain/create-membership/_lib/create-own-record.ts
@@ -1,4 +1,4 @@
-/** This host's own record, which it alone may speak for. */
+/** This host's own record, which no other host may raise. */
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type Incarnation} from '../../../ports/ids.js';
 import {type Records} from './create-records.js';
@@ -7,13 +7,13 @@
 
 export type OwnRecord = {
 	self: () => HostRecord;
-	/** Speaks for this host anew; `changes` are what it says. */
+	/** Applies changes to the record and raises its revision. */
 	revise: (changes: Partial<HostRecord>, now: Milliseconds) => void;
-	/** Takes back what somebody says of this host that it has not said itself; returns whether it had to. */
+	/** Refutes a record of this host that this process did not publish; returns whether a refutation was needed. */
 	refute: (rumour: HostRecord, now: Milliseconds) => boolean;
-	/** Highest incarnation of an earlier entry of this host that anybody has seen, and where that was. */
+	/** Highest incarnation of an earlier entry of this host that any peer has seen, and its address. */
 	entrySeen: () => {incarnation: Incarnation; address: string};
-	/** Address of another live process under this host's name, heard of within the patience (milliseconds). */
+	/** Address of another live process that uses this host's name, if one was seen within the timeout (milliseconds). */
 	twin: (now: Milliseconds, timeoutMs: Milliseconds) => string | undefined;
 };
 
@@ -57,10 +57,11 @@
 	}
 
 	/**
-	 * Two processes with one host name overtake each other for ever, and their
-	 * peers reach now the one, now the other. What an earlier process left behind
-	 * has a stamp of its own; only a live one can have answered this one's stamp,
-	 * by the next higher.
+	 * Detects a second process with this host's name. Two such processes raise their
+	 * incarnations above each other for ever, and their peers reach now one, now the
+	 * other. A record that an earlier process left behind has an incarnation of its
+	 * own; only a live process can have answered this one's incarnation, with the
+	 * same or the next higher one.
 	 */
 	function noteTwin({agentAddress, incarnation}: HostRecord, now: Milliseconds) {
 		const current = self();
@@ -88,8 +89,8 @@
 			}
 
 			if (rumour.incarnation > current.incarnation || isFinal) {
-				// An earlier process of this host had a clock that was ahead, or this one
-				// was taken for dead. Both end only with a larger incarnation.
+				// An earlier process of this host had a clock that was ahead, or this process
+				// was declared dead. Only a higher incarnation overrides either.
 				revise({incarnation: rumour.incarnation + 1, revision: 0}, now);
 				return true;
 			}
--- a/src/domain/create-membership/_lib/create-prober.ts
+++ b/src/domain/create-membership/_lib/create-prober.ts
@@ -1,7 +1,7 @@
 /**
- * Probes: a ping, then the same ping through two others, then a verdict. It
- * knows nothing of records; the caller says whom to ping and what to make of
- * the verdict.
+ * Probes: a direct ping, then indirect pings through other hosts, then success
+ * or failure. The prober knows nothing of records; the caller chooses whom to
+ * ping and acts on failures.
  */
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type HostId} from '../../../ports/ids.js';
@@ -10,7 +10,7 @@
 	seq: number;
 	target: HostId;
 	startedAt: Milliseconds;
-	/** Others have been asked to ping the target. */
+	/** Whether other hosts have been asked to ping the target. */
 	isIndirect: boolean;
 };
 
@@ -25,22 +25,22 @@
 export type Prober = {
 	/** Starts a probe and returns its number; `undefined` while one of the target is under way. */
 	start: (target: HostId, now: Milliseconds) => number | undefined;
-	/** Notes a ping for somebody else and returns its number; `undefined` when there are too many. */
+	/** Records a ping on behalf of another host and returns its number; `undefined` when there are too many. */
 	startRelayedPing: (requester: HostId, requestSeq: number, target: HostId, now: Milliseconds) => number | undefined;
-	/** An answer came. Returns the relayed that it ends, if it ends one. */
+	/** Records an answer. Returns the relayed ping that it completes, if any. */
 	takeAnswer: (seq: number, target: HostId) => RelayedPing | undefined;
-	/** Probes that now need the help of others, and those that have failed; the failed ones are over. */
+	/** Takes the probes whose direct ping timed out, which need indirect pings now, and the targets whose probe has failed; failed probes are removed. */
 	takeDue: (now: Milliseconds, timeouts: {directMs: Milliseconds; totalMs: Milliseconds}) => {unanswered: readonly Probe[]; failed: readonly HostId[]};
-	/** Forgets everything under way. */
+	/** Forgets all probes and relayed pings in flight. */
 	clear: () => void;
-	/** Ends the probe of a host that was heard from otherwise. */
+	/** Ends the probe of a host that was heard from by another message. */
 	end: (target: HostId) => void;
 };
 
 const maxRelayedPings = 64;
 
 /**
- * Creates a prober with nothing under way.
+ * Creates a prober with nothing in flight.
  *
  * @returns See {@link Prober}.
  */
--- a/src/domain/create-membership/_lib/create-records.ts
+++ b/src/domain/create-membership/_lib/create-records.ts
@@ -14,12 +14,12 @@
 type Entry = {
 	record: HostRecord;
 	stamp: number;
-	/** Messages into which the record still goes. */
+	/** Number of messages that the record still has to be gossiped in. */
 	retransmitsLeft: number;
 	suspectSince: Milliseconds;
 };
 
-/** Whether the first record replaces the second. */
+/** Checks whether the first record replaces the second. */
 export function isNewerRecord(candidate: HostRecord, current: HostRecord): boolean {
 	if (candidate.incarnation !== current.incarnation) {
 		return candidate.incarnation > current.incarnation;
@@ -53,7 +53,7 @@
 	/** Replaces the witnesses of a suspect. */
 	setWitnesses: (id: HostId, witnesses: readonly HostId[]) => void;
 	suspectSince: (id: HostId) => Milliseconds;
-	/** Counts the patience with each suspect from now again. */
+	/** Restarts the suspicion timeout of every suspect. */
 	restartSuspicions: (now: Milliseconds) => void;
 	all: () => Iterable<HostRecord>;
 	ofZone: (zone: ZoneId) => readonly HostRecord[];
@@ -63,16 +63,16 @@
 	/** Hash of all records. */
 	digest: () => number;
 	zoneDigest: (zone: ZoneId) => number;
-	/** Takes records that still have to spread, those that went into the fewest messages first. */
+	/** Takes records that still have to be gossiped, the least recently sent first. */
 	takeUpdates: (count: number) => HostRecord[];
-	/** Grows with each change. */
+	/** Number that is raised with each change. */
 	version: () => number;
 };
 
 /**
  * Creates an empty table.
  *
- * @param options - `spreadCount`: messages into which each change goes, given the number of hosts.
+ * @param options - `spreadCount`: number of messages that each change is gossiped in, given the number of hosts.
  * @returns See {@link Records}.
  */
 export function createRecords({spreadCount}: {spreadCount: (hosts: number) => number}): Records {
@@ -130,7 +130,7 @@
 			return known;
 		}
 
-		// A sum does not depend on the order in which hosts were learnt.
+		// A sum does not depend on the order in which hosts were added.
 		const sum = ofZone(zone).reduce((total, {id}) => (total + entries.get(id)!.stamp) % (2 ** 32), 0);
 		digests.set(zone, sum);
 		return sum;
@@ -200,7 +200,7 @@
 				const entry = entries.get(id)!;
 				entry.retransmitsLeft -= 1;
 				taken.push(entry.record);
-				// Set order is insertion order: what was just sent goes to the end.
+				// A set iterates in insertion order: a record that was just sent goes to the end.
 				pendingGossip.delete(id);
 				if (entry.retransmitsLeft > 0) {
 					pendingGossip.add(id);
--- a/src/domain/create-membership/_lib/create-responder.ts
+++ b/src/domain/create-membership/_lib/create-responder.ts
@@ -1,4 +1,4 @@
-/** Answers messages: pings, errands for others, and the comparison of tables. */
+/** Answers messages: pings, pings relayed for other hosts, and the comparison of tables. */
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type HostId} from '../../../ports/ids.js';
 import {type Messages} from './create-messages.js';
@@ -10,14 +10,14 @@
 export type Responder = {
 	/** Answers a message whose records were merged. */
 	answer: (message: MemberMessage, from: HostId, now: Milliseconds) => OutMessage[];
-	/** Asks a host whose table has differed for a while where it differs. */
+	/** Starts a comparison with a host whose table has differed from this one's for a while. */
 	compare: (message: MemberMessage, from: HostId, now: Milliseconds) => OutMessage[];
 };
 
 /**
- * Creates it.
+ * Creates the responder of one host.
  *
- * @param input - The table, the probes under way, and what makes messages.
+ * @param input - The table, the probes in flight, the table comparison, and the message factory.
  * @returns See {@link Responder}.
  */
 export function createResponder({records, prober, sync, messages}: {
--- a/src/domain/create-membership/_lib/create-sync.ts
+++ b/src/domain/create-membership/_lib/create-sync.ts
@@ -1,29 +1,29 @@
 /**
- * Repair of tables that differ: gossip alone may miss a host that was cut off
- * or has just started. Zones are compared first, then the hosts of those that
- * differ, then the records themselves, so that equal tables cost nothing.
+ * Anti-entropy between tables that differ: gossip alone may miss a host that was
+ * cut off or has just started. Zone hashes are compared first, then the host
+ * hashes of zones that differ, then the records, so that equal tables cost nothing.
  */
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type HostId, type ZoneId} from '../../../ports/ids.js';
 import {type Records} from './create-records.js';
 import {type HostRecord, type SyncBody} from './types.js';
 
-/** Records in one message; what is left follows with the next comparison. */
+/** Records in one message; the rest follow with the next comparison. */
 const recordsInMessage = 64;
 
 export type Sync = {
 	/** The hash of each zone's records. */
 	zones: () => Readonly<Record<ZoneId, number>>;
-	/** What to send back, and which records with it; `undefined` when there is nothing. */
+	/** Returns the body and the records to send back; `undefined` when there is nothing to send. */
 	answer: (message: SyncBody) => {body: SyncBody; updates: readonly HostRecord[]} | undefined;
-	/** Notes the digest of a host; `true` when it has differed long enough and no comparison was begun of late. */
+	/** Records the digest of a host. Returns whether a comparison is due: the digests have differed for `minGapMs`, and none was begun within `minGapMs`. */
 	noteDigest: (from: HostId, digest: number, now: Milliseconds) => boolean;
 };
 
 /**
- * Creates the repair.
+ * Creates the table comparison of one host.
  *
- * @param options - `records`: the table. `minGapMs`: least time between two
+ * @param options - `records`: the table. `minGapMs`: minimum time between two
  * comparisons that this host begins, milliseconds.
  * @returns See {@link Sync}.
  */
@@ -40,7 +40,7 @@
 		return Object.fromEntries(known.flatMap(zone => records.ofZone(zone).map(({id}) => [id, records.stamp(id)!])));
 	}
 
-	/** Records that differ from the other's stamps, and names that are unknown here or differ. */
+	/** Returns the own records that differ from the other host's stamps, and the hosts to request: those that are unknown here or differ. */
 	function toDifference(stamps: Readonly<Record<HostId, number>>): {updates: HostRecord[]; wanted: HostId[]} {
 		const differing = Object.keys(stamps).filter(id => stamps[id] !== records.stamp(id)).slice(0, recordsInMessage);
 		const updates = [ownId, ...differing].map(id => records.get(id)).filter(record => record !== undefined);
@@ -72,7 +72,7 @@
 				return false;
 			}
 
-			// News that is still on its way makes tables differ for a moment.
+			// Updates in flight make tables differ for a moment.
 			differsSince ??= {from, at: now};
 			const isDue = now - differsSince.at >= minGapMs && now - begunAt >= minGapMs;
 			if (isDue) {
--- a/src/domain/create-membership/_lib/create-targets.ts
+++ b/src/domain/create-membership/_lib/create-targets.ts
@@ -1,4 +1,8 @@
-/** Whom to ping next, and whom to tell. */
+/**
+ * Chooses which hosts to ping next, and which to send updates to. The bridges of
+ * a zone are its hosts that exchange messages with other zones, see
+ * {@link pickZoneContacts}.
+ */
 import {pickRanked} from '../../../_lib/pick-ranked/index.js';
 import {type Milliseconds, type Random} from '../../../ports/clock.js';
 import {type HostId, type ZoneId} from '../../../ports/ids.js';
@@ -7,7 +11,7 @@
 import {type HostRecord} from './types.js';
 
 const pingsPerInterval = 2;
-/** Intervals between two pings to one other zone, and to one host that is gone. */
+/** Heartbeat intervals between two pings to another zone, and to a host that is dead or out of reach. */
 const zoneIntervals = 3;
 const unavailableIntervals = 5;
 const seedIntervals = 1;
@@ -18,21 +22,21 @@
 export type Targets = {
 	/** Hosts to ping now. */
 	takeDue: (now: Milliseconds, random: Random) => HostId[];
-	/** Those of the addresses that no known host has and that are to be greeted now. */
+	/** Takes the seed addresses to contact now; addresses of known hosts are left out. */
 	takeSeeds: (seeds: ReadonlySet<string>, now: Milliseconds, random: Random) => string[];
-	/** A host is suspected; ping it at once if this host is among the few that look. */
+	/** Schedules a ping to a suspected host if this host is one of the few that verify the suspicion. */
 	verify: (id: HostId) => void;
-	/** Live hosts that can say whether a host is there: those of its zone, and bridges of other zones where it has fewer than two. */
+	/** Live hosts that can probe a host: those of its zone, and bridges of other zones where its zone has fewer than two. */
 	observers: (id: HostId) => readonly HostRecord[];
-	/** Hosts to tell of something that came from a host: this zone if it is news to it, and bridges of other zones if it began here. */
+	/** Hosts to pass an update on to: hosts of this zone if the update comes from another one, and also bridges of other zones if it originates at this host. */
 	spreadTo: (origin: HostId) => readonly HostRecord[];
 	sample: (records: readonly HostRecord[], count: number, random: Random) => HostRecord[];
 };
 
 /**
- * Creates it.
+ * Creates the target selection of one host.
  *
- * @param options - The table, who we are, and the heartbeat's interval in milliseconds.
+ * @param options - The table, the own host and zone, and the heartbeat interval in milliseconds.
  * @returns See {@link Targets}.
  */
 export function createTargets({records, ownId, ownZone, intervalMs, startedAt}: {
@@ -97,7 +101,7 @@
 		return [...neighbours, ...bridges.filter(({life}) => life === 'alive')];
 	}
 
-	/** Everybody once in a random order, then again: nobody waits for a ping longer than two rounds. */
+	/** Takes the next host of the zone, each once a round in a random order: no host waits for a ping longer than two rounds. */
 	function takeZonePeer(random: Random): HostId | undefined {
 		if (queue.length === 0) {
 			const peers = records.ofZone(ownZone).filter(record => record.id !== ownId && isNotGone(record));
@@ -133,7 +137,7 @@
 		});
 	}
 
-	/** A host that was buried by mistake, or came back and does not know us, is found again. */
+	/** Takes a host that is dead, or suspect in another zone: a host that was declared dead by mistake, or came back without knowing this one, is found again. */
 	function takeUnavailable(now: Milliseconds, random: Random): HostId[] {
 		if (now < goneAt) {
 			return [];
@@ -151,8 +155,8 @@
 				return [];
 			}
 
-			// Once the fleet is known, a stranger is an address that nobody has taken
-			// yet: worth a look now and then, and the only way back when all were cut off.
+			// Once other hosts are known, a seed without a known host is tried rarely: a host may
+			// start there later, and seeds are the only way back after a total partition.
 			const intervals = records.size() > 1 ? unavailableIntervals : seedIntervals;
 			const known = new Set([...records.all()].map(({agentAddress}) => agentAddress));
 			const unknown = [...seeds].filter(address => !known.has(address));
@@ -173,7 +177,7 @@
 				return [...peers, ...otherZones().flatMap(zone => bridges.get(zone) ?? [])];
 			}
 
-			// Who began it has told its own zone and the bridges of the others; a bridge tells its zone.
+			// The origin has sent the update to its own zone and to the bridges of the others; a bridge passes it on in its zone.
 			return originZone !== ownZone && isBridge() ? peers.filter(({id}) => id !== origin) : [];
 		},
 		sample: (candidates, count, random) => shuffle(candidates, random).slice(0, count),
--- a/src/domain/create-membership/_lib/create-update-merger.ts
+++ b/src/domain/create-membership/_lib/create-update-merger.ts
@@ -1,4 +1,4 @@
-/** Merges what messages say of hosts, and finds what must go on at once. */
+/** Merges the records that messages carry, and passes urgent ones on at once. */
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type HostId} from '../../../ports/ids.js';
 import {type Messages} from './create-messages.js';
@@ -9,14 +9,14 @@
 import {type HostRecord, type OutMessage} from './types.js';
 
 export type UpdateMerger = {
-	/** Takes the records of a message; returns the messages that pass on what cannot wait. */
+	/** Merges the records of a message; returns the messages that pass urgent records on. */
 	take: (updates: readonly HostRecord[], from: HostId, now: Milliseconds) => OutMessage[];
 };
 
 /**
- * Creates it.
+ * Creates the merger of one host.
  *
- * @param input - The tables, and what makes messages.
+ * @param input - The tables, the failure detector, and the message factory.
  * @returns See {@link UpdateMerger}.
  */
 export function createUpdateMerger({records, own, targets, failureDetector, messages}: {
@@ -27,12 +27,12 @@
 	messages: Messages;
 }): UpdateMerger {
 	function isUrgent({id, life, leaving}: HostRecord, prev: HostRecord | undefined): boolean {
-		// Gossip alone would be slow to fetch a juror from another zone.
+		// Gossip alone would be slow to reach an observer in another zone.
 		const isSuspicion = life === 'suspect' && prev?.life !== 'suspect' && failureDetector.needsRemoteObservers(id);
 		return life === 'dead' || life === 'left' || (leaving && prev?.leaving !== true) || isSuspicion;
 	}
 
-	/** Merges a record of another host; returns whether it must go on at once. */
+	/** Merges a record of another host; returns whether it must be passed on at once. */
 	function merge(update: HostRecord, now: Milliseconds): boolean {
 		const prev = records.get(update.id);
 		const change = records.merge(update, now);
--- a/src/domain/create-membership/_lib/create-zone-contact-times.ts
+++ b/src/domain/create-membership/_lib/create-zone-contact-times.ts
@@ -1,4 +1,4 @@
-/** When each zone was last heard from, by this host or by one of its zone. */
+/** Keeps when each zone was last heard from, by this host or by another host of its zone. */
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type ZoneId} from '../../../ports/ids.js';
 import {type ZoneContacts} from './types.js';
@@ -8,17 +8,17 @@
 
 export type ZoneContactTimes = {
 	note: (zone: ZoneId, now: Milliseconds) => void;
-	/** Takes over what a host of the same zone knows. */
+	/** Merges the ages that a host of the same zone sent. */
 	merge: (ages: ZoneContacts, now: Milliseconds) => void;
 	/** Ages for a message, rounded up. */
 	ages: (now: Milliseconds) => ZoneContacts;
 	staleZones: (zones: readonly ZoneId[], now: Milliseconds, timeoutMs: Milliseconds) => ZoneId[];
-	/** Counts all silence from now again: after a pause it is this process's own. */
+	/** Restarts the timeout of every zone: after a pause of this process the silence is its own. */
 	restart: (now: Milliseconds) => void;
 };
 
 /**
- * Creates it with no contact known. A zone is not stale before it was heard once.
+ * Creates an empty table. A zone is not stale before it was heard from once.
  *
  * @returns See {@link ZoneContactTimes}.
  */
--- a/src/domain/create-membership/_lib/membership-types.ts
+++ b/src/domain/create-membership/_lib/membership-types.ts
@@ -1,4 +1,4 @@
-/** What membership offers its program. */
+/** Options and functions of membership. */
 import {type Milliseconds, type Random} from '../../../ports/clock.js';
 import {type HostId, type Incarnation, type ZoneId} from '../../../ports/ids.js';
 import {type HostStatus} from '../../../ports/view.js';
@@ -7,22 +7,22 @@
 export type MembershipOptions = {
 	id: HostId;
 	zone: ZoneId;
-	/** Wall-clock milliseconds at the start of the process; raised above what peers have seen. */
+	/** Wall-clock milliseconds at the start of the process; raised above the incarnations that peers have seen. */
 	incarnation: Incarnation;
 	agentAddress: string;
 	/** Peer ports of agents whose hosts may be unknown. */
 	seeds: readonly string[];
 	/** Time between two heartbeats, milliseconds; the same on all hosts. */
 	intervalMs?: Milliseconds;
-	/** Time for an answer, that of the helpers included, after which a host is suspected; one interval by default. */
+	/** Probe timeout, indirect pings included, after which a host is suspected; one interval by default. */
 	probeMs?: Milliseconds;
-	/** Time that a suspect has to take it back; three intervals by default. */
+	/** Suspicion timeout, in which a suspect can refute the suspicion; three intervals by default. */
 	suspicionMs?: Milliseconds;
 	/** Monotonic milliseconds. */
 	startedAt: Milliseconds;
 };
 
-/** What a host says of itself. */
+/** Fields of its own record that a host sets. */
 export type OwnStatement = {
 	entryAddress?: string;
 	entryIncarnation?: Incarnation;
@@ -33,34 +33,34 @@
 
 export type Membership = {
 	/**
-	 * Moves time on.
+	 * Runs everything that is due: probes, suspicion timeouts and contacts to seeds.
 	 *
 	 * @returns Messages to send, and how long the process was paused before this call (0 if it was not).
 	 */
 	tick: (now: Milliseconds, random: Random) => {messages: readonly OutMessage[]; pausedMs: Milliseconds};
 	/**
-	 * Takes a message of a host.
+	 * Handles a message of a host.
 	 *
 	 * @param message - The message.
-	 * @param from - The host that sent it, as its connection says.
+	 * @param from - The host that sent it, as identified by its connection.
 	 * @returns Messages to send.
 	 */
 	receive: (message: MemberMessage, from: HostId, now: Milliseconds) => readonly OutMessage[];
-	/** Changes what this host says of itself; returns the messages that tell it at once. */
+	/** Changes this host's own record; returns the messages that announce the change at once. */
 	state: (statement: OwnStatement, now: Milliseconds) => readonly OutMessage[];
-	/** Says goodbye; returns the messages. Nothing may be sent afterwards. */
+	/** Announces that this host leaves; returns the messages. No message may be sent afterwards. */
 	leave: (now: Milliseconds) => readonly OutMessage[];
-	/** More addresses to try while nobody is known. */
+	/** Adds addresses to try for hosts that are not known. */
 	addSeeds: (addresses: readonly string[]) => void;
 	/** All known hosts, this one included. The same map until something changes. */
 	hosts: (now: Milliseconds) => ReadonlyMap<HostId, HostStatus>;
 	self: () => HostRecord;
 	record: (id: HostId) => HostRecord | undefined;
-	/** Hosts that one message must reach to be known everywhere: the zone, and bridges of the others. */
+	/** Hosts to send an update to so that it reaches every host: those of the zone, and the bridges of other zones. */
 	spreadTargets: (from: HostId) => readonly HostRecord[];
-	/** Highest incarnation of an earlier entry of this host that anybody has seen, and where that was. */
+	/** Highest incarnation of an earlier entry of this host that any peer has seen, and its address. */
 	entrySeen: () => {incarnation: Incarnation; address: string};
-	/** Address of another live agent under this host's name, while there is one; each must be told of the other. */
+	/** Address of another live agent that uses this host's name; `undefined` while there is none. */
 	twin: (now: Milliseconds) => string | undefined;
 	/** When a message of another host last came; `undefined` before the first. */
 	lastHeardAt: () => Milliseconds | undefined;
--- a/src/domain/create-membership/_lib/to-hosts.ts
+++ b/src/domain/create-membership/_lib/to-hosts.ts
@@ -3,11 +3,11 @@
 import {type HostRecord} from './types.js';
 
 /**
- * Turns records into what entries see.
+ * Turns records into the host statuses that entries see.
  *
  * @param all - The records.
- * @param staleZones - Zones that nobody here has heard for long.
- * @param prev - What was shown before; a status that did not change stays the same object.
+ * @param staleZones - Zones from which no host of this zone has had a message within the zone timeout.
+ * @param prev - The previous statuses; a status that did not change stays the same object.
  * @returns Statuses by host.
  */
 export function toHosts(all: Iterable<HostRecord>, staleZones: ReadonlySet<ZoneId>, prev: ReadonlyMap<HostId, HostStatus> | undefined): ReadonlyMap<HostId, HostStatus> {
@@ -15,7 +15,7 @@
 	for (const {
 		id, zone, life, incarnation, entryAddress, entryIncarnation, entryGone, agentAddress, leaving,
 	} of all) {
-		// A zone that nobody here hears may be cut off or gone; its hosts are no longer known to be alive.
+		// A stale zone may be cut off or down; its hosts are no longer known to be alive.
 		const shownLife = life === 'alive' && staleZones.has(zone) ? 'suspect' : life;
 		const status: HostStatus = {
 			id, zone, life: shownLife, incarnation, entryAddress, entryIncarnation, entryGone, agentAddress, leaving,
--- a/src/domain/create-membership/_lib/types.ts
+++ b/src/domain/create-membership/_lib/types.ts
@@ -1,12 +1,12 @@
-/** What agents tell each other about hosts. */
+/** Records and messages that agents exchange about hosts. */
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type HostId, type Incarnation, type ZoneId} from '../../../ports/ids.js';
 import {type HostLife} from '../../../ports/view.js';
 
 /**
- * What is known of one host. A host alone raises its `incarnation` (at each
- * start, and to take back a death) and its `revision` (for each statement
- * about itself within one incarnation); others change its `life` alone.
+ * The record of one host. Only the host itself raises its `incarnation` (at each
+ * start, and to refute its death) and its `revision` (for each change of its
+ * record within one incarnation); other hosts change its `life` alone.
  */
 export type HostRecord = {
 	id: HostId;
@@ -23,14 +23,14 @@
 	entryGone: Incarnation;
 	/** The host drains: it finishes what it has and takes nothing new. */
 	leaving: boolean;
-	/** Hosts that probed it themselves and got no answer; empty unless suspect. */
+	/** Hosts that probed this host and got no answer; empty unless it is suspect. */
 	witnesses: readonly HostId[];
 };
 
 /** Time since a zone was last heard from, milliseconds. */
 export type ZoneContacts = Readonly<Record<ZoneId, Milliseconds>>;
 
-/** In each message: who the sender is now and what its table hashes to. */
+/** Header of each message: the sender's incarnation, revision and table hash, and records to gossip. */
 type MessageHeader = {
 	incarnation: Incarnation;
 	revision: number;
@@ -42,23 +42,23 @@
 
 /** Comparison of two tables, step by step. */
 export type SyncBody =
-	/** Hash of each zone's records, for finding out where two tables differ. */
+	/** Hash of each zone's records, to find the zones in which two tables differ. */
 	| {kind: 'zones'; zones: Readonly<Record<ZoneId, number>>}
 	/** Hash of each record of the zones that differ. */
 	| {kind: 'stamps'; stamps: Readonly<Record<HostId, number>>}
-	/** The records that differ (in `updates`), and those that the sender would like to have. */
+	/** The records that differ (in `updates`), and the hosts whose records the sender requests. */
 	| {kind: 'records'; wanted: readonly HostId[]};
 
 export type MessageBody =
-	/** Are you there? */
+	/** Asks the receiver for an `ack`. */
 	| {kind: 'ping'; seq: number}
-	/** I am. */
+	/** Answers a `ping`; `seq` is that of the ping. */
 	| {kind: 'ack'; seq: number}
-	/** Please ping the target for me. */
+	/** Asks the receiver to ping the target on behalf of the sender. */
 	| {kind: 'ping-request'; seq: number; target: HostId}
-	/** The target answered my ping; `seq` is that of the request. */
+	/** Reports that the target answered the relayed ping; `seq` is that of the request. */
 	| {kind: 'ping-reply'; seq: number; target: HostId}
-	/** Something that must not wait for the next heartbeat. */
+	/** Carries updates that must not wait for the next heartbeat. */
 	| {kind: 'news'}
 	| SyncBody;
 
--- a/src/domain/create-membership/_test/create-converged.ts
+++ b/src/domain/create-membership/_test/create-converged.ts
@@ -1,4 +1,4 @@
-/** Settled networks of memberships, and a look at what their hosts say of one another. */
+/** Converged networks of memberships, and the statuses that their hosts see of one another. */
 import assert from 'node:assert/strict';
 import {createNetwork, type Link, type Network} from './create-network.js';
 
@@ -11,7 +11,7 @@
 	};
 }
 
-/** Hosts of each zone. */
+/** Number of hosts in each zone. */
 export const twoZones = {a: 2, b: 2};
 export const threeZones = {a: 4, b: 3, c: 3};
 
@@ -19,7 +19,7 @@
 export function createConverged(zones: Readonly<Record<string, number>>, passes?: (link: Link) => boolean, seed = 7): Network {
 	const network = createNetwork({zones, passes, random: createRandom(seed)});
 	network.run(8000);
-	// Gossip has a tail: with one seed of 400 the last record is found by the comparison of tables, after 9 s.
+	// Gossip may miss a record: with one seed of 400 the comparison of tables finds the last one, after 9 s.
 	while (network.unseen().length > 0 && network.now() < 20_000) {
 		network.run(500);
 	}
@@ -28,12 +28,12 @@
 	return network;
 }
 
-/** The zone in the id of a host. */
+/** Returns the zone in the id of a host. */
 export function zoneOf(id: string): string {
 	return id.split('-')[0]!;
 }
 
-/** Runs and returns every life but alive in which a live host was seen meanwhile. */
+/** Runs the network and returns every status but `alive` that a running host has seen meanwhile, as `host status`. */
 export function collectNotAlive(network: Network, ms: number): Set<string> {
 	const seen = new Set<string>();
 	network.run(ms, () => {
--- a/src/domain/create-membership/_test/create-network.ts
+++ b/src/domain/create-membership/_test/create-network.ts
@@ -12,7 +12,7 @@
 export type NetworkOptions = {
 	zones: Readonly<Record<string, number>>;
 	random: () => number;
-	/** Whether a message passes. */
+	/** Whether the link delivers a message. */
 	passes?: (link: Link) => boolean;
 	delayMs?: number;
 	/** Called with every message that is sent, for counting. */
@@ -126,15 +126,15 @@
 			send(id, node.membership.leave(at));
 			node.isUp = false;
 		},
-		/** How the first host sees the second. */
+		/** Status of the second host as the first one sees it. */
 		life: (by: HostId, id: HostId): HostLife | undefined => nodes.get(by)!.membership.hosts(at).get(id)?.life,
-		/** Hosts that are up and do not see the given host so. */
+		/** Hosts that are up and do not see the given host in the given status. */
 		others(id: HostId, life: HostLife): HostId[] {
 			return [...nodes.values()]
 				.filter(node => node.isUp && node.id !== id && node.membership.hosts(at).get(id)?.life !== life)
 				.map(node => node.id);
 		},
-		/** Pairs in which one live host does not see another alive. */
+		/** Pairs of live hosts in which the first does not see the second alive. */
 		unseen(): string[] {
 			const up = [...nodes.values()].filter(({isUp}) => isUp);
 			return up.flatMap(by => up
--- a/src/domain/create-membership/index.ts
+++ b/src/domain/create-membership/index.ts
@@ -1,8 +1,8 @@
 /**
- * Membership between agents: who is there, who is suspected, who is dead.
- * Why it is built so is in `docs/design/006-membership.md`.
+ * Membership between agents: which hosts are alive, suspected or dead, by gossip
+ * and probes. `docs/design/006-membership.md` gives the reasons for the design.
  *
- * It decides and does no I/O: {@link Membership.tick} is called about ten times
+ * This module does no I/O: {@link Membership.tick} is called about ten times
  * a second, {@link Membership.receive} for each message, and both return the
  * messages to send.
  */
@@ -29,22 +29,22 @@
 
 const helpersPerProbe = 2;
 
-/** Share of a probe's time after which others are asked to help. */
+/** Share of the probe timeout after which other hosts are asked for indirect pings. */
 const directShare = 0.4;
 
-/** Sends of a change beyond the logarithm of the hosts; what gossip still misses, the comparison of tables finds. */
+/** Number of sends of a change beyond the logarithm of the number of hosts; the comparison of tables finds records that gossip still misses. */
 const extraRetransmits = 1;
 const maxSlowness = 4;
 
-/** Limits in heartbeat intervals, so that one setting scales them all. */
+/** Timeouts in heartbeat intervals, so that one setting scales them all. */
 const probeIntervals = 1;
 const suspicionIntervals = 3;
 const pauseIntervals = 2;
 
-/** A contact is made every third interval and takes a few more to be known in a large zone. */
+/** Zones are contacted every third interval, and the contact takes a few more intervals to be known in a large zone. */
 const zoneTimeoutIntervals = 12;
 
-/** Twins that live overtake each other within a few intervals. */
+/** Live twins raise their incarnations above each other within a few intervals. */
 const twinIntervals = 30;
 
 /**
@@ -135,12 +135,12 @@
 			.map(address => messages.sendToAddress(address, {kind: 'zones', zones: sync.zones()}, now));
 	}
 
-	/** Notices a pause of this process before it does or says anything. */
+	/** Detects a pause of this process before it acts on its timeouts or sends anything. */
 	function checkPause(now: Milliseconds): Milliseconds {
 		const pausedMs = guard.note(now);
 		if (pausedMs > 0) {
-			// Answers that came meanwhile are still in the sockets: nobody may be
-			// suspected for them, and no suspicion may ripen, until they are read.
+			// Answers that came during the pause are still in the sockets: until they are
+			// read, no host may be suspected for a missing answer, and no suspicion may time out.
 			prober.clear();
 			records.restartSuspicions(now);
 			noSuspicionUntil = now + intervalMs;
@@ -151,7 +151,7 @@
 	}
 
 	function noteSlowness(now: Milliseconds) {
-		// A process that is itself starved hears late; it is more patient with others.
+		// A process that is itself starved reads answers late, so its timeouts are lengthened.
 		const isLate = now - tickedAt > intervalMs / 2;
 		slowness = Math.max(0, Math.min(maxSlowness, isLate ? slowness + 1 : slowness - (0.5 * (now - tickedAt) / intervalMs)));
 		tickedAt = now;
--- a/src/domain/create-membership/test.ts
+++ b/src/domain/create-membership/test.ts
@@ -11,7 +11,7 @@
 		assert.equal(createConverged(threeZones).now(), 8000);
 	});
 
-	it('finds by the comparison of tables what gossip has missed', () => {
+	it('finds records that gossip has missed by the comparison of tables', () => {
 		createConverged(threeZones, undefined, -2_147_483_623);
 	});
 
@@ -72,7 +72,7 @@
 		{name: 'with the very same clock', incarnation: 1000},
 	];
 	for (const {name, incarnation} of restarts) {
-		it(`takes back a host that was killed and restarts ${name}, above its old incarnation`, () => {
+		it(`sees a host alive again that was killed and restarts ${name}, with a higher incarnation`, () => {
 			const network = createConverged(threeZones);
 			const before = network.nodes.get('b-2')!.membership.self().incarnation;
 			network.kill('b-2');
@@ -84,7 +84,7 @@
 		});
 	}
 
-	it('survives the restart of everybody at once, clocks off by two minutes either way', () => {
+	it('converges after the restart of all hosts at once, with clocks off by two minutes either way', () => {
 		const network = createConverged(threeZones);
 		for (const [i, id] of network.ids.entries()) {
 			network.restart(id, 1000 + (i % 2 === 0 ? -120_000 : 120_000));
@@ -94,7 +94,7 @@
 		assert.deepEqual(network.unseen(), []);
 	});
 
-	it('lets a host that was paused suspect nobody on waking, and takes it back', () => {
+	it('makes a host suspect no other host after its own pause, and sees it alive again', () => {
 		const network = createConverged(threeZones);
 		network.pause('a-2', 40_000);
 		network.run(20_000);
@@ -105,14 +105,14 @@
 		assert.deepEqual(network.unseen(), []);
 	});
 
-	it('suspects nobody for a pause within its patience', () => {
+	it('declares no host dead for a pause within the suspicion timeout', () => {
 		const network = createConverged(threeZones);
 		network.pause('a-2', 700);
 		assert.ok(![...collectNotAlive(network, 8000)].some(entry => entry.endsWith('dead')));
 		assert.deepEqual(network.unseen(), []);
 	});
 
-	it('tells of an earlier entry of this host, so that a new one can go above it', () => {
+	it('returns the incarnation of an earlier entry of this host, so that a new entry can start above it', () => {
 		const network = createConverged(twoZones);
 		network.nodes.get('a-1')!.membership.state({entryAddress: 'x', entryIncarnation: 900}, network.now());
 		network.run(8000);
--- a/src/domain/create-membership/twin.test.ts
+++ b/src/domain/create-membership/twin.test.ts
@@ -3,9 +3,9 @@
 import {twoZones} from './_test/create-converged.js';
 import {createMembership, type HostRecord, type Membership} from './index.js';
 
-// Somebody starts the replacement of a host that still runs elsewhere. Each of the two hears from peers what the
-// other says in its name and goes above it, for ever, and peers believe now the one, now the other.
-describe('createMembership when another process says what this host has not said', () => {
+// The replacement of a host is started while the old process still runs elsewhere. Each of the two receives the
+// other's record from peers and raises its incarnation above it, for ever, and peers reach now one, now the other.
+describe('createMembership when another process publishes records under the name of this host', () => {
 	const create = (agentAddress: string, incarnation: number) => createMembership({
 		id: 'a-1', zone: 'a', incarnation, agentAddress, seeds: [], startedAt: 0,
 	});
@@ -13,7 +13,7 @@
 		kind: 'news', incarnation: 1, revision: 0, digest: 0, updates: [record],
 	}, 'a-2', now);
 
-	it('names each of two live processes to the other, until one has been silent for a while', () => {
+	it('returns the address of the other of two live processes, until that one has been silent for a while', () => {
 		const older = create('192.0.2.5:7401', 1000);
 		const newer = create('192.0.2.9:7401', 5000);
 		for (const now of [0, 100, 200]) {
@@ -31,12 +31,12 @@
 		{name: 'an earlier process whose clock was ahead', rumour: {incarnation: 5000}},
 		{name: 'an earlier process whose clock was behind', rumour: {incarnation: 10}},
 		{name: 'the death of an earlier process', rumour: {incarnation: 1000, life: 'dead'}},
-		{name: 'the farewell of an earlier process', rumour: {incarnation: 1000, life: 'left'}},
+		{name: 'the leave of an earlier process', rumour: {incarnation: 1000, life: 'left'}},
 		{name: 'a suspicion of itself', rumour: {agentAddress: '192.0.2.5:7401', life: 'suspect', witnesses: ['a-2']}},
 		{name: 'its own death', rumour: {agentAddress: '192.0.2.5:7401', life: 'dead'}},
 	];
 	for (const {name, rumour} of rumours) {
-		it(`takes for no such process ${name}, however often it hears of it`, () => {
+		it(`reports no second process for ${name}, however often its record arrives`, () => {
 			const membership = create('192.0.2.5:7401', 1000);
 			for (const now of [0, 100, 200]) {
 				hear(membership, {...self(), ...rumour}, now);
