--- a/src/domain/create-peer-list/index.ts
+++ b/src/domain/create-peer-list/index.ts
@@ -1,6 +1,6 @@
 /**
- * Which other hosts to talk to, where no list of hosts is published: some seeds
- * to begin with, and whoever speaks or is named by one who does.
+ * Peer discovery where no list of hosts is published: a host starts with seeds,
+ * and adds every host that sends a message or is advertised in one.
  */
 import {pickRanked} from '../../_lib/pick-ranked/index.js';
 import {type Milliseconds} from '../../ports/clock.js';
@@ -9,99 +9,100 @@
 import {msPerMinute, msPerSecond} from '../../ports/units.js';
 
 export type PeerListOptions = {
-	/** `IP:port` of this host, which is no peer of its own. */
+	/** `IP:port` of this host, which is left out of the list. */
 	self: string;
 	zone: ZoneId;
-	/** `IP:port` of hosts that may be there. */
+	/** `IP:port` of hosts to try; they may be gone. */
 	seeds: readonly string[];
 };
 
 export type PeerList = {
-	/** A host spoke, and may ask to be answered. Tells whether it was unknown before; it is owed an answer then, as it may know nobody else. */
+	/** Records a message of a host, which may ask for an answer. Returns whether the host was unknown; {@link PeerList.takeUnanswered} returns it then, as it may know no other host. */
 	noteHeard: (peer: NamedPeer, now: Milliseconds, options?: {isAsking?: boolean}) => boolean;
-	/** A host named others that it has heard. */
+	/** Records the hosts that another host advertised in a message. */
 	noteAdvertised: (peers: readonly NamedPeer[], now: Milliseconds) => void;
-	/** All of a small fleet, to be told of each change; some of the own zone in a large one. */
+	/** Hosts to send each change to: all in a small fleet, some of the own zone in a large one. */
 	directPeers: (now: Milliseconds) => readonly string[];
-	/** Hosts of other zones to ask now and then; none in a small fleet. */
+	/** Hosts of other zones to query periodically; none in a small fleet. */
 	remotePeers: (now: Milliseconds) => readonly string[];
-	/** Hosts of other zones that asked lately and are not asked by this one. */
+	/** Hosts of other zones that queried this host lately and that this host does not query. */
 	remoteRequesters: (now: Milliseconds) => readonly string[];
-	/** Hosts that collect what all others know of the key: the same few for each of them, as far as they know the same hosts, and one of the own zone. */
+	/** Hosts that collect the reports of all others on a key: the same few on all hosts that know the same hosts, and one of the own zone. */
 	collectors: (key: string) => readonly string[];
-	/** Whether there are more hosts than each can tell of each change. */
+	/** Whether there are too many hosts for each to send every change to all others. */
 	isLarge: (now: Milliseconds) => boolean;
-	/** Seeds that have not spoken lately. */
+	/** Seeds that have sent no message lately. */
 	silentSeeds: (now: Milliseconds) => readonly string[];
-	/** Hosts that are owed an answer; each is given out once. */
+	/** Takes the hosts that are waiting for an answer; each is returned once. */
 	takeUnanswered: () => readonly string[];
-	/** Most hosts that were known at once in the last minutes, with this one; `undefined` while none was. */
+	/** Maximum number of hosts known at once in the last minutes, with this one; `undefined` while no other host was known. */
 	count: () => number | undefined;
-	/** Whether others were heard, and no further one turned up for some rounds; once it is, it stays so. */
+	/** Whether other hosts are known and none was added for some rounds; stays `true` from then on. */
 	isSettled: (now: Milliseconds) => boolean;
-	/** Some hosts that spoke lately, to be named to others; others each time. */
+	/** Takes some hosts that sent a message lately, to advertise them to others; the choice rotates. */
 	takeAdvertised: (now: Milliseconds) => readonly NamedPeer[];
 };
 
-/** Silence after which a host is named to nobody: six of its messages. */
+/** Silence after which a host is no longer advertised: six of its messages. */
 const silentAfterMs: Milliseconds = 3 * msPerSecond;
 
-/** Time for which a host counts as living after it spoke, or was named by one who heard it: names take some seconds through a large fleet. */
+/** Time for which a host counts as alive after its last message or advertisement: advertisements take some seconds to cross a large fleet. */
 const knownForMs: Milliseconds = 10 * msPerSecond;
 
-/** Fleets of so many other hosts at most talk all to all. */
+/** Maximum number of other hosts in a fleet whose hosts all exchange messages with each other. */
 const mostOfSmallFleet = 16;
 
 /**
- * Hosts of the own zone that each host of a larger fleet speaks to. Each picks its
- * own by rank, so that all are spoken to by about as many. Were it the first ones
- * that each knows, all would know and name the same few, and most would hear nobody.
+ * Hosts of the own zone that each host of a larger fleet sends to. Each host picks
+ * its own by rendezvous hashing, so that all receive from about as many. If each
+ * picked the first hosts that it learned of, all would know and advertise the same
+ * few, and most hosts would receive nothing.
  */
 const nearPeers = 8;
 
 /**
- * Hosts of other zones that each host asks, together, and of one zone at most. They
- * answer, so that each host hears every zone: told by chance alone, one host in
- * twenty would take a zone that nobody happens to speak from for a silent one.
+ * Hosts of other zones that each host queries, in all and in one zone. Their answers
+ * make each host hear from every zone: with random sends alone, one host in twenty
+ * would get no message from some zone and take that zone for a silent one.
  */
 const farPeers = 6;
 const mostFarPeersOfZone = 3;
 
 /**
- * Hosts that collect what is known of a key. One may have just started, and hosts
- * that know different others may pick different ones.
+ * Hosts that collect the reports on a key. There are two because one may have just
+ * started, and because hosts that know different hosts may pick different collectors.
  */
 const collectorsOfKey = 2;
 
-/** Time for which a question is answered: two of the rounds in which they are asked, and some delay. */
+/** Time for which a query is answered: two rounds of queries, and some delay. */
 const askedForMs: Milliseconds = 2.5 * msPerSecond;
 
-/** Hosts named in a message: a host that starts knows all of a small deployment after its first answer. */
+/** Hosts advertised in a message: a host that starts knows all of a small deployment after its first answer. */
 const namedPeers = 8;
 
-/** Time without a further host after which all count as known: three of the rounds in which hosts are named. */
+/** Time without a new host after which all hosts count as known: three rounds of advertisements. */
 const settleMs: Milliseconds = 3 * msPerSecond;
 
-/** Hosts that are kept; an odd message must not fill the memory. */
+/** Maximum number of hosts kept, so that a malformed message cannot exhaust the memory. */
 const maxKnown = 1024;
 
-/** Time for which a choice of hosts stands: a new one ranks all of them. */
+/** Time for which a choice of hosts is cached: each new choice ranks all known hosts. */
 const choiceMs: Milliseconds = msPerSecond;
 
 /**
- * Time for which hosts that fell silent count at least, and twice that at most.
- * Those behind a cut live on and have their part of what all share; forgotten
- * during the cut, both sides would take it.
+ * Minimum time for which silent hosts are still counted; the maximum is twice as long.
+ * Hosts on the other side of a partition go on using their share of a common limit. If
+ * they were forgotten during the partition, both sides would use the whole of it.
  */
 const countPeriodMs: Milliseconds = 3 * msPerMinute;
 
 type Known = {
 	zone: ZoneId;
-	/** When it spoke to this host last. */
+	/** When this host last received a message of it. */
 	heardAt: Milliseconds;
-	/** When it last spoke to anybody, as far as this host can tell. */
+	/** When it last sent a message to any host, as far as this host knows. */
 	knownAt: Milliseconds;
-	/** When it last asked to be answered. */
+	/** When it last asked for an answer. */
 	askedAt: Milliseconds;
 };
 
@@ -119,10 +120,10 @@
 }
 
 /**
- * Creates the list of a host that has heard nobody yet.
+ * Creates the list of a host that has received no message yet.
  *
  * @param options - This host, its zone, and the seeds.
- * @returns Functions that note and tell; `now` is monotonic milliseconds.
+ * @returns Functions that record messages and choose peers; `now` is monotonic milliseconds.
  *
  * @example
  * ```ts
@@ -132,14 +133,14 @@
  */
 export function createPeerList({self, zone, seeds}: PeerListOptions): PeerList {
 	const known = new Map<string, Known>();
-	/** Hosts that spoke and were unknown. */
+	/** Hosts that were unknown when they sent a message, and have had no answer yet. */
 	const unanswered = new Set<string>();
 	const others = seeds.filter(seed => seed !== self);
 	let choice: Choice = {
 		near: [], far: [], isLarge: false, at: -Infinity,
 	};
 	let firstNamed = 0;
-	/** Most hosts that were known at once in this period, and in the one before. */
+	/** Maximum number of hosts known at once in this period, and in the one before. */
 	let mostKnown = 0;
 	let mostBefore = 0;
 	let periodAt: Milliseconds | undefined;
@@ -249,7 +250,7 @@
 		},
 		collectors(key) {
 			const ofZone = [...known].filter(([, peer]) => peer.zone === zone).map(([address]) => address);
-			// With itself: all hosts must rank the same ones.
+			// The own address is ranked too: all hosts must rank the same addresses.
 			const picked = [...pickRanked(key, [self, ...known.keys()], collectorsOfKey), ...pickRanked(key, [self, ...ofZone], 1)];
 			return [...new Set(picked)].filter(address => address !== self);
 		},
--- a/src/domain/create-peer-list/test.ts
+++ b/src/domain/create-peer-list/test.ts
@@ -12,29 +12,29 @@
 }
 
 /*
- * Nobody lists the hosts: a host starts with three addresses that may be stale
- * or its own. It must find the others by those who know them, forget who is gone,
- * and never talk to a crowd.
+ * No list of hosts is published: a host starts with three addresses that may be stale
+ * or its own. It must discover the other hosts from messages, forget hosts that are
+ * gone, and never send to all hosts of a large fleet.
  */
 describe('createPeerList', () => {
-	it('greets seeds that have not spoken, and never itself', () => {
+	it('returns seeds that have sent no message, and never itself', () => {
 		const peers = createPeerList({self, zone: 'a', seeds: [self, toAddress(1), toAddress(2)]});
 		peers.noteHeard({address: toAddress(1), zone: 'a'}, 0);
 		assert.deepEqual(peers.silentSeeds(10), [toAddress(2)]);
 		assert.deepEqual(peers.directPeers(10), [toAddress(1)]);
 	});
 
-	it('speaks to hosts that others name, until nobody names them any more', () => {
+	it('sends to hosts that others advertise, until they are advertised no more', () => {
 		const peers = createPeerList({self, zone: 'a', seeds: []});
 		peers.noteAdvertised([{address: self, zone: 'a'}, {address: toAddress(3), zone: 'a'}, {address: toAddress(4), zone: 'b'}], 0);
 		assert.deepEqual(peers.directPeers(10), [toAddress(3), toAddress(4)]);
-		assert.deepEqual(peers.takeAdvertised(10), [], 'named without being heard');
+		assert.deepEqual(peers.takeAdvertised(10), [], 'advertised without a message of its own');
 		peers.noteAdvertised([{address: toAddress(4), zone: 'b'}], 5000);
 		assert.deepEqual(peers.directPeers(11_000), [toAddress(4)]);
 		assert.deepEqual(peers.directPeers(16_000), []);
 	});
 
-	it('owes an answer to a host that was unknown, once', () => {
+	it('returns a host that was unknown as unanswered, once', () => {
 		const peers = createPeerList({self, zone: 'a', seeds: [toAddress(1)]});
 		assert.equal(peers.noteHeard({address: toAddress(1), zone: 'a'}, 0), true);
 		assert.equal(peers.noteHeard({address: toAddress(1), zone: 'a'}, 1000), false);
@@ -45,8 +45,8 @@
 		assert.equal(peers.noteHeard({address: toAddress(1), zone: 'a'}, 12_000), true, 'not new after a long silence');
 	});
 
-	/* Guards against an answer to each message of every host, which is a second message for each. */
-	it('owes no answer to a host that goes on speaking, nor to one that it can\'t keep', () => {
+	/* Guards against an answer to every message, which would double the traffic. */
+	it('answers neither a known host that goes on sending, nor one that it has no room to keep', () => {
 		const peers = createPeerList({self, zone: 'a', seeds: []});
 		hear(peers, 1024, () => 'a');
 		assert.equal(peers.takeUnanswered().length, 1024);
@@ -55,7 +55,7 @@
 		assert.deepEqual(peers.takeUnanswered(), []);
 	});
 
-	it('tells all of a small fleet of each change, whatever their zones', () => {
+	it('sends each change to all hosts of a small fleet, whatever their zones', () => {
 		const peers = createPeerList({self, zone: 'a', seeds: []});
 		hear(peers, 16, i => i % 2 === 0 ? 'a' : 'b');
 		assert.equal(peers.directPeers(1).length, 16);
@@ -63,7 +63,7 @@
 		assert.equal(peers.isLarge(1), false);
 	});
 
-	it('speaks to some of its zone in a large fleet, and to one of each other zone at least', () => {
+	it('sends to some hosts of its zone in a large fleet, and to at least one of each other zone', () => {
 		const peers = createPeerList({self, zone: 'a', seeds: []});
 		hear(peers, 300, i => 'abcdef'[i % 6]!);
 		assert.equal(peers.isLarge(1), true);
@@ -74,7 +74,7 @@
 	});
 
 	for (const [zones, perZone] of [['ab', 3], ['abc', 3], ['abcd', 2], ['abcdefgh', 1]] as const) {
-		it(`asks ${perZone} hosts of each other zone where there are ${zones.length}`, () => {
+		it(`queries ${perZone} hosts of each other zone where there are ${zones.length} zones`, () => {
 			const peers = createPeerList({self, zone: 'a', seeds: []});
 			hear(peers, 120, i => zones[i % zones.length]!);
 			assert.equal(peers.remotePeers(1).length, perZone * (zones.length - 1));
@@ -82,7 +82,7 @@
 	}
 
 	/* Guards against hosts that rank hundreds of others again for each message. */
-	it('keeps its choice in a large fleet for a second, also when another host turns up', () => {
+	it('keeps its choice in a large fleet for a second, also when a host is added', () => {
 		const peers = createPeerList({self, zone: 'a', seeds: []});
 		hear(peers, 100, () => 'a');
 		const near = peers.directPeers(0);
@@ -99,7 +99,7 @@
 		}
 	});
 
-	it('answers hosts of other zones that ask, for some seconds', () => {
+	it('answers hosts of other zones for some seconds after their query', () => {
 		const peers = createPeerList({self, zone: 'a', seeds: []});
 		hear(peers, 300, i => 'abcdef'[i % 6]!);
 		const asked = peers.remotePeers(1)[0]!;
@@ -112,7 +112,7 @@
 		assert.deepEqual(peers.remoteRequesters(3000), []);
 	});
 
-	it('names the same collectors of a key on all hosts that know the same ones, with one of the own zone', () => {
+	it('picks the same collectors of a key on all hosts that know the same hosts, with one of the own zone', () => {
 		const toZone = (i: number) => ['a', 'b', 'c'][i % 3]!;
 		const lists = Array.from({length: 30}, (_, own) => {
 			const peers = createPeerList({self: toAddress(own), zone: toZone(own), seeds: []});
@@ -135,7 +135,7 @@
 		}
 	});
 
-	it('is told by about as many hosts as any other', () => {
+	it('makes each host receive from about as many hosts as any other', () => {
 		const counts = new Map<string, number>();
 		for (let host = 0; host < 60; host++) {
 			const peers = createPeerList({self: toAddress(host), zone: 'a', seeds: []});
@@ -145,11 +145,11 @@
 			}
 		}
 
-		assert.ok(counts.size >= 58, `${counts.size} of 60 hosts are told`);
-		assert.ok(Math.max(...counts.values()) <= 30, `one is told by ${Math.max(...counts.values())}`);
+		assert.ok(counts.size >= 58, `${counts.size} of 60 hosts receive changes`);
+		assert.ok(Math.max(...counts.values()) <= 30, `one host receives from ${Math.max(...counts.values())}`);
 	});
 
-	it('counts hosts that fell silent together for minutes more, as they may be behind a cut', () => {
+	it('counts hosts that fell silent together for minutes more, as they may be behind a partition', () => {
 		const peers = createPeerList({self, zone: 'a', seeds: []});
 		assert.equal(peers.count(), undefined);
 		hear(peers, 200, i => 'ab'[i % 2]!);
@@ -165,9 +165,9 @@
 		assert.ok(count[0]! > 140 && count[1]! > 100, `${count.join(' ')}`);
 	});
 
-	/* Guards against both sides of a cut that take each other's part of what all share. */
+	/* Guards against two sides of a partition that each use the whole of a limit that all hosts share. */
 	for (const startSeconds of [0, 100, 179, 180]) {
-		it(`counts hosts whole that were heard ${startSeconds} s after the first one, and are behind a cut of three minutes`, () => {
+		it(`counts all hosts that were heard from ${startSeconds} s after the first one, during a partition of three minutes`, () => {
 			const peers = createPeerList({self, zone: 'a', seeds: []});
 			for (let seconds = 0; seconds < startSeconds; seconds++) {
 				peers.noteHeard({address: toAddress(0), zone: 'a'}, seconds * 1000);
@@ -186,7 +186,7 @@
 		});
 	}
 
-	/* Guards against hosts that take too small a part of what all share for good, once many have left. */
+	/* Guards against hosts whose share of a common limit stays too small for good, once many hosts have left. */
 	it('forgets hosts that stay away for minutes', () => {
 		const peers = createPeerList({self, zone: 'a', seeds: []});
 		hear(peers, 200, () => 'a');
@@ -198,7 +198,7 @@
 		assert.ok(peers.count()! < 10, `${peers.count()} counted`);
 	});
 
-	it('tells a new host of a small fleet at once', () => {
+	it('sends to a new host of a small fleet at once', () => {
 		const peers = createPeerList({self, zone: 'a', seeds: []});
 		peers.noteHeard({address: toAddress(0), zone: 'a'}, 0);
 		assert.deepEqual(peers.directPeers(0), [toAddress(0)]);
@@ -206,8 +206,8 @@
 		assert.deepEqual(peers.directPeers(100), [toAddress(0), toAddress(1)]);
 	});
 
-	/* Guards against hosts that are never named, so that those which just started don't hear of them. */
-	it('names all that it hears in a small fleet, and all in turn in a large one, eight at a time', () => {
+	/* Guards against hosts that are never advertised, so that hosts which just started don't learn of them. */
+	it('advertises all hosts that it hears from in a small fleet, and all in turn in a large one, eight at a time', () => {
 		const few = createPeerList({self, zone: 'a', seeds: []});
 		hear(few, 8, () => 'b');
 		assert.deepEqual(few.takeAdvertised(1), Array.from({length: 8}, (_, i) => ({address: toAddress(i), zone: 'b'})));
@@ -219,7 +219,7 @@
 		assert.equal(new Set(rounds.flat().map(({address}) => address)).size, 20);
 	});
 
-	it('names nobody that it does not hear, or whose word is old', () => {
+	it('advertises no host that has sent it no message, or none lately', () => {
 		const peers = createPeerList({self, zone: 'a', seeds: []});
 		peers.noteHeard({address: toAddress(0), zone: 'b'}, 0);
 		peers.noteHeard({address: toAddress(1), zone: 'b'}, 1000);
@@ -227,15 +227,15 @@
 		assert.deepEqual(peers.takeAdvertised(3001).map(({address}) => address), [toAddress(1)]);
 	});
 
-	it('keeps a bounded number of hosts, whatever it is told', () => {
+	it('keeps a bounded number of hosts, however many are advertised', () => {
 		const peers = createPeerList({self, zone: 'a', seeds: []});
 		peers.noteAdvertised(Array.from({length: 5000}, (_, i) => ({address: toAddress(i), zone: `z${i}`})), 0);
 		assert.ok(peers.remotePeers(1).length <= 1024);
 		assert.ok(peers.takeAdvertised(1).length <= 8);
 	});
 
-	/* Guards against a part of what all hosts share that is reckoned by the first few that a host hears. */
-	it('is settled once no further host has turned up for three seconds, and stays so', () => {
+	/* Guards against a share of a common limit that is computed from the first few hosts alone. */
+	it('is settled once no host was added for three seconds, and stays so', () => {
 		const peers = createPeerList({self: 'a:1', zone: 'a', seeds: []});
 		assert.equal(peers.isSettled(60_000), false);
 		peers.noteHeard({address: 'b:1', zone: 'a'}, 60_000);
@@ -247,7 +247,7 @@
 		assert.equal(peers.isSettled(65_200), true);
 	});
 
-	it('stays settled though nobody asked before a further host turned up', () => {
+	it('stays settled though `isSettled` was not called before a further host was added', () => {
 		const peers = createPeerList({self: 'a:1', zone: 'a', seeds: []});
 		peers.noteHeard({address: 'b:1', zone: 'a'}, 0);
 		peers.noteHeard({address: 'c:1', zone: 'a'}, 3000);
