--- a/src/domain/create-fleet-table/index.ts
+++ b/src/domain/create-fleet-table/index.ts
@@ -1,7 +1,7 @@
 /**
- * Gathers what an agent knows of the fleet, from all its sources, into one
+ * Combines an agent's sources of information on the fleet into one
  * {@link FleetView}. A status that did not change stays the same object, so
- * that whoever passes the view on can tell by identity what to send.
+ * that code that sends the view on can find changes by identity.
  */
 import {type Milliseconds} from '../../ports/clock.js';
 import {type AcceptedConfig} from '../../ports/config.js';
@@ -12,28 +12,28 @@
 	type FleetView, type HostStatus, type ServerStatus, type ZoneSummary,
 } from '../../ports/view.js';
 
-/** A load report must be this much younger than a refusal as leaving before it overrules it, milliseconds. */
+/** Minimum time by which a load report must be later than a report that the server is leaving to override it, milliseconds. */
 const leavingMarginMs = 1000;
 
 export type FleetTable = {
 	setConfig: (accepted: AcceptedConfig) => void;
-	/** The platform's list, with its revision; an older revision than the one held is ignored. Returns whether it was taken. */
+	/** Sets the platform's list with its revision; a revision that is not newer than the current one is ignored. Returns whether the list was accepted. */
 	setFleet: (fleet: FleetList, revision: number) => boolean;
-	/** What membership knows of the hosts; statuses keep their identity while they do not change. */
+	/** Sets the hosts that membership knows; unchanged statuses must be the same objects. */
 	setHosts: (hosts: ReadonlyMap<HostId, HostStatus>) => void;
-	/** Summaries of other zones; the same map while they do not change. */
+	/** Sets the summaries of zones; must be the same map while they do not change. */
 	setZones: (zones: ReadonlyMap<ZoneId, ZoneSummary>) => void;
-	/** A load report, with the monotonic time at which its numbers were true. */
+	/** Records a load report, with the monotonic time at which its numbers were true. */
 	noteLoad: (load: LoadReport, loadAt: Milliseconds) => void;
-	/** Polls that began at this monotonic time did not reach the server. Ignored when a report is younger. */
+	/** Records that polls that began at this monotonic time did not reach the server. Ignored when a report is younger. */
 	noteUnreachable: (server: ServerId, askedAt: Milliseconds) => void;
-	/** Takes a report by an entry or a peer that the server is leaving. Returns whether that was news. */
+	/** Records a report by an entry or a peer that the server is leaving. Returns whether the server was not known to be leaving before. */
 	noteLeaving: (server: ServerId, now: Milliseconds) => boolean;
-	/** The platform confirmed its values at this monotonic time. */
+	/** Records that the platform confirmed its values at this monotonic time. */
 	noteConfirmed: (at: Milliseconds) => void;
 	accepted: () => AcceptedConfig | undefined;
 	fleet: () => {fleet: FleetList; revision: number} | undefined;
-	/** The view; `receivedAt` is `now`. */
+	/** Returns the view; its `receivedAt` is `now`. */
 	view: (now: Milliseconds) => FleetView;
 };
 
@@ -42,7 +42,7 @@
 	loadAt: Milliseconds;
 	reachable: boolean | undefined;
 	reachableAt: Milliseconds | undefined;
-	/** When somebody said that it is leaving; `undefined` when nobody did since its last serving report. */
+	/** Time of the last report that the server is leaving; `undefined` when there was none since its last load report as serving. */
 	leavingSince: Milliseconds | undefined;
 };
 
@@ -71,7 +71,7 @@
 	let serversView: ReadonlyMap<ServerId, ServerStatus> | undefined;
 	let hostsView: ReadonlyMap<HostId, HostStatus> | undefined;
 
-	/** Creates records for published servers alone, so that a peer's reports cannot fill the memory. */
+	/** Creates records for published servers alone, so that a peer's reports cannot exhaust the memory. */
 	function addRecord(server: ServerId) {
 		if (!records.has(server)) {
 			records.set(server, {
@@ -185,8 +185,8 @@
 		},
 		noteUnreachable(server, askedAt) {
 			const record = records.get(server);
-			// The report of a poll that hung in a cut arrives when the cut is healed and others have reached the server.
-			// Taken as news it would keep a serving server out until its poller's next report; that report tells more.
+			// A poll that hung during a partition reports its failure once the partition has healed and others have reached
+			// the server. If the failure were recorded, a serving server would stay out of use until its poller's next report.
 			if (!record || askedAt < (record.reachableAt ?? -Infinity)) {
 				return;
 			}
--- a/src/domain/create-fleet-table/test.ts
+++ b/src/domain/create-fleet-table/test.ts
@@ -35,14 +35,14 @@
 		assert.equal(next.get('s2'), before.get('s2'));
 	});
 
-	it('keeps the newer of two reports that came crossed', () => {
+	it('keeps the newer of two reports that arrive out of order', () => {
 		const table = createTable();
 		table.noteLoad({...load, slotsUsed: 9}, 300);
 		table.noteLoad({...load, slotsUsed: 1}, 200);
 		assert.equal(table.view(400).servers.get('s1')!.load!.slotsUsed, 9);
 	});
 
-	it('takes reports that polls did not reach a server only when they began after its last report', () => {
+	it('marks a server unreachable only for polls that began after its last report', () => {
 		const table = createTable();
 		const isReachable = () => table.view(0).servers.get('s1')!.reachable;
 		table.noteLoad(load, 200);
@@ -64,10 +64,10 @@
 		assert.ok(table.view(0).servers.get('s1')!.leaving);
 	});
 
-	it('overrules a report of a leave only for a load report that is clearly later', () => {
+	it('overrides a report that a server is leaving only by a load report that is later by the margin', () => {
 		const table = createTable();
 		assert.ok(table.noteLeaving('s1', 1000));
-		assert.ok(!table.noteLeaving('s1', 1000), 'it is no news twice');
+		assert.ok(!table.noteLeaving('s1', 1000), 'the same report is not new twice');
 		assert.ok(!table.noteLeaving('stranger', 1000));
 		table.noteLoad(load, 1500);
 		assert.ok(table.view(1600).servers.get('s1')!.leaving);
--- a/src/domain/create-membership/_lib/create-failure-detector.ts
+++ b/src/domain/create-membership/_lib/create-failure-detector.ts
@@ -46,7 +46,7 @@
 		return targets.observers(id).filter(({zone}) => !stale.includes(zone));
 	}
 
-	function needsJurors(id: HostId): boolean {
+	function needsRemoteObservers(id: HostId): boolean {
 		const zone = records.get(id)?.zone;
 		return targets.observers(id).some(observer => observer.zone !== zone);
 	}
@@ -62,12 +62,12 @@
 		// zone has its record. Gossip may spend its few sends on other hosts, and digests do
 		// not cover witnesses: a dead host would stay suspect. An observer of another zone
 		// therefore sends the record after each failed probe.
-		const isTold = needsJurors(id) && (change !== 'none' || record.zone !== ownZone);
+		const isTold = needsRemoteObservers(id) && (change !== 'none' || record.zone !== ownZone);
 		return isTold ? [records.get(id)!] : [];
 	}
 
 	return {
-		needsRemoteObservers: needsJurors,
+		needsRemoteObservers,
 		reachableObservers,
 		staleZones,
 		suspect: (ids, now) => ids.flatMap(id => suspectOne(id, now)),
--- a/src/domain/create-published-fleet/_lib/create-leaving-notices.ts
+++ b/src/domain/create-published-fleet/_lib/create-leaving-notices.ts
@@ -1,7 +1,7 @@
-/** Which servers announced that they leave. */
+/** Keeps which servers announced that they leave. */
 import {type ServerId} from '../../../ports/ids.js';
 
-/** Notices that are kept; each is of one start of a server, and the oldest go first. */
+/** Maximum number of notices kept, one for each start of a server; the oldest are dropped first. */
 const maxNotices = 4096;
 
 export type LeavingNotices = {
@@ -10,10 +10,10 @@
 };
 
 /**
- * Creates the memory of a host that has received no notice. A notice stands for
- * good, as a start of a server that leaves does not come back.
+ * Creates an empty set of notices. A notice is never withdrawn: a server that
+ * leaves comes back only with a new start, which has another id.
  *
- * @returns Functions that note and tell.
+ * @returns Functions that add and look up notices.
  */
 export function createLeavingNotices(): LeavingNotices {
 	const notices = new Set<ServerId>();
--- a/src/domain/create-published-fleet/_lib/create-reset-hold.ts
+++ b/src/domain/create-published-fleet/_lib/create-reset-hold.ts
@@ -1,30 +1,30 @@
 /**
- * What was known before the platform came back from an older copy, for the time in
- * which all that was lost is written again.
+ * The hold after the platform was restored from an older copy: until servers have
+ * written their entries again, the state known before takes precedence over the copy.
  */
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type ServerId} from '../../../ports/ids.js';
 
-/** Servers that are remembered as gone; a copy is some seconds old, and the oldest go first. */
+/** Maximum number of servers remembered as gone. The oldest are dropped first, which is safe because a copy is only some seconds old. */
 const maxGone = 1024;
 
 export type ResetHold = {
-	/** The platform came back; what was known counts more than the copy up to this time. */
+	/** Starts the hold, or extends it up to this time. */
 	begin: (until: Milliseconds) => void;
-	/** Whether what was known counts more than what is listed. */
+	/** Whether the known state takes precedence over the listed one. */
 	isOn: (now: Milliseconds) => boolean;
-	/** End of the time, until everything was read again; `undefined` when nothing is held. */
+	/** When the hold expires; `undefined` when there is none, or once a full read after it has ended it. */
 	until: () => Milliseconds | undefined;
-	/** Everything was read after the end. */
+	/** Ends the hold after a full read. */
 	end: () => void;
 	noteGone: (server: ServerId) => void;
 	wasGone: (server: ServerId) => boolean;
 };
 
 /**
- * Creates the memory of a host whose platform has not come back from a copy yet.
+ * Creates the state of a host whose platform has not been restored from a copy.
  *
- * @returns Functions that note and tell; `now` is monotonic milliseconds.
+ * @returns Functions that control and query the hold; `now` is monotonic milliseconds.
  */
 export function createResetHold(): ResetHold {
 	const gone = new Set<ServerId>();
--- a/src/domain/create-published-fleet/_lib/types.ts
+++ b/src/domain/create-published-fleet/_lib/types.ts
@@ -1,4 +1,4 @@
-/** What a host's knowledge of a platform takes and gives. */
+/** Options, inputs and results of the published fleet. */
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type ZoneEntry} from '../../../ports/config.js';
 import {type ServerId} from '../../../ports/ids.js';
@@ -9,52 +9,52 @@
 	/** Zones with their regions, from the host's own settings. */
 	zones: readonly ZoneEntry[];
 	/**
-	 * Time after an outage of the platform in which a server that is missing there
-	 * counts as present, milliseconds. Entries lapse while the platform can't be
-	 * written to, and living servers need about two seconds to come back.
+	 * Grace period after an outage of the platform in which a server whose entry is
+	 * missing counts as present, milliseconds. Entries expire while the platform can't
+	 * be written to, and live servers need about two seconds to write them again.
 	 */
 	lapseGraceMs?: Milliseconds;
 };
 
 export type ReadContext = {
 	/**
-	 * Start of the last attempt since the read before that was made after a failure
-	 * and failed too, monotonic milliseconds. A watch that breaks off is none: it
-	 * tells of its connection, and not whether the platform answers.
+	 * Start of the last read attempt since the previous successful read that followed
+	 * a failure and failed too, monotonic milliseconds. A watch that breaks off does
+	 * not count: its connection broke, which does not show that the platform is down.
 	 */
 	failedAttemptAt?: Milliseconds | undefined;
 };
 
 export type ResetLimits = {
-	/** When this host must act on all that the platform says, whatever it lost. */
+	/** Time from which this host must act on the platform's data as listed, whatever the platform lost; monotonic milliseconds. */
 	latestActAt: Milliseconds;
 };
 
 export type FleetChange = {
 	/** Rules that came into force with this read. */
 	rules: PublishedRules | undefined;
-	/** Servers that came, left, or said that they are leaving; `missing`: not published any more, and used until it is clear that they left. */
+	/** Servers that joined, left, or announced that they leave; `missing`: no longer published, and used until the grace period ends. */
 	servers: ReadonlyArray<{id: ServerId; became: 'serving' | 'leaving' | 'missing' | 'gone'}>;
-	/** What can't be read, and could be before or was something else. */
+	/** Entries that became unreadable, or are unreadable for another reason than before. */
 	unreadable: ReadonlyArray<{what: 'rules' | 'server'; name: PublishedName; reason: string}>;
 };
 
 export type PublishedFleet = {
-	/** Takes a whole list: what it does not name is gone. */
+	/** Applies a full list: servers that it does not contain are gone. */
 	replace: (changes: readonly PublishedChange[], now: Milliseconds, context?: ReadContext) => FleetChange;
-	/** Takes what changed since the last read. */
+	/** Applies the changes since the last read. */
 	apply: (changes: readonly PublishedChange[], now: Milliseconds, context?: ReadContext) => FleetChange;
-	/** Takes a server's own notice that it leaves. It counts whatever is published of that start, which may be late, or never come. */
+	/** Records a server's own notice that it leaves. The notice overrides the published entry of that start, which may be updated late or never. */
 	noteLeaving: (server: ServerId) => FleetChange;
-	/** The platform came back from an older copy: until all that it lost is written again, what is known counts more than what it lists. */
+	/** Records that the platform was restored from an older copy: until servers have written their entries again, the known state takes precedence over the listed one. */
 	noteReset: (limits: ResetLimits, now: Milliseconds) => void;
-	/** When everything is to be read once more, as what the platform lost has been written again; `undefined` where what it lists is not older than what is known. */
+	/** When a full read is due, as servers have written their entries again by then; `undefined` when the platform was not restored from a copy. */
 	fullReadAt: () => Milliseconds | undefined;
-	/** Servers that a whole list names otherwise than they are known, or that are known and it does not name. */
+	/** Counts the servers that differ between a full list and the known state: changed, added or absent. */
 	countDifferences: (changes: readonly PublishedChange[]) => number;
-	/** Drops missing servers that stayed away. To be called right after a read: only that tells that they did. */
+	/** Drops servers that are still missing after the grace period. To be called right after a read, which alone shows that they are. */
 	sweep: (now: Milliseconds) => FleetChange;
-	/** When missing servers are to be dropped; `undefined` while none is missing. */
+	/** When missing servers are due to be dropped; `undefined` while none is missing. */
 	missingUntil: () => Milliseconds | undefined;
 	toView: (now: Milliseconds) => FleetView;
 };
--- a/src/domain/create-published-fleet/index.ts
+++ b/src/domain/create-published-fleet/index.ts
@@ -1,6 +1,6 @@
 /**
- * What one host knows of a platform that publishes servers one by one: rules
- * that never go back within the life of the process, and the servers in service.
+ * The rules and servers that a platform publishes one by one, as one host knows
+ * them. Rules never go back to an older version within the life of the process.
  */
 import {type Milliseconds} from '../../ports/clock.js';
 import {type Config, type ZoneEntry} from '../../ports/config.js';
@@ -18,35 +18,35 @@
 const defaultLapseGraceMs = 2500;
 
 /**
- * Silence of the platform after which entries of living servers may have lapsed.
- * They do three heartbeats after their server's last one, so an outage of two
- * is enough; heartbeats are a second or more apart. A shorter one is taken for
- * what it is: a server that left in it would get requests for seconds after it ended.
+ * Silence of the platform after which entries of live servers may have expired.
+ * Entries expire three heartbeats after their server's last one, so an outage of two
+ * heartbeats is enough; heartbeats are a second or more apart. After a shorter outage
+ * a missing server counts as gone: kept, a server that left during the outage would
+ * get requests for seconds after it ended.
  */
 const lapseAfterMs: Milliseconds = 2000;
 
 /**
- * Longest time from the return of the platform for which a missing server may be
- * used. A host that was cut off alone looks the same to itself as one whose
- * platform was away, but there nothing lapsed, and what is missing has left; three
- * seconds after its cut it has to act on that, and a request is 0.2 s on its way
- * at most.
+ * Maximum time from the return of the platform for which a missing server may be
+ * used. A host that was cut off alone can't tell that from an outage of the platform,
+ * but then no entries expired, and missing servers have left. Such a host must act on
+ * that within three seconds after the cut, and a request is in flight for 0.2 s at most.
  */
 const actLimitMs: Milliseconds = 2800;
 
 type Known = PublishedServer & {
-	/** It was missing when an outage had ended. */
+	/** Whether its entry was missing after an outage. */
 	isMissing?: boolean;
 };
 
 /** Pools and rules before any were published. */
 const noRules: Pick<PublishedRules, 'pools' | 'rules'> = {pools: [], rules: []};
 
-/** Stands for the rules where servers stand by their names; no server has an empty one. */
+/** Key of the rules among server names; no server has an empty name. */
 const rulesName: PublishedName = '';
 
-/** The server that an entry of a list names, whether it can be read or not. */
-function toListed(change: PublishedChange): PublishedName | undefined {
+/** Returns the name of the server that an entry of a list is for, whether the entry can be read or not. */
+function toListedName(change: PublishedChange): PublishedName | undefined {
 	if (change.kind === 'server') {
 		return change.server.name;
 	}
@@ -59,10 +59,10 @@
 }
 
 /**
- * Creates the knowledge of a host that just started: nothing.
+ * Creates the published fleet of a host that just started, which has read nothing yet.
  *
  * @param options - Zones, and how long missing servers count as present after an outage.
- * @returns Functions that take reads and give the view; `now` is monotonic milliseconds.
+ * @returns Functions that apply reads and return the view; `now` is monotonic milliseconds.
  *
  * @example
  * ```ts
@@ -74,15 +74,15 @@
 export function createPublishedFleet(options: PublishedFleetOptions): PublishedFleet {
 	const {zones, lapseGraceMs = defaultLapseGraceMs} = options;
 	const servers = new Map<PublishedName, Known>();
-	/** Entries that can't be read now, with the reason that was told. */
+	/** Entries that can't be read now, with the reason that was reported. */
 	const unreadable = new Map<PublishedName, string>();
 	const leavingNotices = createLeavingNotices();
 	const resetHold = createResetHold();
 	let rules: PublishedRules | undefined;
 	let config: Config | undefined;
-	/** Counts changes of the servers, so that decisions see that their index is old. */
+	/** Number of changes of rules and servers, so that decisions detect that their index is stale. */
 	let generation = 0;
-	/** Until when missing entries may have lapsed in the last outage of the platform. */
+	/** Time until which missing entries may be due to the last outage of the platform. */
 	let graceUntil = -Infinity;
 	let confirmedAt: Milliseconds | undefined;
 
@@ -92,17 +92,17 @@
 	}
 
 	/**
-	 * A server that starts again under its name holds nothing of before. Each start
-	 * has an id of its own, so all that is believed of the former one ends here:
-	 * taken for the same, it would be sent answers to go on with that it doesn't
-	 * have, and doubted for what its former life did.
+	 * Applies an entry of a server. A server that restarts under its name has lost its
+	 * state. Each start has an id of its own, so the former start is removed here:
+	 * treated as the same server, the new start would be asked to resume streams that
+	 * it doesn't have, and would be penalised for failures of the former start.
 	 */
 	function takeServer(published: PublishedServer): FleetChange['servers'] {
 		const {name, entry, startedAt} = published;
 		const leaving = published.leaving || leavingNotices.has(entry.id);
 		const server = {...published, leaving};
 		const known = servers.get(name);
-		// A heartbeat of the former start that arrives late says nothing of the present one.
+		// A heartbeat of a former start that arrives late is ignored.
 		if (known !== undefined && startedAt < known.startedAt) {
 			return [];
 		}
@@ -120,10 +120,11 @@
 	}
 
 	/**
-	 * An entry as the platform lists it right after it came back from an older copy.
-	 * What is known of the same start is newer, and a start that was gone is not back:
-	 * by the copy alone, a server that left would get requests until it has written
-	 * again. That one leaves is never older than that it serves.
+	 * Applies an entry of a full list. While the platform's list comes from an older
+	 * copy, the known state of the same start takes precedence, and a start that was
+	 * gone stays gone: otherwise a server that left would get requests until it has
+	 * written its entry again. An entry that says that a server leaves is always
+	 * applied, as servers never stop leaving.
 	 */
 	function takeListed(published: PublishedServer, now: Milliseconds): FleetChange['servers'] {
 		const {name, entry} = published;
@@ -141,7 +142,7 @@
 			});
 	}
 
-	/** An entry that was written after the platform came back; a server that left may write that it is ready before it writes that it leaves. */
+	/** Applies an entry that was written after the restore. A leaving server may write its entry as ready before it writes it as leaving, so leaving and gone servers stay so during the hold. */
 	function takeWritten(published: PublishedServer, now: Milliseconds): FleetChange['servers'] {
 		const known = servers.get(published.name);
 		if (!resetHold.isOn(now)) {
@@ -170,8 +171,8 @@
 			return [];
 		}
 
-		// Right after an outage a missing entry may have lapsed for want of a platform to write to:
-		// believed at once, a whole pool would be empty for two seconds while its servers serve.
+		// Right after an outage a missing entry may have expired because its server could not write it.
+		// If such servers were dropped at once, a whole pool would be empty for two seconds while its servers serve.
 		if (now < graceUntil && !known.leaving) {
 			servers.set(name, {...known, isMissing: true});
 			return known.isMissing === true ? [] : [{id: known.entry.id, became: 'missing'}];
@@ -182,7 +183,7 @@
 
 	const listMissing = (): PublishedName[] => [...servers].filter(([, {isMissing}]) => isMissing === true).map(([name]) => name);
 
-	/** Told once for each reason: an entry that stays as it is may be read anew each second. */
+	/** Reports an unreadable entry once for each reason: an unchanged entry may be read again each second. */
 	function takeUnreadable(what: 'rules' | 'server', name: PublishedName, reason: string): FleetChange['unreadable'] {
 		if (unreadable.get(name) === reason) {
 			return [];
@@ -192,14 +193,14 @@
 		return [{what, name, reason}];
 	}
 
-	/** An entry that can't be read names no server, also where it stands in the place of one that could. */
+	/** Removes the server of an entry that can't be read, also if the entry could be read before. */
 	function takeUnreadableServer(name: PublishedName): FleetChange['servers'] {
 		const known = servers.get(name);
 		return known === undefined ? [] : removeServer(known);
 	}
 
 	function takeRules(next: PublishedRules): PublishedRules | undefined {
-		// An older answer that arrives late, or comes from a copy that lags, must not undo a newer one.
+		// An older answer that arrives late, or comes from a stale replica, must not undo a newer one.
 		if (rules !== undefined && next.version <= rules.version) {
 			return undefined;
 		}
@@ -210,20 +211,20 @@
 	}
 
 	/**
-	 * Finds whether the platform was away before this read. The grace is counted
-	 * from the last attempt that failed, as the platform may have been back since
-	 * then: counted from the first read that succeeds, a host that tried late kept
-	 * sending to a server that had left. Without a failed attempt it was this process
-	 * that stood still, or one connection that went silent, while servers went on
-	 * writing. An outage of any length interrupts a grace, also one that ended in it, as
-	 * no read has told yet who stayed away; it begins anew.
+	 * Starts the grace period if the platform was down before this read. The limit is
+	 * counted from the last attempt that failed, as the platform may have been back since
+	 * then: counted from the first read that succeeds, a host that retried late would keep
+	 * sending to a server that had left. Without a failed attempt the platform was not down:
+	 * this process was paused, or one connection went silent, while servers went on writing.
+	 * An outage of any length during a grace period restarts it, also if the period expired
+	 * during the outage, as no read has shown yet which servers are still missing.
 	 */
 	function noteRead(now: Milliseconds, failedAttemptAt: Milliseconds | undefined): void {
 		const isInterrupted = now < graceUntil || listMissing().length > 0;
 		const isLong = confirmedAt !== undefined && now - confirmedAt >= lapseAfterMs;
 		if ((isInterrupted || isLong) && failedAttemptAt !== undefined) {
 			graceUntil = Math.max(graceUntil, Math.min(now + lapseGraceMs, failedAttemptAt + actLimitMs));
-			// An outage in that time puts off what is to be written again.
+			// An outage during the hold delays the entries that servers have to write again.
 			if (resetHold.isOn(now)) {
 				resetHold.begin(now + lapseGraceMs);
 			}
@@ -301,7 +302,7 @@
 				resetHold.end();
 			}
 
-			const listed = new Set(changes.map(change => toListed(change)));
+			const listed = new Set(changes.map(change => toListedName(change)));
 			const gone = [...servers.keys(), ...unreadable.keys()]
 				.filter(name => name !== rulesName && !listed.has(name))
 				.map((name): PublishedChange => ({kind: 'server-gone', name}));
@@ -318,7 +319,7 @@
 		},
 		noteReset({latestActAt: latest}, now) {
 			graceUntil = Math.max(graceUntil, Math.min(now + lapseGraceMs, latest));
-			// To leave a server alone for longer than need be is safe, to use it is not.
+			// The hold is not limited by `latestActAt`: not using a server for longer than necessary is safe, using one that left is not.
 			resetHold.begin(now + lapseGraceMs);
 		},
 		fullReadAt: resetHold.until,
--- a/src/domain/create-published-fleet/test.ts
+++ b/src/domain/create-published-fleet/test.ts
@@ -26,7 +26,7 @@
 
 const toIds = (fleet: PublishedFleet, now: number): string[] => [...fleet.toView(now).servers.keys()].toSorted((a, b) => a.localeCompare(b));
 
-/** Reads every second up to `until`, as a host does while its platform is well. */
+/** Reads every second up to `until`, as a host does while its platform answers. */
 function readUntil(fleet: PublishedFleet, until: number): void {
 	for (let at = 0; at <= until; at += 1000) {
 		fleet.apply([], at);
@@ -54,7 +54,7 @@
 		}));
 	});
 
-	it('tells a change of servers from a heartbeat', () => {
+	it('reports a change of servers, and no change for a heartbeat', () => {
 		const fleet = createPublishedFleet({zones});
 		assert.deepEqual(fleet.apply([server('s1')], 0).servers, [{id: 's1', became: 'serving'}]);
 		assert.deepEqual(fleet.apply([server('s1')], 1).servers, []);
@@ -62,14 +62,14 @@
 		assert.deepEqual(fleet.apply([gone('s1'), gone('s1')], 3).servers, [{id: 's1', became: 'gone'}]);
 	});
 
-	it('drops what a whole list does not name', () => {
+	it('drops servers that a full list does not contain', () => {
 		const fleet = createPublishedFleet({zones});
 		fleet.replace([server('s1'), server('s2')], 0);
 		fleet.replace([server('s2')], 1000);
 		assert.deepEqual(toIds(fleet, 1000), ['s2']);
 	});
 
-	it('gives decisions another version with each change of servers', () => {
+	it('changes the version of the view with each change of servers', () => {
 		const fleet = createPublishedFleet({zones});
 		fleet.apply([rules(1), server('s1')], 0);
 		const {version} = fleet.toView(0).accepted!;
@@ -78,16 +78,16 @@
 	});
 
 	/*
-	 * The platform is away for seconds, and entries of living servers lapse, as they
-	 * can't be written. Callers would be refused although every server serves: the
-	 * list that is read first after the outage lacks them for about two seconds.
+	 * The platform is down for seconds, and entries of live servers expire, as they
+	 * can't be written. Requests would be refused although every server serves: the
+	 * lists read in the first two seconds after the outage lack those servers.
 	 */
-	it('keeps servers that are missing right after an outage, until they stay away', () => {
+	it('keeps servers that are missing right after an outage, and drops those still missing after the grace period', () => {
 		const fleet = createPublishedFleet({zones});
 		fleet.replace([server('s1'), server('s2'), server('s3', true)], 0);
 		readUntil(fleet, 2000);
 		assert.deepEqual(fleet.replace([], 7000, {failedAttemptAt: 6800}).servers, [{id: 's1', became: 'missing'}, {id: 's2', became: 'missing'}, {id: 's3', became: 'gone'}]);
-		assert.deepEqual(fleet.replace([], 7100).servers, [], 'told twice');
+		assert.deepEqual(fleet.replace([], 7100).servers, [], 'reported twice');
 		assert.deepEqual(toIds(fleet, 7000), ['s1', 's2']);
 		fleet.apply([server('s1')], 8500);
 		assert.deepEqual(fleet.sweep(9000).servers, []);
@@ -96,7 +96,7 @@
 		assert.equal(fleet.missingUntil(), undefined);
 	});
 
-	it('keeps missing servers no longer than 2.8 s from the last failed attempt, since which the platform may be back', () => {
+	it('keeps missing servers no longer than 2.8 s from the last failed attempt, after which the platform may have been back', () => {
 		const fleet = createPublishedFleet({zones});
 		fleet.replace([server('s1')], 0);
 		fleet.replace([], 7000, {failedAttemptAt: 6000});
@@ -107,16 +107,16 @@
 
 	/*
 	 * The process is paused for seconds, or its one connection goes silent, and a
-	 * server leaves meanwhile. Servers wrote to the platform all the while, so nothing
-	 * lapsed; kept as missing, the server would get requests that break when it ends.
+	 * server leaves meanwhile. Servers went on writing to the platform, so no entry
+	 * expired; kept as missing, the server would get requests that break when it ends.
 	 */
-	it('believes a missing entry at once after a silence in which no attempt failed', () => {
+	it('drops a server with a missing entry at once after a silence in which no attempt failed', () => {
 		const fleet = createPublishedFleet({zones});
 		fleet.replace([server('s1'), server('s2')], 0);
 		assert.deepEqual(fleet.apply([gone('s1')], 7000).servers, [{id: 's1', became: 'gone'}]);
 	});
 
-	it('believes a missing entry at once while the platform answers, also after one failed read', () => {
+	it('drops a server with a missing entry at once while the platform answers, also after one failed read', () => {
 		const fleet = createPublishedFleet({zones});
 		fleet.replace([server('s1'), server('s2')], 0);
 		readUntil(fleet, 2000);
@@ -125,10 +125,10 @@
 	});
 
 	/*
-	 * A server crashes and starts again under its name, with its old work and counts
-	 * gone. A late heartbeat of its former life may arrive after the first of the new one.
+	 * A server crashes and restarts under its name, with its work and counts lost. A late
+	 * heartbeat of its former start may arrive after the first one of the new start.
 	 */
-	it('takes a server that started again for another one, and never goes back to its former start', () => {
+	it('treats a restarted server as another one, and never goes back to its former start', () => {
 		const fleet = createPublishedFleet({zones});
 		fleet.apply([server('s1', true, 1000)], 0);
 		assert.deepEqual(fleet.apply([server('s1', false, 2000)], 1).servers, [{id: 's1@1000', became: 'gone'}, {id: 's1@2000', became: 'serving'}]);
@@ -138,11 +138,11 @@
 	});
 
 	/*
-	 * Something else writes to a server's entry. A host that kept the old one would
-	 * send on to a server nobody vouches for; one that dropped the rest of the list
-	 * with it would serve nobody.
+	 * Another program overwrites a server's entry. A host that kept the old entry would
+	 * send to a server whose state is unknown; a host that dropped the rest of the list
+	 * too would have no servers.
 	 */
-	it('uses no server whose entry can\'t be read, keeps the others, and tells once', () => {
+	it('drops a server whose entry can\'t be read, keeps the others, and reports it once', () => {
 		const fleet = createPublishedFleet({zones});
 		fleet.apply([rules(1), server('s1'), server('s2')], 0);
 		const change = fleet.apply([unreadable('s1')], 1);
@@ -154,7 +154,7 @@
 		assert.equal(fleet.apply([unreadable('s1')], 4).unreadable.length, 1);
 	});
 
-	it('keeps the rules that it has when new ones can\'t be read', () => {
+	it('keeps the current rules when new ones can\'t be read', () => {
 		const fleet = createPublishedFleet({zones});
 		fleet.apply([rules(1)], 0);
 		const change = fleet.apply([{kind: 'unreadable-rules', reason: 'no JSON'}], 1);
@@ -162,7 +162,7 @@
 		assert.equal(fleet.toView(1).accepted?.version.edition, 1);
 	});
 
-	it('knows the same servers from a list as from the changes that led to it (property)', () => {
+	it('has the same servers after a full list as after the changes that led to it (property)', () => {
 		const names = fc.constantFrom('s1', 's2', 's3');
 		const changes = fc.array(fc.oneof(
 			fc.tuple(names, fc.boolean(), fc.integer({min: 1, max: 3})).map(([name, leaving, startedAt]) => server(name, leaving, startedAt)),
@@ -186,8 +186,8 @@
 		}));
 	});
 
-	/* Guards against requests at a server that said itself that it leaves, when an older word of the platform comes late. */
-	it('never takes back a server\'s own word that it leaves, whatever is published of that start (property)', () => {
+	/* Guards against requests to a server that announced that it leaves, when an older entry of the platform arrives late. */
+	it('never overrides a server\'s own notice that it leaves, whatever is published of that start (property)', () => {
 		const names = fc.constantFrom('s1', 's2');
 		const starts = fc.constantFrom(0, 1, 2);
 		const step = fc.oneof(
@@ -234,17 +234,17 @@
 		}));
 	});
 
-	it('uses the next start of a server that said that it leaves', () => {
+	it('uses the next start of a server that announced that it leaves', () => {
 		const fleet = createPublishedFleet({zones});
 		fleet.apply([server('s1', false, 1)], 0);
 		assert.deepEqual(fleet.noteLeaving('s1@1').servers, [{id: 's1@1', became: 'leaving'}]);
-		assert.deepEqual(fleet.noteLeaving('s1@1').servers, [], 'told of once');
+		assert.deepEqual(fleet.noteLeaving('s1@1').servers, [], 'reported twice');
 		fleet.apply([server('s1', false, 2)], 1);
 		assert.equal(fleet.toView(1).servers.get('s1@2')?.leaving, false);
 	});
 
-	/* Guards against requests at a server that said that it leaves after the platform had come back, and before this host read the copy. */
-	it('takes a server that leaves from the copy, and nothing else of a start that it knows', () => {
+	/* Guards against requests to a server that wrote that it leaves after the platform was restored, and before this host read the restored list. */
+	it('applies from a restored copy that a known server leaves, and nothing else of a known start', () => {
 		const fleet = createPublishedFleet({zones});
 		fleet.replace([server('s1'), server('s2', true), server('s3')], 0);
 		fleet.noteReset({latestActAt: 2800}, 100);
@@ -259,8 +259,8 @@
 		assert.deepEqual(toIds(fleet, 2700), ['s1', 's2']);
 	});
 
-	/* Guards against a server that left and whose entries are written again one by one, the one that says ready first. */
-	it('takes no writing that it serves of a start that left or was gone, until all is written again', () => {
+	/* Guards against requests to a server that left and writes its entry again as ready before it writes it as leaving. */
+	it('ignores entries that say that a start that left or was gone serves, until all entries are written again', () => {
 		const fleet = createPublishedFleet({zones});
 		fleet.replace([server('s1', true), server('s2'), server('s3')], 0);
 		fleet.apply([gone('s2')], 50);
--- a/src/domain/create-shared-loads/index.ts
+++ b/src/domain/create-shared-loads/index.ts
@@ -1,33 +1,33 @@
-/** What other hosts have under way at each server, as they told last. */
+/** The load that other hosts have in flight at each server, from their latest messages. */
 import {type Milliseconds} from '../../ports/clock.js';
 import {type HostId, type ServerId, type ZoneId} from '../../ports/ids.js';
 import {type HostLoad, type LoadMessage} from '../../ports/shared-loads.js';
 
 /**
- * Age beyond which a host's word counts for nothing, unless told otherwise. A living
- * host of a small fleet speaks every 500 ms, so three messages in a row must be lost;
- * what a killed host had at the servers ends with its connections.
+ * Default age beyond which a host's loads are ignored. A live host of a small fleet
+ * sends every 500 ms, so three messages in a row must be lost before its loads expire.
+ * The requests of a killed host end with its connections.
  */
 const defaultMaxAgeMs: Milliseconds = 1500;
 
 export type SharedLoadsOptions = {
-	/** Age beyond which a host's word counts for nothing now; it follows how often hosts speak. */
+	/** Age beyond which a host's loads are ignored now; it depends on how often hosts send. */
 	toMaxAgeMs?: (now: Milliseconds) => Milliseconds;
 };
 
-/** What a host says of its loads. */
+/** The loads that a host reports in a message. */
 export type ToldLoads = Omit<LoadMessage, 'crashes'>;
 
 type Told = Pick<LoadMessage, 'incarnation' | 'sequence'> & {at: Milliseconds; loads: ReadonlyMap<ServerId, HostLoad>};
 
 export type SharedLoads = {
-	/** Takes what a host says; an older message than the last of the host is dropped. */
+	/** Records a host's message; a message older than the host's latest one is dropped. */
 	note: (message: ToldLoads, now: Milliseconds) => void;
-	/** Sum over the other hosts. */
+	/** Sums the load of a server over the other hosts. */
 	read: (server: ServerId, now: Milliseconds) => Omit<HostLoad, 'server'>;
-	/** Whether hosts of the zone spoke before, and none does any more. */
+	/** Whether hosts of the zone sent messages before, and none has within the maximum age. */
 	isZoneSilent: (zone: ZoneId, now: Milliseconds) => boolean;
-	/** Whether hosts of other zones spoke before, and none of any of them does any more. */
+	/** Whether hosts of other zones sent messages before, and none of any other zone has within the maximum age. */
 	isIsolated: (ownZone: ZoneId, now: Milliseconds) => boolean;
 };
 
@@ -35,10 +35,10 @@
 	message.incarnation < told.incarnation || (message.incarnation === told.incarnation && message.sequence <= told.sequence);
 
 /**
- * Creates the knowledge of a host that has heard nobody yet.
+ * Creates the shared loads of a host that has received no message yet.
  *
- * @param options - How long a host's word counts.
- * @returns Functions that take messages and give sums; `now` is monotonic milliseconds.
+ * @param options - How long a host's loads count.
+ * @returns Functions that record messages and return sums; `now` is monotonic milliseconds.
  *
  * @example
  * ```ts
@@ -54,7 +54,7 @@
 		note(message, now) {
 			zoneHeardAt.set(message.zone, now);
 			const told = hosts.get(message.host);
-			// A host whose time of day was set back starts with a lower incarnation; once its former life is too old to count, it is taken as it is.
+			// A host whose clock was set back restarts with a lower incarnation. Its messages are accepted once its former incarnation's loads have expired.
 			if (told !== undefined && now - told.at <= toMaxAgeMs(now) && isOlder(message, told)) {
 				return;
 			}
--- a/src/domain/create-shared-loads/test.ts
+++ b/src/domain/create-shared-loads/test.ts
@@ -7,12 +7,12 @@
 });
 
 /*
- * Hosts tell each other what they have at the servers; datagrams are lost, come
- * twice or out of order, and hosts are killed. Work would be kept off a server
- * for what ended long ago, or all hosts would send to the one nobody spoke of.
+ * Hosts send each other the load that they have at the servers; datagrams are lost,
+ * duplicated or reordered, and hosts are killed. Stale loads would keep requests off a
+ * server, and lost ones would make all hosts send to the same server.
  */
 describe('createSharedLoads', () => {
-	it('adds up what the hosts said last', () => {
+	it('sums the latest loads of the hosts', () => {
 		const shared = createSharedLoads();
 		shared.note(toMessage(), 0);
 		shared.note(toMessage({host: 'c', loads: [{server: 's', requests: 1, promptTokens: 100}, {server: 't', requests: 4, promptTokens: 0}]}), 0);
@@ -21,21 +21,21 @@
 		assert.deepEqual(shared.read('u', 10), {requests: 0, promptTokens: 0});
 	});
 
-	it('takes a server that is no longer named for one without work', () => {
+	it('counts no load for a server that a host no longer lists', () => {
 		const shared = createSharedLoads();
 		shared.note(toMessage(), 0);
 		shared.note(toMessage({sequence: 2, loads: []}), 5);
 		assert.deepEqual(shared.read('s', 10), {requests: 0, promptTokens: 0});
 	});
 
-	it('drops a message that a later one has overtaken', () => {
+	it('drops a message that arrives after a later one', () => {
 		const shared = createSharedLoads();
 		shared.note(toMessage({sequence: 9, loads: []}), 0);
 		shared.note(toMessage({sequence: 8}), 1);
 		assert.equal(shared.read('s', 2).requests, 0);
 	});
 
-	it('believes a host that was restarted, also with an earlier time of day', () => {
+	it('accepts messages of a host that was restarted, also with its clock set back', () => {
 		const shared = createSharedLoads();
 		shared.note(toMessage({incarnation: 5, sequence: 90}), 0);
 		shared.note(toMessage({incarnation: 6, sequence: 1, loads: []}), 1);
@@ -44,7 +44,7 @@
 		assert.equal(shared.read('s', 2001).requests, 2);
 	});
 
-	it('tells a zone that fell silent from one that never spoke', () => {
+	it('distinguishes a zone that fell silent from one that never sent a message', () => {
 		const shared = createSharedLoads();
 		shared.note(toMessage({zone: 'z'}), 0);
 		assert.deepEqual(['z', 'y'].map(zone => shared.isZoneSilent(zone, 1000)), [false, false]);
@@ -53,7 +53,7 @@
 		assert.equal(shared.isZoneSilent('z', 2200), false);
 	});
 
-	it('tells a host that hears no other zone from one that never had any to hear', () => {
+	it('distinguishes a host that no longer hears from other zones from one that never did', () => {
 		const shared = createSharedLoads();
 		shared.note(toMessage({zone: 'own'}), 0);
 		assert.equal(shared.isIsolated('own', 5000), false);
