--- a/src/domain/create-claim-witness/index.ts
+++ b/src/domain/create-claim-witness/index.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps, in memory alone, which claimant may run a key. A claim is write-once;
- * a witness that may have forgotten one says so instead of granting.
+ * Keeps, in memory only, which claimant may run a key. A claim is write-once;
+ * a witness that may have lost a claim of a key abstains instead of granting.
  */
 import {msPerMinute, msPerSecond} from '../../ports/units.js';
 import {type Milliseconds} from '../../ports/clock.js';
@@ -12,11 +12,11 @@
 
 export type * from './types.js';
 
-/** Two minutes for the caller's clock, two for the host's, and a second for rounding: what the promise depends on. */
+/** Maximum clock difference: two minutes for the caller's clock, two for the host's, and a second for rounding. At most one run of a key is guaranteed only within this bound. */
 export const defaultClockBoundMs = (4 * msPerMinute) + msPerSecond;
 export const defaultRetentionMs = (15 * msPerMinute) + defaultClockBoundMs;
 const defaultMaxClaims = 200_000;
-/** Claimants whose description is shared between their claims. */
+/** Maximum number of claimants whose description is shared between their claims. */
 const maxClaimants = 2000;
 
 /** A claim in the table; its workspace and key are in the table's own key. */
@@ -31,13 +31,13 @@
 /**
  * Creates the witness of one incarnation of a host slot.
  *
- * Why a restarted witness can be trusted: it vouches only for keys whose own
- * time is later than its start by more than clocks may differ. Such a key did
- * not exist while an earlier incarnation ran, unless that one still runs
- * behind a cut; the quorum masks that case, see `pick-witnesses`.
+ * A restarted witness is safe because it grants only keys whose own time is later
+ * than its start by more than clocks may differ. Such a key did not exist while an
+ * earlier incarnation ran, unless that incarnation still runs behind a partition;
+ * the quorum masks that case, see `pick-witnesses`.
  *
  * @param options - Slot, incarnation, start and bounds.
- * @returns Functions that close over the table; `now` is wall-clock milliseconds throughout, and may jump.
+ * @returns Functions on the table; `now` is wall-clock milliseconds throughout, and may jump.
  *
  * @example
  * ```ts
@@ -60,7 +60,7 @@
 		floor = Math.max(floor, now - retentionMs);
 	}
 
-	/** Each claim comes off the wire with a description of its own; a table of them would be a third larger. */
+	/** Returns one shared object for equal claimants: each decoded claim has an object of its own, and keeping those would make the table a third larger. */
 	function share(claimant: Claimant): Claimant {
 		const name = `${claimant.incarnation} ${claimant.address} ${claimant.host}`;
 		const known = claimants.get(name);
@@ -77,7 +77,7 @@
 	}
 
 	function put(text: string, mintedAt: Milliseconds, {claimId, claimant, digest, isRepeatable}: Claim) {
-		// Written out: a spread gives each object a property store of its own, which doubles the table.
+		// Fields are written out, because a spread gives each object a property store of its own, which doubles the table's memory.
 		table.set(text, {
 			claimId, claimant: share(claimant), digest, isRepeatable, mintedAt,
 		});
@@ -150,7 +150,7 @@
 	function release(req: ScopedKey & {claimId: string}) {
 		const text = toScopedKey(req);
 		const isOwn = table.get(text)?.claimId === req.claimId || omit.includes('claim-id');
-		// A frozen table is already on its way to the successor: a release that came too late only costs a retry.
+		// A frozen table has already been handed over to the successor: a release that comes later only costs a retry.
 		if (isOwn && (!isFrozen || omit.includes('freeze'))) {
 			table.delete(text);
 		}
--- a/src/domain/create-claim-witness/test.ts
+++ b/src/domain/create-claim-witness/test.ts
@@ -29,7 +29,7 @@
 }
 
 describe('createClaimWitness', () => {
-	it('grants a key once, and again only to the same claim', () => {
+	it('grants a key to one claim, and again only to the same claim', () => {
 		const witness = create();
 		assert.equal(witness.claim(toRequest(fresh), fresh).kind, 'granted');
 		assert.equal(witness.claim(toRequest(fresh), fresh).kind, 'granted');
@@ -62,12 +62,12 @@
 		});
 	}
 
-	it('abstains on what is no version 7 UUID', () => {
+	it('abstains on a key that is not a UUID of version 7', () => {
 		const answer = create().claim({...toRequest(fresh), key: 'order-17'}, fresh);
 		assert.ok(answer.kind === 'abstained' && answer.reason === 'malformed');
 	});
 
-	it('refuses a forgotten key for good, also when its clock is set back', () => {
+	it('refuses a key whose claim has expired for good, also when its clock is set back', () => {
 		const witness = create();
 		witness.claim(toRequest(fresh), fresh);
 		witness.sweep(fresh + retentionMs + 1);
@@ -76,7 +76,7 @@
 		assert.ok(answer.kind === 'abstained' && answer.reason === 'expired');
 	});
 
-	it('abstains when full and forgets none', () => {
+	it('abstains when full and drops no claim', () => {
 		const witness = create({maxClaims: 1});
 		witness.claim(toRequest(fresh), fresh);
 		const answer = witness.claim(toRequest(fresh + 1), fresh);
@@ -94,7 +94,7 @@
 		assert.equal(witness.claim({...req, claimId: 'claim-2'}, fresh).kind, 'granted');
 	});
 
-	it('lets repeatable work alone be taken over, by the name of the claim that is replaced', () => {
+	it('lets only claims of repeatable work be taken over, and only by a request that names the replaced claim', () => {
 		for (const isRepeatable of [true, false]) {
 			const witness = create();
 			witness.claim(toRequest(fresh, {isRepeatable}), fresh);
@@ -104,7 +104,7 @@
 		}
 	});
 
-	it('stops vouching once frozen, and still tells who holds a key', () => {
+	it('stops granting once frozen, and still reports which claim holds a key', () => {
 		const frozen = create();
 		frozen.claim(toRequest(fresh), fresh);
 		assert.equal(frozen.freeze(fresh)?.claims.length, 1);
@@ -114,7 +114,7 @@
 		assert.equal(frozen.claim(toRequest(fresh, {claimId: 'claim-2'}), fresh).kind, 'held');
 	});
 
-	it('goes on where its predecessor froze, with its claims, its start and its floor', () => {
+	it('continues with the claims, the start and the floor of its predecessor', () => {
 		const old = create();
 		old.claim(toRequest(fresh), fresh);
 		const handOver = old.freeze(fresh + 100)!;
--- a/src/domain/create-zone-summaries/_lib/pack.ts
+++ b/src/domain/create-zone-summaries/_lib/pack.ts
@@ -1,6 +1,6 @@
 /**
- * Ten bytes for a zone and five for each of its rows. The first byte of all is
- * the format; a reader leaves formats alone that it does not know.
+ * Binary format of zone summaries: a format byte, then ten bytes for each zone
+ * and five for each of its rows. A reader ignores formats that it does not know.
  */
 import {fromLogStep, toLogStep} from '../../../_lib/to-log-step/index.js';
 import {type Milliseconds} from '../../../ports/clock.js';
@@ -12,10 +12,10 @@
 const maxByte = 255;
 const ageUnitMs = 100;
 
-/** Rows of one zone that travel. */
+/** Maximum number of rows of one zone in a packet. */
 export const maxRows = 32;
 
-/** Rounds a row as the bytes round it: what is free down, what waits up. */
+/** Rounds a row to the values that the format can hold: free slots down, the wait up. */
 export function toRounded({key, servers, free, waitMs}: StampedRow): StampedRow {
 	return {
 		key,
@@ -43,6 +43,8 @@
 }
 
 /**
+ * Encodes summaries.
+ *
  * @param summaries - Summaries whose rows are rounded already.
  * @param now - Monotonic milliseconds.
  * @returns The bytes.
@@ -66,9 +68,11 @@
 }
 
 /**
- * @param bytes - Any bytes of a peer.
- * @param arrivedAt - When they arrived at the earliest, monotonic milliseconds.
- * @returns The whole summaries in it; none of a format that is not known.
+ * Decodes summaries.
+ *
+ * @param bytes - Bytes received from a peer, which may be malformed.
+ * @param arrivedAt - Earliest time at which they can have arrived, monotonic milliseconds.
+ * @returns The complete summaries in the bytes; none if the format is unknown.
  */
 export function unpackSummaries(bytes: Uint8Array, arrivedAt: Milliseconds): StampedSummary[] {
 	const view = new DataView(bytes.buffer, bytes.byteOffset, bytes.byteLength);
--- a/src/domain/create-zone-summaries/index.ts
+++ b/src/domain/create-zone-summaries/index.ts
@@ -1,6 +1,6 @@
 /**
- * What a host knows of whole zones: the last summary of each, its own zone's
- * among them while this host is one of those that make it.
+ * Keeps the latest summary of each zone, including the own zone while this host
+ * is one of those that make its summary.
  */
 import {toHash32} from '../../_lib/to-hash32/index.js';
 import {type Milliseconds} from '../../ports/clock.js';
@@ -12,10 +12,10 @@
 	maxRows, packSummaries, toRounded, unpackSummaries,
 } from './_lib/pack.js';
 
-/** Age at which a summary is forgotten: two rounds may get lost on its way. */
+/** Age at which a summary is dropped: the summaries of two rounds in a row may get lost. */
 export const summaryStaleMs = 20_000;
 
-/** What a peer sends must not fill the memory. */
+/** Maximum number of zones kept, so that a peer's messages cannot exhaust the memory. */
 const maxZones = 64;
 const maxStamp = 0xFF_FF_FF_FF;
 const keyLimit = 2 ** 16;
@@ -23,17 +23,17 @@
 const roles = ['prefill', 'decode'] as const;
 
 export type ZoneSummaries = {
-	/** Takes this host's own summary of its zone; `wallNow` only keeps stamps rising over restarts. */
+	/** Stores this host's own summary of its zone; `wallNow` serves only to keep stamps rising over restarts. */
 	setOwn: (summary: ZoneSummary, now: Milliseconds, wallNow: Milliseconds) => void;
-	/** Takes what a peer sent; returns whether any of it was news. */
+	/** Merges the summaries that a peer sent; returns whether any was newer than the known one. */
 	merge: (bytes: Uint8Array, arrivedAt: Milliseconds, now: Milliseconds) => boolean;
-	/** Bytes for a peer: of one zone, or of all; `undefined` when nothing is known. */
+	/** Encodes the summary of one zone, or of all, for a peer; `undefined` when none is known. */
 	pack: (now: Milliseconds, zone?: ZoneId) => Uint8Array | undefined;
 	/** Summaries by name, of the zones and pools of the configuration; the same map until something changes. */
 	view: (config: Config, now: Milliseconds) => ReadonlyMap<ZoneId, ZoneSummary>;
 };
 
-/** Hash of a pool and role; the first of two that clash keeps the key, on all hosts alike. */
+/** Maps hashes to pools and roles. When two collide, the first keeps the key, on all hosts alike. */
 function toKeys(config: Config): Map<number, {pool: string; role: SummaryRow['role']}> {
 	const keys = new Map<number, {pool: string; role: SummaryRow['role']}>();
 	for (const {name} of config.pools) {
@@ -61,9 +61,9 @@
 }
 
 /**
- * Creates it empty.
+ * Creates an empty store of summaries.
  *
- * @param options - Age at which a summary is forgotten, milliseconds.
+ * @param options - Age at which a summary is dropped, milliseconds.
  * @returns See {@link ZoneSummaries}.
  *
  * @example
@@ -79,8 +79,9 @@
 	let shown: {version: number; config: Config; zones: ReadonlyMap<ZoneId, ZoneSummary>} | undefined;
 
 	/**
-	 * A zone whose hosts all restarted with slower clocks stamps lower than before,
-	 * and nobody would take its summary; what has gone stale bars nobody.
+	 * Drops stale summaries. A zone whose hosts all restarted with slower clocks uses
+	 * lower stamps than before, so its summaries would be rejected; once the former
+	 * summary is dropped for its age, they are accepted again.
 	 */
 	function forgetStale(now: Milliseconds) {
 		for (const [zone, {at}] of known) {
--- a/src/domain/create-zone-summaries/test.ts
+++ b/src/domain/create-zone-summaries/test.ts
@@ -13,7 +13,7 @@
 
 const toSummary = (zone: string, free: number, at: number) => ({zone, at, rows: toRows(free)});
 
-/** What a host shows of a zone. */
+/** Free slots in a zone's summary, as a host sees them. */
 const toFree = (summaries: ReturnType<typeof createZoneSummaries>, zone: string, now: number) => summaries.view(config, now).get(zone)?.rows[0]?.free;
 
 describe('createZoneSummaries', () => {
@@ -23,10 +23,10 @@
 		assert.equal(bridge.merge(maker.pack(1200)!, 50_000, 50_000), true);
 		assert.equal(host.merge(bridge.pack(50_300)!, 900, 900), true);
 		assert.deepEqual([...host.view(config, 900).values()], [{zone: 'a', at: 400, rows: toRows(16)}]);
-		assert.equal(host.merge(bridge.pack(50_300)!, 900, 900), false, 'it is known already');
+		assert.equal(host.merge(bridge.pack(50_300)!, 900, 900), false, 'the summary is known already');
 	});
 
-	it('takes 12 zones of 3 models and 2 roles in under 500 bytes', () => {
+	it('packs 12 zones of 3 models and 2 roles in under 500 bytes', () => {
 		const summaries = createZoneSummaries();
 		const rows = ['x', 'y', 'z'].flatMap(pool => (['prefill', 'decode'] as const).map(role => ({
 			pool, role, servers: 70, free: 900, waitMs: 1234,
@@ -38,7 +38,7 @@
 		assert.ok(summaries.pack(0)!.length < 500, `${summaries.pack(0)!.length}`);
 	});
 
-	it('goes on from the stamps of the zone\'s other maker, however far its own clock is behind', () => {
+	it('continues the stamps of the other host that makes the zone\'s summary, however far its own clock is behind', () => {
 		const [ahead, behind, host] = [createZoneSummaries(), createZoneSummaries(), createZoneSummaries()];
 		ahead.setOwn(toSummary('a', 1, 0), 0, 90_000_000);
 		behind.merge(ahead.pack(0)!, 0, 0);
@@ -48,7 +48,7 @@
 		assert.equal(toFree(host, 'a', 2000), 8);
 	});
 
-	it('believes a zone again that restarted with slower clocks, once what it said before is stale', () => {
+	it('accepts summaries of a zone that restarted with slower clocks, once its former summary is stale', () => {
 		const [before, after, host] = [createZoneSummaries(), createZoneSummaries(), createZoneSummaries()];
 		before.setOwn(toSummary('a', 1, 0), 0, 90_000_000);
 		host.merge(before.pack(0)!, 0, 0);
@@ -60,7 +60,7 @@
 		assert.equal(toFree(host, 'a', 20_100), 8);
 	});
 
-	it('forgets what is stale, and passes nothing stale on', () => {
+	it('drops stale summaries, and passes none on', () => {
 		const summaries = createZoneSummaries({staleAfterMs: 1000});
 		summaries.setOwn(toSummary('a', 1, 0), 0, 0);
 		assert.equal(summaries.view(config, 999).size, 1);
@@ -68,7 +68,7 @@
 		assert.equal(summaries.pack(1000), undefined);
 	});
 
-	it('shows the same on hosts that heard the same, in any order and any number of times', () => {
+	it('has the same view on hosts that received the same summaries, in any order and any number of times', () => {
 		const words = fc.array(fc.record({zone: fc.constantFrom(...zones), free: fc.integer({min: 0, max: 40})}), {minLength: 1, maxLength: 8});
 		fc.assert(fc.property(words, fc.infiniteStream(fc.nat()), (said, order) => {
 			const maker = createZoneSummaries();
@@ -90,7 +90,7 @@
 		}));
 	});
 
-	it('never says more free, or less wait, than it was told', () => {
+	it('never reports more free slots, or a shorter wait, than the summary had', () => {
 		fc.assert(fc.property(fc.nat({max: 100_000}), fc.nat({max: 100_000}), (free, waitMs) => {
 			const [maker, host] = [createZoneSummaries(), createZoneSummaries()];
 			maker.setOwn({
@@ -105,7 +105,7 @@
 		}));
 	});
 
-	it('reads any bytes, and none of a format that it does not know', () => {
+	it('accepts any bytes without an error, and ignores an unknown format', () => {
 		fc.assert(fc.property(fc.uint8Array({maxLength: 100}), bytes => {
 			const summaries = createZoneSummaries();
 			summaries.merge(bytes, 0, 0);
--- a/src/domain/pick-newer-summary/index.ts
+++ b/src/domain/pick-newer-summary/index.ts
@@ -1,6 +1,6 @@
 import {type Milliseconds} from '../../ports/clock.js';
 
-/** One row as it travels. */
+/** One row of a summary in a message. */
 export type StampedRow = {
 	/** Hash of pool and role. */
 	key: number;
@@ -9,13 +9,13 @@
 	waitMs: Milliseconds;
 };
 
-/** A zone's summary as it travels between hosts. */
+/** A zone's summary in a message between hosts. */
 export type StampedSummary = {
 	/** Hash of the zone's name. */
 	zone: number;
-	/** Raised with each summary of the zone; the order of summaries follows it, not any clock. */
+	/** Version of the zone's summary; it orders summaries, so that no clocks are compared. */
 	stamp: number;
-	/** Monotonic time of this process at which it was true, at the latest. */
+	/** Latest monotonic time of this process at which the summary can have been true. */
 	at: Milliseconds;
 	rows: readonly StampedRow[];
 };
@@ -32,14 +32,14 @@
 }
 
 /**
- * Picks which of two summaries of one zone to keep: the higher stamp; of two
- * makers' with one stamp always the same one; of two copies the one believed
- * older, so that errors of age make it older. It is the greater of the two in a
- * total order, so hosts end with the same in whatever order and however often
- * they hear them.
+ * Picks which of two summaries of one zone to keep: the one with the higher stamp;
+ * of two different ones with the same stamp always the same one; of two copies the
+ * older one, so that errors of the age never make a summary look younger. The result
+ * is the greater one in a total order, so hosts converge on the same summary in
+ * whatever order and however often they receive them.
  *
- * @param a - One.
- * @param b - The other.
+ * @param a - A summary.
+ * @param b - Another summary of the same zone.
  * @returns One of the two.
  *
  * @example
--- a/src/domain/pick-newer-summary/test.ts
+++ b/src/domain/pick-newer-summary/test.ts
@@ -25,7 +25,7 @@
 		}));
 	});
 
-	it('believes the older age of two copies', () => {
+	it('keeps the older of two copies', () => {
 		const copy: StampedSummary = {
 			zone: 1, stamp: 5, at: 100, rows: [],
 		};
--- a/src/domain/pick-pollers/index.ts
+++ b/src/domain/pick-pollers/index.ts
@@ -4,14 +4,14 @@
 import {type HostStatus} from '../../ports/view.js';
 
 /**
- * Picks the hosts whose agents poll a server: of the server's zone, or of any
- * zone when no host of it is there. All hosts that know the same live hosts
- * pick the same, and a host that goes moves only its own servers.
+ * Picks the hosts whose agents poll a server: hosts of the server's zone, or of
+ * any zone when none of its zone is alive. All hosts that know the same live hosts
+ * pick the same pollers, and a host that leaves moves only its own servers.
  *
  * @param server - The server.
  * @param hosts - Known hosts; those alive are candidates.
  * @param count - How many to pick.
- * @returns Hosts, the one that also gives the server its orders first.
+ * @returns Hosts; the first one also sends the server its orders.
  *
  * @example
  * ```ts
--- a/src/domain/pick-pollers/test.ts
+++ b/src/domain/pick-pollers/test.ts
@@ -6,14 +6,14 @@
 const hosts = ['a-1', 'a-2', 'a-3', 'b-1', 'b-2'].map(id => ({id, zone: id[0]!, life: 'alive' as const}));
 
 describe('pickPollers', () => {
-	it('picks of the server\'s zone, or of any when no host of it is alive', () => {
+	it('picks hosts of the server\'s zone, or of any zone when none of its zone is alive', () => {
 		assert.equal(pickPollers({id: 's', zone: 'b'}, hosts, 1)[0]![0], 'b');
 		assert.equal(pickPollers({id: 's', zone: 'c'}, hosts, 2).length, 2);
 		const withoutB = hosts.map(host => host.zone === 'b' ? {...host, life: 'suspect' as const} : host);
 		assert.equal(pickPollers({id: 's', zone: 'b'}, withoutB, 1)[0]![0], 'a');
 	});
 
-	it('moves only the servers of a host that goes', () => {
+	it('moves only the servers of a host that leaves', () => {
 		fc.assert(fc.property(fc.string(), fc.constantFrom('a-1', 'a-2', 'a-3'), (id, gone) => {
 			const server = {id, zone: 'a'};
 			const [before] = pickPollers(server, hosts, 1);
--- a/src/domain/pick-tree-children/index.ts
+++ b/src/domain/pick-tree-children/index.ts
@@ -4,14 +4,14 @@
 const childrenOfHost = 2;
 
 /**
- * Picks the hosts to which a host passes on what a root tells its whole zone.
- * Each round is a binary tree in another order, so that the sending falls on all
- * alike, and a host that fails silently costs some of its zone one round only.
+ * Picks the hosts to which a host forwards a message that a root sends to its whole
+ * zone. Each round uses a binary tree in another order, which spreads the forwarding
+ * over all hosts; a host that fails silently makes some hosts miss one round only.
  *
- * @param round - Name of the round, the same for all that pass it on.
+ * @param round - Name of the round, the same on all hosts that forward it.
  * @param hosts - Live hosts of the zone, the root among them.
- * @param root - Who began the round.
- * @param self - Who passes it on.
+ * @param root - The host that began the round.
+ * @param self - The host that forwards it.
  * @returns At most two hosts; none for a host that is not among `hosts`.
  *
  * @example
--- a/src/domain/pick-tree-children/test.ts
+++ b/src/domain/pick-tree-children/test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import {pickTreeChildren} from './index.js';
 
-/** How often each host is told in one round, when `failed` pass nothing on. */
+/** Counts how often each host receives the message in one round, when `failed` hosts do not forward it. */
 function tell(hosts: readonly string[], round: string, failed: ReadonlySet<string> = new Set()): Map<string, number> {
 	const told = new Map<string, number>();
 	const todo = [hosts[0]!];
@@ -16,7 +16,7 @@
 }
 
 describe('pickTreeChildren', () => {
-	it('reaches everybody once', () => {
+	it('reaches every host once', () => {
 		fc.assert(fc.property(fc.integer({min: 1, max: 60}), fc.string(), (count, round) => {
 			const hosts = Array.from({length: count}, (_, i) => `h${i}`);
 			const told = tell(hosts, round);
@@ -25,7 +25,7 @@
 		}));
 	});
 
-	it('reaches within some rounds everybody that a silent host kept it from', () => {
+	it('reaches within some rounds every host that missed one because of failed hosts', () => {
 		const hosts = Array.from({length: 33}, (_, i) => `h${i}`);
 		const missed = new Set(hosts);
 		for (let round = 0; round < 8; round++) {
@@ -37,7 +37,7 @@
 		assert.deepEqual([...missed], []);
 	});
 
-	it('gives a host that is not among them nobody', () => {
+	it('picks no children for a host that is not in the list', () => {
 		assert.deepEqual(pickTreeChildren('r', ['a', 'b'], 'a', 'z'), []);
 	});
 });
--- a/src/domain/pick-witnesses/index.ts
+++ b/src/domain/pick-witnesses/index.ts
@@ -8,36 +8,36 @@
 import {type HostId, type ZoneId} from '../../ports/ids.js';
 import {toScore} from './_lib/to-score.js';
 
-/** A claim asks every witness, so their number is what a claim costs. */
+/** Maximum number of witnesses. A claim sends one request to each of them. */
 const mostWitnesses = 9;
 
 /**
- * One slot may vouch twice without two claims winning: that takes a host that
- * was replaced and a cut or a pause that hides the old one, two faults at once.
- * Masking a second slot would refuse all claims when a zone of four and one
- * host more are away; see the table in `docs/design/007-at-most-once.md`.
+ * Number of slots that may grant two claims for one key without both winning. A slot
+ * does so when a host was replaced and a partition or a pause hides the old process,
+ * two faults at once. Masking a second slot would refuse all claims when one of four
+ * zones and one host more are down; see the table in `docs/design/007-at-most-once.md`.
  */
 const defaultMaskedSlots = 1;
 
-/** Hosts that may be away at once, in any zones, without a refusal. */
+/** Number of witnesses, in any zones, that may be unavailable at once without a refusal. */
 const wantedSpare = 2;
 
 export type WitnessSet = {
 	/** Host slots to ask, highest score first. */
 	slots: readonly HostId[];
 	/**
-	 * Grants that make a claim good. Any two quorums share at least
+	 * Number of grants that a claim needs. Any two quorums share at least
 	 * `2 * quorum - slots.length` slots, of which all but one may be faulty.
 	 */
 	quorum: number;
 	/**
-	 * Slots that may vouch twice (an old host that is cut off together with its
-	 * replacement, a host whose clock is off beyond the bound, a host that one
-	 * side of a list change has and the other has not) without two quorums
-	 * for one key being possible.
+	 * Number of slots that may grant two claims for one key (an old host that runs on
+	 * behind a partition beside its replacement, a host whose clock is off by more than
+	 * the bound, a host that is only in one version of the host list) without two
+	 * quorums for one key being possible.
 	 */
 	maskedSlots: number;
-	/** Whether a quorum is left when all the witnesses of any one zone are away. */
+	/** Whether a quorum is left when all witnesses of any one zone are unavailable. */
 	survivesZone: boolean;
 };
 
@@ -75,7 +75,7 @@
 	return a.score > b.score || (a.score === b.score && a.id < b.id);
 }
 
-/** The highest by score, in order. One pass with a short list costs a tenth of sorting a zone of 33. */
+/** Returns the candidates with the highest scores, in order. One pass with a short list costs a tenth of sorting a zone of 33 hosts. */
 function rank<T extends Candidate>(keyHash: number, candidates: readonly T[], count: number): Array<Ranked & {candidate: T}> {
 	const top: Array<Ranked & {candidate: T}> = [];
 	for (const candidate of candidates) {
@@ -100,16 +100,16 @@
 	return top;
 }
 
-/** How many witnesses, how many must agree, and what that stands. */
+/** A number of witnesses, the quorum, and the failures that they tolerate. */
 type Shape = {
 	perZone: number;
 	count: number;
 	quorum: number;
 	maskedSlots: number;
 	survivesZone: boolean;
-	/** Hosts that may be away, of all zones. */
+	/** Number of witnesses, in any zones, that may be unavailable. */
 	spare: number;
-	/** Hosts that may be away beside a lost zone. */
+	/** Number of witnesses that may be unavailable in addition to a whole zone. */
 	spareBesideZone: number;
 };
 
@@ -131,7 +131,7 @@
 	};
 }
 
-/** Compares what shapes stand, the gravest first; of equals the smaller one is cheaper and fewer hosts can fail it. */
+/** Compares the failures that shapes tolerate, the gravest first. Of equal shapes the smaller one is better: it costs less, and fewer hosts can fail. */
 function isBetter(a: Shape, b: Shape, wantedMasked: number): boolean {
 	const toMerits = (shape: Shape) => [
 		Number(shape.survivesZone),
@@ -158,17 +158,17 @@
 
 /**
  * Picks the witnesses of a key by rendezvous hashing: at most nine host slots,
- * equally many from each zone where that can be, so that one lost zone takes
+ * equally many from each zone where possible, so that the loss of one zone takes
  * as few of them as possible.
  *
- * The quorum is larger than a majority. A majority of slots is not a majority
- * of memories: while a replaced host goes on running behind a cut, its slot
+ * The quorum is larger than a majority, because one slot may be held by two
+ * processes: while a replaced host goes on running behind a partition, its slot
  * votes on both sides, and {old i, X} and {new i, Y} of {i, X, Y} would both
- * win. A quorum whose overlap exceeds the slots that can do so (masking
- * quorum) needs no lease, no leader and no bound on pauses to rule that out.
+ * win. A quorum whose overlap exceeds the number of such slots (a masking
+ * quorum) rules that out without a lease, a leader or a bound on pauses.
  *
  * @param key - Scoped key, the same text on every host.
- * @param hosts - Published host slots of the accepted configuration; the same array again is looked up and not hashed again, so it must not be changed.
+ * @param hosts - Published host slots of the accepted configuration. Hashes are cached by array, so the array must not be changed.
  * @param options - How many faulty slots to mask.
  * @returns The slots and the quorum; no slots when none are published.
  *
--- a/src/domain/pick-witnesses/test.ts
+++ b/src/domain/pick-witnesses/test.ts
@@ -57,7 +57,7 @@
 		});
 	});
 
-	it('lets two quorums overlap in more slots than it masks, one of them at least', () => {
+	it('makes two quorums overlap in more slots than it masks, and masks at least one slot', () => {
 		fc.assert(fc.property(fleets, fc.string(), fc.integer({min: 0, max: 3}), (hosts, key, maskedSlots) => {
 			const set = pickWitnesses(key, hosts, {maskedSlots});
 			assert.ok((2 * set.quorum) - set.slots.length > set.maskedSlots);
@@ -72,7 +72,7 @@
 		}));
 	});
 
-	it('changes one witness at most when one host joins a zone that is listed', () => {
+	it('changes at most one witness when a host joins a listed zone', () => {
 		fc.assert(fc.property(fc.constantFrom([2, 2, 2, 2], [3, 3, 3], [4, 4, 4, 4, 4, 4]), fc.string(), (perZone, key) => {
 			const hosts = toHosts(perZone);
 			const before = pickWitnesses(key, hosts).slots;
--- a/src/domain/pick-zone-contacts/index.ts
+++ b/src/domain/pick-zone-contacts/index.ts
@@ -5,9 +5,9 @@
 const contactsOfZone = 2;
 
 /**
- * Picks the two hosts of a zone that speak with other zones, by rendezvous over
- * its live ones; over suspects where none is seen alive. Hosts that see the same
- * hosts pick the same.
+ * Picks the two hosts of a zone that exchange messages with other zones, by
+ * rendezvous hashing over its live hosts, or over suspects where none is alive.
+ * Hosts that see the same hosts pick the same contacts.
  *
  * @param zone - The zone.
  * @param hosts - Its known hosts.
--- a/src/domain/pick-zone-contacts/test.ts
+++ b/src/domain/pick-zone-contacts/test.ts
@@ -16,7 +16,7 @@
 		assert.deepEqual(pickZoneContacts('z', hosts.toReversed()), picked);
 	});
 
-	it('takes suspects where none is alive, and nobody where all are gone', () => {
+	it('picks suspects where no host is alive, and none where all are gone', () => {
 		assert.deepEqual(pickZoneContacts('z', toHosts({a: 'suspect', b: 'dead'})), ['a']);
 		assert.deepEqual(pickZoneContacts('z', toHosts({a: 'left', b: 'dead'})), []);
 	});
--- a/src/domain/summarise-zone/index.ts
+++ b/src/domain/summarise-zone/index.ts
@@ -5,7 +5,7 @@
 import {msPerSecond} from '../../ports/units.js';
 import {type FleetView, type ServerStatus, type SummaryRow} from '../../ports/view.js';
 
-/** Age up to which a report counts: polls of one a second, two lost, and their way through a large zone. */
+/** Age up to which a report counts: polls run once a second, two in a row may be lost, and a report takes some seconds to cross a large zone. */
 const defaultStaleAfterMs = 8000;
 
 const maxServers = 255;
@@ -17,7 +17,7 @@
 	at: Milliseconds;
 };
 
-/** Those servers that take new work. */
+/** Returns the servers that accept new work. */
 function toServing(entries: readonly ServerEntry[], view: FleetView, now: Milliseconds, staleAfterMs: Milliseconds): ServerStatus[] {
 	return entries.flatMap(({id, role}) => {
 		const status = view.servers.get(id);
@@ -38,15 +38,15 @@
 }
 
 /**
- * Sums up what the servers of a zone have left, for each model pool and role
- * that has servers there. A server that is leaving, was not reached, loads
- * weights, or whose report is old counts for nothing.
+ * Sums up the free slots and the wait of a zone's servers, for each model pool and
+ * role that has servers there. A server that is leaving, was not reached, loads
+ * weights, or whose report is stale is left out.
  *
  * @param view - The fleet as a host of the zone knows it.
  * @param zone - The zone.
  * @param now - Monotonic milliseconds.
  * @param options - Age up to which a report counts, milliseconds.
- * @returns One row for each pool and role, and how old the numbers are.
+ * @returns One row for each pool and role, and the mean time of the reports that count.
  *
  * @example
  * ```ts
--- a/src/domain/summarise-zone/test.ts
+++ b/src/domain/summarise-zone/test.ts
@@ -19,11 +19,11 @@
 }
 
 describe('summariseZone', () => {
-	it('sums up free places and the wait for each pool and role of the zone', () => {
+	it('sums up free slots and the wait for each pool and role of the zone', () => {
 		assert.deepEqual(sum(), [['prefill', 2, 40, 500], ['decode', 2, 5, 0]]);
 	});
 
-	it('is as old as its reports are on average', () => {
+	it('has the mean time of its reports', () => {
 		const statuses = servers.slice(0, 2).map((entry, i) => toStatus(entry, 1000 + (i * 200)));
 		assert.equal(summariseZone(toView(toConfig(servers), statuses), 'a', 1500).at, 1100);
 	});
@@ -37,12 +37,12 @@
 		['of another role now', {load: {...toStatus(servers[0]!, 0).load!, role: 'prefill'}}],
 	];
 	for (const [name, change] of rows) {
-		it(`counts a server that is ${name} for nothing`, () => {
+		it(`leaves out a server that is ${name}`, () => {
 			assert.deepEqual(sum({d1: change})[1], ['decode', 1, 0, 0]);
 		});
 	}
 
-	it('says so when nobody is left', () => {
+	it('returns empty rows when no server is left, and no rows without a configuration', () => {
 		const gone = {leaving: true};
 		assert.deepEqual(sum({d1: gone, d2: gone})[1], ['decode', 0, 0, 0]);
 		assert.deepEqual(summariseZone({...toView(toConfig([]), []), accepted: undefined}, 'a', 7), {rows: [], at: 7});
