--- a/src/domain/claim-key/_test/fleet-model.ts
+++ b/src/domain/claim-key/_test/fleet-model.ts
@@ -1,4 +1,4 @@
-/** Hosts that claim and witness keys while they crash, pause, are replaced and cut off, on a logical clock. */
+/** A model of hosts that claim and witness keys while they crash, pause, are replaced and cut off, on a logical clock. */
 import assert from 'node:assert/strict';
 import fc from 'fast-check';
 import {v7} from 'uuid';
@@ -17,13 +17,13 @@
 	zones: number;
 	/** Overrides the quorum, to show that a smaller one fails. */
 	quorum?: number;
-	/** Slots whose old incarnation may run on after its replacement. */
+	/** Number of slots whose old incarnation may run on after its replacement. */
 	twins: number;
 	listChanges: number;
 	omit: readonly WitnessSafeguard[];
-	/** Whether a hand-over may be taken by several successors. */
+	/** Whether a hand-over is adopted by one successor only. */
 	isTakenOnce: boolean;
-	/** Whether a claimant may dispatch after it gave its claim back. */
+	/** Whether a claimant never dispatches a claim that it has released. */
 	keepsRelease: boolean;
 };
 
@@ -59,12 +59,12 @@
 }
 
 /**
- * Creates claimants and witnesses in one process, whose clocks, links and lives
- * the steps of a search drive.
+ * Creates claimants and witnesses in one process. The steps of a search drive
+ * their clocks, links, crashes and restarts.
  *
- * @param scope - What may happen, and which safeguard is left out.
- * @param onDispatch - Told of each dispatch, so that a search can show that it reached some.
- * @returns Applies one step; throws when a promise is broken.
+ * @param scope - The faults that may happen, and the safeguards that are disabled.
+ * @param onDispatch - Called for each dispatch, so that a search can show that it reached some.
+ * @returns A function that applies one step; it throws when a guarantee is broken.
  */
 export function createFleet(scope: Scope, onDispatch: () => void) {
 	const {omit} = scope;
@@ -178,7 +178,7 @@
 		}
 	}
 
-	// The process that left may still be there and answer late; its table was handed over.
+	// A process that has handed its table over may still run and answer late.
 	function leave({pick}: Step) {
 		const found = alive[pick % alive.length]!;
 		const handOver = found.witness.freeze(now + found.offset);
@@ -194,7 +194,7 @@
 		}
 
 		const old = alive.filter(found => found.slot === handOver.slot);
-		// A leaving process that is asked after its successor has started is allowed for: it abstains.
+		// A leaving process may be asked after its successor has started: it abstains then.
 		const isOnlyOne = old.length === 1 && !old[0]!.witness.stats().isVouching;
 		if (scope.isTakenOnce && !isOnlyOne) {
 			return;
--- a/src/domain/claim-key/index.ts
+++ b/src/domain/claim-key/index.ts
@@ -1,6 +1,6 @@
 /**
  * Claims a key: asks its witnesses and decides whether this process may run the
- * work, joins another's run, or must refuse.
+ * work, joins the run of another process, or must refuse.
  */
 import {
 	ResultAsync, err, ok, type Result,
@@ -14,7 +14,7 @@
 import {type WitnessSet} from '../pick-witnesses/index.js';
 import {type ClaimTally, tallyClaims} from '../tally-claims/index.js';
 
-const defaultTries = 5;
+const defaultMaxRounds = 5;
 const firstWaitMs = 20;
 const defaultRetryAfterMs = 1000;
 
@@ -22,22 +22,22 @@
 export type AskFailure = {message: string};
 
 export type ClaimKeyOptions = {
-	/** What is claimed. The first try uses its `claimId`; it must be new for each call. */
+	/** The claim to make. Its `claimId` must be new for each call. */
 	request: ClaimRequest;
 	/** Witnesses of the key: one set, or two while the host list has just changed. */
 	sets: readonly WitnessSet[];
-	/** Asks one witness; must end within a time-out of its own. */
+	/** Asks one witness; must end within a timeout of its own. */
 	ask: (slot: HostId, request: ClaimRequest) => ResultAsync<ClaimAnswer, AskFailure>;
 	/** Tells one witness that a claim will never be dispatched; may be lost. */
 	release: (slot: HostId, request: ScopedKey & {claimId: string}) => void;
 	wait: (ms: Milliseconds) => Promise<void>;
 	random: Random;
-	/** Rounds of asking while two claims share the witnesses between them. */
-	tries?: number;
+	/** Maximum number of rounds of asking while witnesses are split between two claims; 5 by default. */
+	maxRounds?: number;
 };
 
 export type ClaimGrant =
-	/** This process alone may dispatch the work. Without a quorum (`isWitnessed: false`) only repeatable work gets here. */
+	/** This process alone may dispatch the work. Without a quorum (`isWitnessed: false`) only repeatable work is granted, and other processes may run it too. */
 	| {kind: 'granted'; isWitnessed: boolean}
 	/** Another process claimed the key; its run is to be joined. */
 	| {kind: 'joined'; claim: Claim};
@@ -92,7 +92,7 @@
 	const needsNewKey = reasons.includes('restarted') || reasons.includes('expired');
 	return {
 		kind: 'refused',
-		// Without a quorum nobody can tell whether an earlier request with this key ran.
+		// Without a quorum it is unknown whether an earlier request with this key ran.
 		outcome: 'may-have-run',
 		reasons,
 		message: `Too few witnesses of this key vouch for it: ${failed} of ${answers.size} could not be asked, ${abstained.length} abstained${reasons.length > 0 ? ` (${reasons.join(', ')})` : ''}. `
@@ -104,7 +104,7 @@
 }
 
 async function claimInRounds(options: ClaimKeyOptions): Promise<Result<ClaimGrant, ClaimRefusal>> {
-	const {request, wait, random, tries = defaultTries} = options;
+	const {request, wait, random, maxRounds = defaultMaxRounds} = options;
 	for (let round = 1; ; round++) {
 		const {tally, answers} = await askAll(options);
 		if (tally.kind === 'granted') {
@@ -117,9 +117,9 @@
 		}
 
 		if (tally.kind === 'held') {
-			// Two claims that split the witnesses would block each other for good; the one with the lower name waits, the other gives way.
+			// Two claims that split the witnesses would block each other for good: the one with the lower id waits and asks again, the other releases its grants.
 			const goesFirst = !tally.isSettled && request.claimId < tally.claim.claimId;
-			if (!goesFirst || round >= tries) {
+			if (!goesFirst || round >= maxRounds) {
 				releaseAll(options);
 				return ok({kind: 'joined', claim: tally.claim});
 			}
@@ -141,17 +141,17 @@
  * Claims a key for one run.
  *
  * A grant is final and needs no lease: witnesses write a claim once and keep
- * it as long as they would take the key, so a claimant that sleeps between
- * grant and dispatch wakes up as the only one that may dispatch. After
+ * it as long as they accept the key, so a claimant that is paused between
+ * grant and dispatch is still the only one that may dispatch. After
  * `joined` or an error this claim must never be dispatched; its grants are
- * given back by the name of this try, so a late grant changes nothing.
+ * released by claim id, so a late grant has no effect.
  *
  * Without a quorum the outcome is `may-have-run`, never `not-run`: the
- * witnesses that are away may have vouched for another claim. Sending the
+ * unavailable witnesses may have granted another claim. Sending the
  * same key again is always safe.
  *
  * @param options - The request, its witnesses, and functions to reach them.
- * @returns `granted` or `joined`; or why the key was used wrongly or cannot be vouched for.
+ * @returns `granted` or `joined`; a conflict if the key was used with another body, or a refusal if there is no quorum.
  *
  * @example
  * ```ts
--- a/src/domain/claim-key/model.test.ts
+++ b/src/domain/claim-key/model.test.ts
@@ -1,11 +1,11 @@
 /*
- * A caller sends one piece of billed work to several hosts; hosts are killed,
- * replaced while the old one runs on behind a cut, paused between grant and
- * dispatch, restarted gracefully; clocks are two minutes off; asks, answers and
- * releases are late or lost; the host list changes on one side only. In no
- * order may two claimants dispatch the work, nor may one say "not run" after
- * another has dispatched it. With any safeguard taken out the same search must
- * find an order that breaks this.
+ * A caller sends the same billed request to several hosts. Hosts are killed,
+ * replaced while the old process runs on behind a partition, paused between grant
+ * and dispatch, or restarted gracefully; clocks are two minutes off; requests,
+ * answers and releases are late or lost; the host list changes on one side only. In
+ * no order may two claimants dispatch the request, nor may one report "not run" after
+ * another has dispatched it. With any safeguard disabled the same search must find an
+ * order that breaks this.
  */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
@@ -37,11 +37,11 @@
 
 describe('claims model', () => {
 	const whole = [
-		{name: 'any two of five hosts at fault: old twins and a list change', scope: masked},
-		{name: 'a majority of three where no twin can be', scope: plain},
+		{name: 'any two of five hosts at fault: an old twin and a list change', scope: masked},
+		{name: 'a majority of three where no twin is possible', scope: plain},
 	];
 	for (const {name, scope} of whole) {
-		it(`finds no order that breaks at most once: ${name}`, () => {
+		it(`finds no order in which a key runs twice: ${name}`, () => {
 			const {details, dispatched} = explore(scope, 6000);
 			assert.equal(details.failed, false, `after ${details.numRuns} runs: ${String(details.errorInstance)}`);
 			assert.ok(dispatched > details.numRuns / 10, `only ${dispatched} dispatches in ${details.numRuns} runs: the search shows little`);
@@ -53,11 +53,11 @@
 		{name: 'a majority in place of the masking quorum, with a list change', scope: {...plain, listChanges: 1}},
 		{name: 'claims that may be overwritten', scope: {...plain, omit: ['write-once']}},
 		{name: 'no abstention after a restart', scope: {...plain, omit: ['restart-abstention']}},
-		{name: 'no floor under forgotten claims', scope: {...plain, omit: ['retention-floor']}},
+		{name: 'no floor below which dropped claims are refused', scope: {...plain, omit: ['retention-floor']}},
 		{name: 'releases that do not name their claim', scope: {...plain, omit: ['claim-id']}},
-		{name: 'a table that grants on after its hand-over', scope: {...plain, omit: ['freeze']}},
-		{name: 'a hand-over that is taken twice', scope: {...plain, isTakenOnce: false}},
-		{name: 'a claimant that dispatches after it gave up', scope: {...plain, keepsRelease: false}},
+		{name: 'a table that goes on granting after its hand-over', scope: {...plain, omit: ['freeze']}},
+		{name: 'a hand-over that two successors adopt', scope: {...plain, isTakenOnce: false}},
+		{name: 'a claimant that dispatches after it released its claim', scope: {...plain, keepsRelease: false}},
 	];
 	for (const {name, scope} of broken) {
 		it(`finds the fault: ${name}`, () => {
--- a/src/domain/claim-key/test.ts
+++ b/src/domain/claim-key/test.ts
@@ -67,7 +67,7 @@
 }
 
 describe('claimKey', () => {
-	it('grants the first claim, joins the second to it, and tells a re-used key', async () => {
+	it('grants the first claim, joins the second to it, and reports a key that is reused with another body', async () => {
 		const {claim} = createFleet();
 		assert.deepEqual(await unwrap(claim(toRequest('a'))), {kind: 'granted', isWitnessed: true});
 		const second = await unwrap(claim(toRequest('b')));
@@ -76,7 +76,7 @@
 		assert.equal(misused._unsafeUnwrapErr().kind, 'conflict');
 	});
 
-	it('grants with a zone away and refuses as may-have-run with one host more', async () => {
+	it('grants while a zone is unreachable, and refuses as may-have-run with one host more', async () => {
 		const {claim, away} = createFleet();
 		for (const host of hosts.filter(({zone}) => zone === 'zone-0')) {
 			away.add(host.id);
@@ -111,7 +111,7 @@
 		assert.match(refused.message, /new key/v);
 	});
 
-	it('ends with one grant at most among claims that race, in any order of messages', async () => {
+	it('grants at most one of several concurrent claims, in any order of messages', async () => {
 		await fc.assert(fc.asyncProperty(fc.scheduler(), fc.integer({min: 2, max: 4}), async (scheduler, count) => {
 			const {claim} = createFleet();
 			const witnesses = new Map(hosts.map(host => [host.id, createClaimWitness({slot: host.id, incarnation: 3, startedAt: now - 3_600_000})]));
--- a/src/domain/create-answer-buffer/index.ts
+++ b/src/domain/create-answer-buffer/index.ts
@@ -1,6 +1,6 @@
 /**
- * Guards a caller's answer: takes each token of the current attempt once, in
- * order, and nothing else.
+ * Assembles a caller's answer: accepts each token of the current attempt once, in
+ * order, and drops all other chunks.
  */
 import {type DecodeChunk, type FinishReason} from '../../ports/engine.js';
 import {type AttemptNumber, type RequestId} from '../../ports/ids.js';
@@ -9,19 +9,19 @@
 export type DropCause = 'other-request' | 'other-attempt' | 'repeated' | 'after-end';
 
 export type AcceptedChunk =
-	/** Text of the tokens that are new, to be relayed now. */
+	/** Text of the new tokens, to be relayed now. */
 	| {kind: 'fresh'; text: string; tokens: number; finish: FinishReason | undefined}
 	| {kind: 'dropped'; cause: DropCause}
 	/** Tokens before this chunk are missing: the stream must be resumed at the offset. */
 	| {kind: 'gap'; offset: number};
 
 export type AnswerBuffer = {
-	/** Makes an attempt the current one; it continues behind what was accepted so far. Chunks of all others are dropped. */
+	/** Makes an attempt the current one; it continues after the tokens accepted so far. Chunks of all other attempts are dropped. */
 	startAttempt: (attempt: AttemptNumber) => void;
 	accept: (chunk: DecodeChunk) => AcceptedChunk;
 	/** Offset of the next token: the number of tokens accepted over all attempts. */
 	offset: () => number;
-	/** Everything accepted so far; empty unless `keepsTokens`. */
+	/** All tokens accepted so far; empty unless `keepsTokens`. */
 	tokens: () => readonly string[];
 	finish: () => FinishReason | undefined;
 	dropped: () => number;
@@ -29,17 +29,17 @@
 
 export type AnswerBufferOptions = {
 	requestId: RequestId;
-	/** Keeps the tokens: for answers in one piece and for continuing on another server. */
+	/** Whether to keep the tokens, for non-streamed answers and for continuing on another server. */
 	keepsTokens: boolean;
 };
 
 /**
- * Creates the buffer of one request. Engines answer late, twice, crossed
- * between streams, or lose pieces; a caller that got such bytes would see
- * another's text or a hole. Request, attempt and offset are therefore checked on
- * every chunk before a byte of it is relayed.
+ * Creates the buffer of one request. Engines may send chunks late, twice or on the
+ * wrong stream, or lose some; if these were relayed, the caller would see text of
+ * another request or a gap. The request, attempt and offset of every chunk are
+ * therefore checked before any of it is relayed.
  *
- * @param options - The request's id, and whether the text is kept.
+ * @param options - The request's id, and whether the tokens are kept.
  * @returns The buffer.
  *
  * @example
@@ -101,7 +101,7 @@
 
 			const end = chunk.offset + chunk.tokens.length;
 			const addsNothing = end <= next && chunk.finish === undefined;
-			// An end mark before tokens that were already accepted contradicts them, so it cannot be this answer's end.
+			// An end mark before the end of the accepted tokens contradicts them, so it cannot be this answer's end.
 			return addsNothing || end < next ? drop('repeated') : take(chunk);
 		},
 		offset: () => next,
--- a/src/domain/create-answer-buffer/test.ts
+++ b/src/domain/create-answer-buffer/test.ts
@@ -54,7 +54,7 @@
 		assert.equal(buffer.offset(), 3);
 	});
 
-	it('yields exactly the answer from any chunking with repeats and strangers', () => {
+	it('yields exactly the answer from any chunking with repeats and chunks of other attempts', () => {
 		const tokens = fc.array(fc.string({maxLength: 3}), {minLength: 1, maxLength: 30});
 		const noise = fc.array(fc.record({from: fc.nat(30), count: fc.nat(6), stranger: fc.boolean()}), {maxLength: 40});
 		fc.assert(fc.property(tokens, noise, (answer, pieces) => {
--- a/src/domain/create-run-table/_lib/create-run.ts
+++ b/src/domain/create-run-table/_lib/create-run.ts
@@ -2,7 +2,7 @@
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type RunEnd, type RunPart, type RunReader} from '../types.js';
 
-/** Pieces are handed on in portions of this size, so that many small ones cost one turn. */
+/** Size up to which pieces are joined into one read, so that many small pieces take one turn of the event loop. */
 const portionBytes = 65_536;
 
 export type RunLimits = {
@@ -10,21 +10,21 @@
 	highWaterBytes: number;
 };
 
-/** The answer of one run and who reads it. */
+/** The answer of one run, and its reader. */
 export type RunRecord = {
 	digest: string;
 	writeHead: (status: number, headers: Readonly<Record<string, string | readonly string[]>>) => void;
 	write: (bytes: Uint8Array) => boolean;
 	drained: () => Promise<void>;
 	finish: (end: RunEnd, now: Milliseconds) => void;
-	/** `undefined` when the answer is no longer kept from its start. */
+	/** Opens a reader and ends the previous one; `undefined` when the answer is no longer kept from its start. */
 	read: (now: Milliseconds) => RunReader | undefined;
-	/** Forgets the answer; readers that have not ended see it break. */
+	/** Drops the answer; a reader that has not reached the end gets `broken`. */
 	drop: () => void;
 	hasReader: () => boolean;
 	bytes: () => number;
 	endedAt: () => Milliseconds | undefined;
-	/** Since when nobody reads; `undefined` while somebody does. */
+	/** Since when there is no reader; `undefined` while there is one. */
 	unreadSince: () => Milliseconds | undefined;
 };
 
@@ -54,7 +54,7 @@
 export function createRun(digest: string, {maxRunBytes, highWaterBytes}: RunLimits, startedAt: Milliseconds): RunRecord {
 	let head: RunPart | undefined;
 	let pieces: Uint8Array[] = [];
-	/** Index of the first piece still held; above 0 the answer cannot be joined from its start. */
+	/** Index of the first piece still kept; above 0 the answer cannot be read from its start. */
 	let firstHeld = 0;
 	let bytes = 0;
 	let end: RunEnd | undefined;
@@ -69,7 +69,7 @@
 		changed = createDeferred();
 	}
 
-	/** An answer beyond the bound is held only as far as its reader still needs it. */
+	/** Drops pieces of an answer beyond the bound that its reader no longer needs. */
 	function trim() {
 		const needed = reader?.isOpen ? reader.nextPiece : Number.POSITIVE_INFINITY;
 		while (bytes > maxRunBytes && pieces.length > 0 && firstHeld < needed) {
--- a/src/domain/create-run-table/index.ts
+++ b/src/domain/create-run-table/index.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the answers of keyed requests that run, or ran, on this host, so that
- * a second call with the same key gets the first one's answer.
+ * Keeps the answers of requests with an idempotency key that run, or ran, on this
+ * host, so that a second call with the same key gets the answer of the first.
  */
 import {err, ok} from 'neverthrow';
 import {
@@ -25,12 +25,12 @@
 /**
  * Creates the table of one process.
  *
- * A joiner reads from the first byte and takes the delivery over: the earlier
- * connection is ended, so that of two connections of one caller only one gets
- * a whole answer.
+ * A connection that joins a run reads from the first byte and takes the delivery
+ * over: the earlier connection is ended, so that of two connections of one caller
+ * only one gets a complete answer.
  *
  * @param options - Bounds in number, bytes and age.
- * @returns Functions that close over the table; `now` is monotonic milliseconds.
+ * @returns Functions on the table; `now` is monotonic milliseconds.
  *
  * @example
  * ```ts
@@ -52,7 +52,7 @@
 	abandonAfterMs = msPerSecond,
 	highWaterBytes = 256 * bytesPerKibibyte,
 }: RunTableOptions = {}): RunTable {
-	/** In order of their start. */
+	/** Entries in the order of their start. */
 	const entries = new Map<string, Entry>();
 	let keptBytes = 0;
 
--- a/src/domain/create-run-table/test.ts
+++ b/src/domain/create-run-table/test.ts
@@ -22,7 +22,7 @@
 }
 
 describe('createRunTable', () => {
-	it('gives whoever joins the whole answer from its first byte, wherever the run is', async () => {
+	it('gives a reader that joins the complete answer from its first byte, however far the run is', async () => {
 		const pieces = fc.array(fc.string({unit: 'grapheme-ascii', maxLength: 5}), {maxLength: 12});
 		await fc.assert(fc.asyncProperty(pieces, fc.nat({max: 12}), async (texts, joinAfter) => {
 			const runs = createRunTable();
@@ -56,7 +56,7 @@
 		assert.equal(runs.join({...run, workspace: 'naslovnik'}, 0)._unsafeUnwrapErr(), 'unknown');
 	});
 
-	it('frees the key of what did not run, after telling its reader why', async () => {
+	it('frees the key of work that did not run, after its reader has got the answer', async () => {
 		const runs = createRunTable();
 		const writer = runs.start(run, 0)._unsafeUnwrap();
 		const reader = runs.join(run, 0)._unsafeUnwrap();
@@ -78,7 +78,7 @@
 		}
 	});
 
-	it('asks the writer to wait for a slow reader, and not when nobody reads', async () => {
+	it('asks the writer to wait for a slow reader, and not when there is no reader', async () => {
 		const runs = createRunTable({highWaterBytes: 4});
 		const writer = runs.start(run, 0)._unsafeUnwrap();
 		assert.equal(writer.write(encode('12345')), true);
@@ -90,7 +90,7 @@
 		assert.equal(writer.write(encode('7')), true);
 	});
 
-	it('tells once that nobody has read a running answer for a while', () => {
+	it('reports a running answer without a reader as abandoned, once', () => {
 		const runs = createRunTable({abandonAfterMs: 10});
 		let abandoned = 0;
 		runs.start({
@@ -109,7 +109,7 @@
 		assert.equal(abandoned, 1);
 	});
 
-	it('drops the oldest ended answers beyond its bytes, answers beyond their age, and keeps the trace that they ran', () => {
+	it('drops the oldest ended answers beyond the maximum size and answers beyond their age, and keeps tombstones', () => {
 		const runs = createRunTable({maxKeptBytes: 5, answerRetentionMs: 10, tombstoneRetentionMs: 20});
 		for (const name of ['a', 'b']) {
 			const writer = runs.start({...run, key: name}, 0)._unsafeUnwrap();
@@ -126,7 +126,7 @@
 		assert.equal(runs.join({...run, key: 'b'}, 21)._unsafeUnwrapErr(), 'unknown');
 	});
 
-	it('goes on delivering an answer beyond its bound to its reader, and lets nobody join it half', async () => {
+	it('goes on delivering an answer beyond the maximum size to its reader, and lets no other reader join', async () => {
 		const runs = createRunTable({maxRunBytes: 4});
 		const writer = runs.start(run, 0)._unsafeUnwrap();
 		const reader = runs.join(run, 0)._unsafeUnwrap();
@@ -139,7 +139,7 @@
 		assert.equal(await readAll(reader), '56|complete');
 	});
 
-	it('starts nothing at its bound of runs', () => {
+	it('starts no run at the maximum number of runs', () => {
 		const runs = createRunTable({maxRuns: 1});
 		runs.start(run, 0);
 		assert.equal(runs.start({...run, key: 'b'}, 0)._unsafeUnwrapErr(), 'full');
--- a/src/domain/create-run-table/types.ts
+++ b/src/domain/create-run-table/types.ts
@@ -5,9 +5,9 @@
 /**
  * How a run ended.
  *
- * - `complete`: its answer is whole, be it a result or a final refusal.
- * - `broken`: the answer was cut; readers must break their connection. The key is free again if the work is repeatable.
- * - `retryable`: nothing was dispatched, or it may be run again. Readers get what was written; the key is free again.
+ * - `complete`: its answer is complete, either a result or a final refusal.
+ * - `broken`: the answer was cut off; readers must break their connection. The key is free again if the work is repeatable.
+ * - `retryable`: nothing was dispatched, or the work may be run again. Readers get the part that was written; the key is free again.
  */
 export type RunEnd = 'complete' | 'broken' | 'retryable';
 
@@ -22,68 +22,68 @@
 /** Writes the answer of a run that this process dispatches. */
 export type RunWriter = {
 	writeHead: (status: number, headers: Readonly<Record<string, string | readonly string[]>>) => void;
-	/** `false` asks to wait for {@link RunWriter.drained}. */
+	/** Writes a piece; returns `false` to ask the writer to wait for {@link RunWriter.drained}. */
 	write: (bytes: Uint8Array) => boolean;
-	/** Resolves once the reader has caught up, is gone, or another has joined. */
+	/** Resolves once the reader has caught up, is closed, or another has joined. */
 	drained: () => Promise<void>;
 	/** Ends the run. Later calls change nothing. */
 	end: (end: RunEnd, now: Milliseconds) => void;
 	hasReader: () => boolean;
 };
 
-/** One connection's way through an answer, from its first byte. */
+/** Reads an answer for one connection, from its first byte. */
 export type RunReader = {
-	/** The next piece; waits for it. After `end` or `taken-over` the same is returned again. */
+	/** Waits for the next piece and returns it. After `end` or `taken-over` the same part is returned again. */
 	next: () => Promise<RunPart>;
-	/** The connection is gone. */
+	/** Ends the reader when its connection has closed. */
 	close: (now: Milliseconds) => void;
 };
 
 /**
  * Why a run cannot be joined.
  *
- * - `unknown`: no such key here.
- * - `other-body`: the key names other work.
- * - `not-kept`: it ran, and its answer is no longer kept from the first byte.
- * - `broken`: it was broken off, and may not be run again.
+ * - `unknown`: the key is not in the table.
+ * - `other-body`: the key was used with another request body.
+ * - `not-kept`: the answer is no longer kept from its first byte.
+ * - `broken`: the answer was cut off, and the work may not be run again.
  */
 export type JoinFault = 'unknown' | 'other-body' | 'not-kept' | 'broken';
 
 export type StartRunOptions = ScopedKey & {
 	digest: string;
 	isRepeatable: boolean;
-	/** Nobody has read for longer than `abandonAfterMs`, or an answer outgrew what is kept with nobody there. */
+	/** Called once when the run has had no reader for longer than `abandonAfterMs`. */
 	onAbandoned?: () => void;
 };
 
 export type RunTableOptions = {
-	/** Runs and their traces at most; at the bound no run starts. 50,000 by default. */
+	/** Maximum number of runs and tombstones; at the maximum no run starts. 50,000 by default. */
 	maxRuns?: number;
-	/** Bytes of one answer up to which it can be joined from its start; 8 MiB by default. */
+	/** Size of an answer up to which it can be joined from its start; 8 MiB by default. */
 	maxRunBytes?: number;
-	/** Bytes of all ended answers; the oldest are dropped first. 128 MiB by default. */
+	/** Maximum size of all ended answers together; the oldest are dropped first. 128 MiB by default. */
 	maxKeptBytes?: number;
 	/** Time for which an ended answer is kept; 15 minutes by default. */
 	answerRetentionMs?: Milliseconds;
 	/**
-	 * Time for which the trace of a run is kept: that the key ran here. Longer than
-	 * any witness takes the key, so that an unknown key is one that did not run;
-	 * 25 minutes by default.
+	 * Time for which the tombstone of an ended run is kept, which says that the key ran
+	 * here. It is longer than witnesses accept the key, so that an unknown key is one
+	 * that did not run; 25 minutes by default.
 	 */
 	tombstoneRetentionMs?: Milliseconds;
 	/** Time without a reader after which a run counts as abandoned; 1 second by default. */
 	abandonAfterMs?: Milliseconds;
-	/** Unread bytes from which a writer is asked to wait; 256 KiB by default. */
+	/** Number of unread bytes from which the writer is asked to wait; 256 KiB by default. */
 	highWaterBytes?: number;
 };
 
 export type RunTable = {
-	/** Begins a run; `exists` when the key is in the table, `full` at the bound. */
+	/** Starts a run; `exists` when the key is in the table, `full` at the maximum number of runs. */
 	start: (run: StartRunOptions, now: Milliseconds) => Result<RunWriter, 'exists' | 'full'>;
 	/** Reads a run from its first byte and ends any other connection that read it. */
 	join: (run: ScopedKey & {digest: string}, now: Milliseconds) => Result<RunReader, JoinFault>;
 	has: (key: ScopedKey) => boolean;
-	/** Drops what is too old and tells abandoned runs; to be called every second or so. */
+	/** Drops answers and tombstones that are too old and reports abandoned runs; to be called about every second. */
 	sweep: (now: Milliseconds) => void;
 	stats: () => {runs: number; keptBytes: number};
 };
--- a/src/domain/pick-orphans/index.ts
+++ b/src/domain/pick-orphans/index.ts
@@ -1,11 +1,11 @@
 /**
- * Tells which holds on a server belong to nobody any more.
+ * Finds orphaned holds on a server: those whose owner no longer exists.
  *
- * A holder that is dead and one that is only cut off from us look alike from
- * here, so three things are asked of a hold before it is released: whether
- * somebody reads it (then its holder lives, whatever we see), whether its
- * holder's own agent saw it end, and whether two witnesses of its own zone
- * declared its host dead. A holder that is merely suspected keeps everything.
+ * An owner that is dead and one that is cut off look alike to this host, so a hold
+ * that is being read is never released, as its owner is alive. Any other hold is
+ * released only if the agent on the owner's host saw that entry end, or if the owner's
+ * host has left or was declared dead by its own zone, which takes two witnesses. An
+ * owner that is merely suspected keeps its holds.
  */
 import {type Milliseconds} from '../../ports/clock.js';
 import {type Hold} from '../../ports/engine.js';
@@ -13,8 +13,8 @@
 import {type HostStatus} from '../../ports/view.js';
 
 /**
- * - `entry-ended`: the agent of its host saw this entry end, or a newer one is in its place.
- * - `host-dead`: its host was declared dead, or has left.
+ * - `entry-ended`: the agent on the owner's host saw that entry end, or a newer entry has replaced it.
+ * - `host-dead`: the owner's host was declared dead, or has left.
  */
 export type OrphanCause = 'entry-ended' | 'host-dead';
 
@@ -24,11 +24,11 @@
 };
 
 /**
- * Tells why an owner has no more claim to its holds.
+ * Returns why the holds of an owner are orphaned.
  *
  * @param owner - Host and incarnation of the entry that made the holds.
  * @param hosts - Known hosts.
- * @returns The cause; `undefined` while the owner may have a claim, also when its host is unknown or merely suspected.
+ * @returns The cause; `undefined` while the owner may be alive, also when its host is unknown or merely suspected.
  *
  * @example
  * ```ts
@@ -51,14 +51,14 @@
 export type PickOrphansOptions = {
 	/** When each host was first seen dead here, monotonic milliseconds. */
 	deadSince: ReadonlyMap<HostId, Milliseconds>;
-	/** Time between the death and the release, milliseconds. */
+	/** Grace period between the death of a host and the release of its holds, milliseconds. */
 	graceMs: Milliseconds;
 };
 
 /**
  * Picks the orphans among the holds of one server.
  *
- * @param holds - What the server lists.
+ * @param holds - Holds that the server reports.
  * @param hosts - Known hosts.
  * @param now - Monotonic milliseconds.
  * @param options - See {@link PickOrphansOptions}.
@@ -79,12 +79,12 @@
 
 	return holds.flatMap(hold => {
 		const cause = unread.has(toAttempt(hold)) ? toOrphanCause(hold.owner, hosts) : undefined;
-		const isRipe = cause === 'entry-ended' || now - (deadSince.get(hold.owner.host) ?? now) >= graceMs;
-		return cause !== undefined && isRipe ? [{hold, cause}] : [];
+		const isDue = cause === 'entry-ended' || now - (deadSince.get(hold.owner.host) ?? now) >= graceMs;
+		return cause !== undefined && isDue ? [{hold, cause}] : [];
 	});
 }
 
-/** All that an attempt holds is released together, so one reader protects all of it. */
+/** Returns the key of a hold's attempt. All holds of an attempt are released together, so one reader protects all of them. */
 function toAttempt({requestId, attempt}: Hold): string {
 	return `${requestId} ${attempt}`;
 }
--- a/src/domain/pick-orphans/test.ts
+++ b/src/domain/pick-orphans/test.ts
@@ -49,13 +49,13 @@
 		},
 	];
 	for (const {name, hold, life, entryGone, deadForMs = 0, cause} of cases) {
-		it(`${cause === undefined ? 'leaves alone' : 'releases'} what belongs to ${name}`, () => {
+		it(`${cause === undefined ? 'keeps' : 'releases'} the holds of ${name}`, () => {
 			const orphans = pickOrphans([toHold(hold)], toHosts(life, entryGone), now, {deadSince: new Map([['a-1', now - deadForMs]]), graceMs: 500});
 			assert.deepEqual(orphans.map(orphan => orphan.cause), cause === undefined ? [] : [cause]);
 		});
 	}
 
-	it('lets one reader protect all that its attempt holds, and no other attempt', () => {
+	it('keeps all holds of an attempt that has a reader, and no hold of another attempt', () => {
 		const holds = [toHold({kind: 'kv'}), toHold({kind: 'stream', readers: 1}), toHold({attempt: 2})];
 		const orphans = pickOrphans(holds, toHosts('dead'), now, {deadSince: new Map([['a-1', 0]]), graceMs: 500});
 		assert.deepEqual(orphans.map(({hold}) => hold.attempt), [2]);
--- a/src/domain/tally-claims/index.ts
+++ b/src/domain/tally-claims/index.ts
@@ -1,6 +1,6 @@
 /**
- * Judges what the witnesses of a key have answered so far. Pure and small, so
- * that a model can drive it through every order of messages.
+ * Tallies the answers of a key's witnesses so far. The function is pure, so that
+ * a model can drive it through every order of messages.
  */
 import {type HostId} from '../../ports/ids.js';
 import {type Claim, type ClaimAnswer} from '../create-claim-witness/index.js';
@@ -10,15 +10,15 @@
 export type ClaimAnswers = ReadonlyMap<HostId, ClaimAnswer | {kind: 'failed'}>;
 
 export type ClaimTally =
-	/** Enough witnesses vouch: this claim alone may be dispatched. */
+	/** A quorum granted the claim: this claim alone may be dispatched. */
 	| {kind: 'granted'}
 	/** Too few answers yet. */
 	| {kind: 'pending'}
 	/** The key was used with another body. */
 	| {kind: 'conflict'; claim: Claim}
-	/** Another claim holds witnesses; `isSettled` when it surely has a quorum. */
+	/** Another claim holds witnesses; `isSettled` when it is known to have a quorum. */
 	| {kind: 'held'; claim: Claim; isSettled: boolean}
-	/** No quorum can be had, and nobody is known to hold the key. */
+	/** No quorum is possible, and no other claim is known to hold the key. */
 	| {kind: 'refused'};
 
 function countKind(set: WitnessSet, answers: ClaimAnswers, kind: string): number {
@@ -47,12 +47,12 @@
 }
 
 /**
- * Judges the answers to one claim.
+ * Tallies the answers to one claim.
  *
  * @param sets - Witnesses of the key: one set, or two while the host list has just changed; each must reach its quorum.
  * @param answers - Answers so far.
- * @param digest - Digest of the body that is to be run.
- * @returns What follows. `granted` is final: no other claim of the key can reach it.
+ * @param digest - Digest of the request body.
+ * @returns The tally. `granted` is final: no other claim of the key can be granted.
  *
  * @example
  * ```ts
@@ -81,6 +81,6 @@
 		return {kind: 'held', claim: strongest.claim, isSettled};
 	}
 
-	const isAllIn = sets.every(set => set.slots.every(slot => answers.has(slot)));
-	return isAllIn ? {kind: 'refused'} : {kind: 'pending'};
+	const hasAllAnswers = sets.every(set => set.slots.every(slot => answers.has(slot)));
+	return hasAllAnswers ? {kind: 'refused'} : {kind: 'pending'};
 }
--- a/src/domain/tally-claims/test.ts
+++ b/src/domain/tally-claims/test.ts
@@ -34,7 +34,7 @@
 		{name: 'another claim that does not', answers: toAnswers(toHeld('x'), toHeld('x')), kind: 'held'},
 		{name: 'another body', answers: toAnswers(toHeld('x', 'other')), kind: 'conflict'},
 		{name: 'no quorum possible, slots open that may know the holder', answers: toAnswers(failed, abstained), kind: 'pending'},
-		{name: 'no quorum possible, all in', answers: toAnswers(failed, abstained, granted, granted, granted), kind: 'refused'},
+		{name: 'no quorum possible, all slots answered', answers: toAnswers(failed, abstained, granted, granted, granted), kind: 'refused'},
 	];
 	for (const {name, answers, kind} of cases) {
 		it(`calls ${name} ${kind}`, () => {
@@ -42,7 +42,7 @@
 		});
 	}
 
-	it('names the claim that holds most, and whether it surely has a quorum', () => {
+	it('returns the claim that holds the most witnesses, and whether it is known to have a quorum', () => {
 		const split = tallyClaims([set], toAnswers(toHeld('x'), toHeld('y'), toHeld('y')), 'd');
 		assert.ok(split.kind === 'held' && split.claim.claimId === 'y' && !split.isSettled);
 		const settled = tallyClaims([set], toAnswers(toHeld('y'), toHeld('y'), toHeld('y'), toHeld('y')), 'd');
