--- a/src/domain/create-placement/_lib/create-candidates.ts
+++ b/src/domain/create-placement/_lib/create-candidates.ts
@@ -2,8 +2,8 @@
 import {type ServerEntry} from '../../../ports/config.js';
 import {type ServerLoad} from '../../create-load-estimate/index.js';
 import {createSlowness} from './create-slowness.js';
-import {isSoft} from './create-standing.js';
-import {type Leniency, type PairSearchOptions, type Search} from './search-types.js';
+import {isSoft} from './create-eligibility.js';
+import {type Relaxation, type PairSearchOptions, type Search} from './search-types.js';
 import {type Candidate} from './to-best-pair.js';
 import {type PassedOverReason} from './types.js';
 
@@ -13,7 +13,7 @@
  * prefill queue; on a decode server the pressure of a full one, so that the
  * own subset is filled first.
  */
-const unseenMs = {prefill: 300, decode: 100, plain: 0};
+const unseenLoadMs = {prefill: 300, decode: 100, plain: 0};
 
 const isFull = (entry: ServerEntry, load: ServerLoad): boolean => entry.role !== 'prefill' && load.slotsUsed >= load.slotsTotal;
 
@@ -21,48 +21,48 @@
  * @param options - Zone of this host, and the records that tell of servers.
  * @returns Functions that judge one server for a search.
  */
-export const createCandidates = ({zone, loads, standing, pace, subsets, spills}: PairSearchOptions) => {
+export const createCandidates = ({zone, loads, eligibility, tokenLatency, subsets, spills}: PairSearchOptions) => {
 	const slowness = createSlowness();
 
 	const readLoad = (entry: ServerEntry, {view, now}: Search): ServerLoad =>
 		spills.fill(entry, loads.read(entry, view.servers.get(entry.id), now), view, now);
 
-	const toSlow = (entry: ServerEntry, load: ServerLoad, search: Search): Pick<Candidate, 'stepMs' | 'slowMs'> =>
+	const toSlowdown = (entry: ServerEntry, load: ServerLoad, search: Search): Pick<Candidate, 'stepMs' | 'slowdownMs'> =>
 		entry.role === 'decode'
 			? slowness.read(entry, load, {
-				pace, readLoad: other => readLoad(other, search), now: search.now, role: search.servers.decode, answer: search.answer,
+				tokenLatency, readLoad: other => readLoad(other, search), now: search.now, role: search.servers.decode, answer: search.answer,
 			})
-			: {stepMs: 0, slowMs: 0};
+			: {stepMs: 0, slowdownMs: 0};
 
 	/** Whether the server counts in this step; notes in `search.met` what speaks against it. */
-	const isAccepted = (entry: ServerEntry, search: Search, {isLax = false, isLastResort = false, takesNeverReported = false, zone: summarised}: Leniency): boolean => {
-		const reason = standing.toReason(entry, isLastResort ? {...search, isLastResort} : search, search.random());
+	const isAccepted = (entry: ServerEntry, search: Search, {acceptsSoftReasons = false, isLastResort = false, acceptsNeverReported = false, zone: summarised}: Relaxation): boolean => {
+		const reason = eligibility.toReason(entry, isLastResort ? {...search, isLastResort} : search, search.random());
 		if (reason === undefined || (reason === 'unknown-load' && entry.zone === summarised)) {
 			return true;
 		}
 
 		const hasNeverReported = reason === 'unknown-load' && search.view.servers.get(entry.id)?.load === undefined;
-		search.met.neverReported ||= hasNeverReported;
-		search.met.lost ||= reason === 'unreachable' || reason === 'ejected';
-		search.met.soft ||= isSoft(reason);
-		return (isLax && isSoft(reason)) || (takesNeverReported && hasNeverReported);
+		search.findings.neverReported ||= hasNeverReported;
+		search.findings.unreachable ||= reason === 'unreachable' || reason === 'ejected';
+		search.findings.soft ||= isSoft(reason);
+		return (acceptsSoftReasons && isSoft(reason)) || (acceptsNeverReported && hasNeverReported);
 	};
 
 	return {
 		/**
 		 * @param entry - The server.
 		 * @param search - Its `met` notes why a server was passed over.
-		 * @param leniency - What is let pass in this step.
+		 * @param relaxation - What is let pass in this step.
 		 * @returns The server with what is known of it, or `undefined` if it does not count or is full.
 		 */
-		toCandidate(entry: ServerEntry, search: Search, leniency: Leniency): Candidate | undefined {
-			if (!isAccepted(entry, search, leniency)) {
+		toCandidate(entry: ServerEntry, search: Search, relaxation: Relaxation): Candidate | undefined {
+			if (!isAccepted(entry, search, relaxation)) {
 				return undefined;
 			}
 
 			const load = readLoad(entry, search);
 			if (isFull(entry, load)) {
-				search.met.full = true;
+				search.findings.full = true;
 				return undefined;
 			}
 
@@ -71,8 +71,8 @@
 				load,
 				version: search.view.servers.get(entry.id)?.load?.version,
 				cachedTokens: search.cachedTokens.get(entry.id) ?? 0,
-				...toSlow(entry, load, search),
-				unseenMs: subsets.read(search.servers[entry.role])?.has(entry) === false ? unseenMs[entry.role] : 0,
+				...toSlowdown(entry, load, search),
+				unseenLoadMs: subsets.read(search.servers[entry.role])?.has(entry) === false ? unseenLoadMs[entry.role] : 0,
 			};
 		},
 		/**
@@ -83,7 +83,7 @@
 		 * @returns Why.
 		 */
 		toPassedOver(entry: ServerEntry, search: Search): PassedOverReason {
-			const reason = standing.toReason(entry, search, 0);
+			const reason = eligibility.toReason(entry, search, 0);
 			if (reason !== undefined) {
 				return reason;
 			}
@@ -93,7 +93,7 @@
 				return 'full';
 			}
 
-			if (toSlow(entry, load, search).slowMs > 0) {
+			if (toSlowdown(entry, load, search).slowdownMs > 0) {
 				return 'slow';
 			}
 
--- a/src/domain/create-placement/_lib/create-standing.ts
+++ b/src/domain/create-placement/_lib/create-eligibility.ts
@@ -19,7 +19,7 @@
 	exclude: ReadonlySet<ServerId> | undefined;
 };
 
-export type Inquiry = {
+export type EligibilityQuery = {
 	wanted: Wanted;
 	view: FleetView;
 	now: Milliseconds;
@@ -62,7 +62,7 @@
 };
 
 /** Share of a group in the own zone that polls may call unreachable before they are doubted. */
-const doubtShare = 0.5;
+const suspectShare = 0.5;
 
 const toGroup = (entry: ServerEntry): string => `${entry.pool}/${entry.role}`;
 
@@ -72,7 +72,7 @@
  * these servers are tried when nothing else is left. A reservation that cannot
  * be made costs no prefill.
  */
-const toDoubtedGroups = (view: FleetView, servers: ReadonlyMap<ServerId, ServerEntry>, ownZone: ZoneId): ReadonlySet<string> => {
+const toSuspectGroups = (view: FleetView, servers: ReadonlyMap<ServerId, ServerEntry>, ownZone: ZoneId): ReadonlySet<string> => {
 	const counts = new Map<string, {total: number; lost: number}>();
 	for (const entry of servers.values()) {
 		if (entry.zone === ownZone) {
@@ -81,11 +81,11 @@
 		}
 	}
 
-	return new Set([...counts].filter(([, {total, lost}]) => lost > total * doubtShare).map(([group]) => group));
+	return new Set([...counts].filter(([, {total, lost}]) => lost > total * suspectShare).map(([group]) => group));
 };
 
 /** Zones with published hosts of which the view knows some and none is alive. */
-const toCutZones = (view: FleetView, ownZone: ZoneId): ReadonlySet<ZoneId> => {
+const toPartitionedZones = (view: FleetView, ownZone: ZoneId): ReadonlySet<ZoneId> => {
 	const living = new Map<ZoneId, boolean>();
 	for (const host of view.hosts.values()) {
 		living.set(host.zone, living.get(host.zone) === true || host.life === 'alive');
@@ -95,7 +95,7 @@
 	return new Set(cut);
 };
 
-export type StandingOptions = {
+export type EligibilityOptions = {
 	zone: ZoneId;
 	health: ServerHealth;
 	toSubject: (entry: ServerEntry) => HealthSubject;
@@ -106,13 +106,13 @@
  * @param options - Zone of this host, health record, and age at which reports go stale.
  * @returns Functions that judge a server, and that note what servers say of themselves.
  */
-export const createStanding = ({zone, health, toSubject, staleAfterMs}: StandingOptions) => {
+export const createEligibility = ({zone, health, toSubject, staleAfterMs}: EligibilityOptions) => {
 	const leavingAt = new Map<ServerId, Milliseconds>();
 	const mismatchAt = new Map<ServerId, Milliseconds>();
 	const pausedUntil = new Map<ServerId, Milliseconds>();
-	const lost = new Set<ServerId>();
-	let cutZones: ReadonlySet<ZoneId> = new Set();
-	let doubtedGroups: ReadonlySet<string> = new Set();
+	const unreachable = new Set<ServerId>();
+	let partitionedZones: ReadonlySet<ZoneId> = new Set();
+	let suspectGroups: ReadonlySet<string> = new Set();
 	let sweptAt = -Infinity;
 
 	/** Whether the server's refusal at `refusedAt` still counts against its reports. */
@@ -129,28 +129,28 @@
 		}
 
 		sweptAt = now;
-		cutZones = toCutZones(view, zone);
+		partitionedZones = toPartitionedZones(view, zone);
 		let isLocalLost = false;
 		for (const entry of servers.values()) {
-			const isLost = cutZones.has(entry.zone) || view.servers.get(entry.id)?.reachable === false;
+			const isLost = partitionedZones.has(entry.zone) || view.servers.get(entry.id)?.reachable === false;
 			if (isLost) {
 				isLocalLost ||= entry.zone === zone;
-				lost.add(entry.id);
-			} else if (lost.delete(entry.id)) {
+				unreachable.add(entry.id);
+			} else if (unreachable.delete(entry.id)) {
 				health.noteReturn(toSubject(entry), now);
 			}
 		}
 
-		doubtedGroups = isLocalLost ? toDoubtedGroups(view, servers, zone) : new Set();
+		suspectGroups = isLocalLost ? toSuspectGroups(view, servers, zone) : new Set();
 	};
 
-	const toPauseLeft = (server: ServerId, now: Milliseconds): Milliseconds => Math.max(0, (pausedUntil.get(server) ?? -Infinity) - now);
+	const toRemainingPauseMs = (server: ServerId, now: Milliseconds): Milliseconds => Math.max(0, (pausedUntil.get(server) ?? -Infinity) - now);
 
 	/** Whether the server is, or says it is, on its way out. */
 	const isLeaving = (server: ServerId, status: ServerStatus | undefined, loadAt: Milliseconds, now: Milliseconds): boolean =>
 		status?.leaving === true || status?.load?.state === 'leaving' || isRefusalValid(leavingAt.get(server), loadAt, now);
 
-	const isYoung = (at: Milliseconds | undefined, now: Milliseconds): boolean => at !== undefined && now - at <= staleAfterMs;
+	const isRecent = (at: Milliseconds | undefined, now: Milliseconds): boolean => at !== undefined && now - at <= staleAfterMs;
 
 	/**
 	 * What speaks against the way to the server. A report that it can't be
@@ -158,18 +158,18 @@
 	 * back, and the server would stay out for as long. A zone without living hosts may have
 	 * lost its agents alone, which hosts of other zones show by reaching its servers.
 	 */
-	const toReachReason = (entry: ServerEntry, status: ServerStatus | undefined, {now, isLastResort}: Inquiry): PassedOverReason | undefined => {
+	const toReachabilityReason = (entry: ServerEntry, status: ServerStatus | undefined, {now, isLastResort}: EligibilityQuery): PassedOverReason | undefined => {
 		const {reachable, reachableAt} = status ?? {};
-		if (cutZones.has(entry.zone)) {
-			return reachable === true && isYoung(reachableAt, now) ? 'doubted' : 'cut-off';
+		if (partitionedZones.has(entry.zone)) {
+			return reachable === true && isRecent(reachableAt, now) ? 'doubted' : 'cut-off';
 		}
 
 		if (reachable !== false) {
 			return undefined;
 		}
 
-		const isOld = reachableAt !== undefined && !isYoung(reachableAt, now);
-		const isDoubted = isLastResort === true || isOld || (entry.zone === zone && doubtedGroups.has(toGroup(entry)));
+		const isOld = reachableAt !== undefined && !isRecent(reachableAt, now);
+		const isDoubted = isLastResort === true || isOld || (entry.zone === zone && suspectGroups.has(toGroup(entry)));
 		return isDoubted ? 'doubted' : 'unreachable';
 	};
 
@@ -184,13 +184,13 @@
 
 	/**
 	 * @param entry - The server.
-	 * @param inquiry - What is wanted, the view, the time.
+	 * @param query - What is wanted, the view, the time.
 	 * @param share - Random number in [0, 1) against which a returning server's share is held; 0 lets it pass.
 	 * @returns Why the server is no candidate, or `undefined` if it is one.
 	 */
-	const toReason = (entry: ServerEntry, inquiry: Inquiry, share: number): PassedOverReason | undefined => {
+	const toReason = (entry: ServerEntry, query: EligibilityQuery, share: number): PassedOverReason | undefined => {
 		const {id} = entry;
-		const {wanted, view, now} = inquiry;
+		const {wanted, view, now} = query;
 		if (wanted.exclude?.has(id)) {
 			return 'excluded';
 		}
@@ -201,11 +201,11 @@
 			return 'leaving';
 		}
 
-		if (toPauseLeft(id, now) > 0) {
+		if (toRemainingPauseMs(id, now) > 0) {
 			return 'paused';
 		}
 
-		const reachReason = toReachReason(entry, status, inquiry);
+		const reachReason = toReachabilityReason(entry, status, query);
 		if (reachReason !== undefined && !isSoft(reachReason)) {
 			return reachReason;
 		}
@@ -216,7 +216,7 @@
 
 		const reported = status?.load === undefined ? undefined : toMismatch(entry, status.load, wanted);
 		const ownReason = toHealthReason(id, now, share);
-		const doubt = ownReason === 'ejected' && inquiry.isLastResort ? 'doubted' : ownReason;
+		const doubt = ownReason === 'ejected' && query.isLastResort ? 'doubted' : ownReason;
 		return reported ?? doubt ?? reachReason ?? (entry.role !== 'plain' && now - loadAt > staleAfterMs ? 'unknown-load' : undefined);
 	};
 
@@ -224,15 +224,15 @@
 		sweep,
 		toReason,
 		/** Zones behind a cut at the last sweep; another set after each. */
-		cutZones: () => cutZones,
+		partitionedZones: () => partitionedZones,
 		/** The server refused as leaving: it gets nothing new, long before the platform's list says so. */
 		noteLeaving(server: ServerId, now: Milliseconds): void {
 			leavingAt.set(server, now);
 		},
-		toPauseLeft,
+		toRemainingPauseMs,
 		/** The server asks this host to back off. Tells whether it did not do so already. */
 		notePause(server: ServerId, pauseMs: Milliseconds, now: Milliseconds): boolean {
-			const isNew = toPauseLeft(server, now) === 0;
+			const isNew = toRemainingPauseMs(server, now) === 0;
 			pausedUntil.set(server, Math.max(pausedUntil.get(server) ?? -Infinity, now + Math.min(maxPauseMs, pauseMs)));
 			return isNew;
 		},
@@ -244,9 +244,9 @@
 			leavingAt.delete(server);
 			mismatchAt.delete(server);
 			pausedUntil.delete(server);
-			lost.delete(server);
+			unreachable.delete(server);
 		},
 	};
 };
 
-export type Standing = ReturnType<typeof createStanding>;
+export type Eligibility = ReturnType<typeof createEligibility>;
--- a/src/domain/create-placement/_lib/create-notes.ts
+++ b/src/domain/create-placement/_lib/create-feedback.ts
@@ -12,7 +12,7 @@
 import {type SplitEstimate} from '../../create-split-estimate/index.js';
 import {type HealthSubject, type ServerHealth} from '../../create-server-health/index.js';
 import {type AnswerLengths} from './create-answer-lengths.js';
-import {type Standing} from './create-standing.js';
+import {type Eligibility} from './create-eligibility.js';
 import {type Placement, type PlainPlacement, type ServerFailure} from './types.js';
 
 type Progress = {
@@ -24,29 +24,29 @@
 	/** Tokens of the answer seen. */
 	tokens: number;
 	/** When it was sent, the prefill server had nothing else to do, as far as is known. */
-	isFirstInLine: boolean;
+	wasServerIdle: boolean;
 };
 
 /** What picks learn over time, shared by all pools of this host. */
-export type Learnt = {
+export type LearnedValues = {
 	kvBytesPerToken: number;
 	/** Time for which a request holds its decode slot. */
 	holdMs: Milliseconds;
 };
 
-export type NotesOptions = {
+export type FeedbackOptions = {
 	loads: LoadEstimate;
 	health: ServerHealth;
-	standing: Standing;
+	eligibility: Eligibility;
 	prefixes: PrefixMap;
-	pace: InterTokenLatency;
-	promptPace: PrefillThroughput;
+	tokenLatency: InterTokenLatency;
+	prefillThroughput: PrefillThroughput;
 	split: SplitEstimate;
-	readOthers: SharedLoads['read'];
+	readPeerLoad: SharedLoads['read'];
 	lengths: AnswerLengths;
-	learnt: Learnt;
+	learned: LearnedValues;
 	tokensPerBlock: number;
-	doubts: ServerCooldowns;
+	cooldowns: ServerCooldowns;
 	toSubject: (entry: ServerEntry) => HealthSubject;
 	/** Told of the decode server of each pair that is about to be used. */
 	noteSent: (server: ServerEntry, now: Milliseconds) => void;
@@ -59,7 +59,7 @@
 const minPredictedMs = 20;
 
 /** A prefill server takes a dozen prompts and more at once, a second of work; with less in its queue it refuses for another reason than being full. */
-const fullQueueMs: Milliseconds = 300;
+const minFullQueueMs: Milliseconds = 300;
 
 const toSlowness = (tookMs: Milliseconds, predictedMs: Milliseconds): number =>
 	Math.min(100, Math.max(0, tookMs) / Math.max(minPredictedMs, predictedMs));
@@ -68,7 +68,7 @@
  * @param options - The records to keep up to date.
  * @returns The `note…` functions of a placement. Each is idempotent for a placement and a stage.
  */
-export const createNotes = ({loads, health, standing, prefixes, pace, promptPace, split, readOthers, lengths, learnt, tokensPerBlock, toSubject, doubts, noteSent}: NotesOptions) => {
+export const createFeedback = ({loads, health, eligibility, prefixes, tokenLatency, prefillThroughput, split, readPeerLoad, lengths, learned, tokensPerBlock, toSubject, cooldowns, noteSent}: FeedbackOptions) => {
 	const running = new WeakMap<Placement | PlainPlacement, Progress>();
 
 	const toPrefillTokens = (placement: Placement): number => placement.promptTokens - placement.expectedCachedTokens;
@@ -81,12 +81,12 @@
 	/** What a refusal says against the server's last report. */
 	const corrections: Partial<Record<EngineRefusalReason, (server: ServerId, now: Milliseconds) => void>> = {
 		full: loads.noteFull,
-		leaving: standing.noteLeaving,
-		'wrong-model': standing.noteMismatch,
+		leaving: eligibility.noteLeaving,
+		'wrong-model': eligibility.noteMismatch,
 	};
 
 	const isIdle = ({id}: ServerEntry, now: Milliseconds): boolean =>
-		loads.ownPromptTokens(id) === 0 && readOthers(id, now).promptTokens === 0;
+		loads.ownPromptTokens(id) === 0 && readPeerLoad(id, now).promptTokens === 0;
 
 	/**
 	 * A prefill server refuses prompts while it changes its role, seconds long, and
@@ -95,9 +95,9 @@
 	 * zone for good, whose budget of repeats was used up. In doubt, it is asked once
 	 * a second or less.
 	 */
-	const isRefusingIdle = (server: ServerEntry, now: Milliseconds): boolean => {
-		const queuedTokens = loads.ownPromptTokens(server.id) + readOthers(server.id, now).promptTokens;
-		return server.role === 'prefill' && queuedTokens / promptPace.read(server.id) < fullQueueMs;
+	const isRefusingWhileIdle = (server: ServerEntry, now: Milliseconds): boolean => {
+		const queuedTokens = loads.ownPromptTokens(server.id) + readPeerLoad(server.id, now).promptTokens;
+		return server.role === 'prefill' && queuedTokens / prefillThroughput.read(server.id) < minFullQueueMs;
 	};
 
 	return {
@@ -107,9 +107,9 @@
 				return;
 			}
 
-			const isFirstInLine = placement.kind === 'pair' && placement.prefill.id !== placement.decode.id && isIdle(placement.prefill, now);
+			const wasServerIdle = placement.kind === 'pair' && placement.prefill.id !== placement.decode.id && isIdle(placement.prefill, now);
 			running.set(placement, {
-				stage: placement.kind === 'pair' ? 'prefill' : 'decode', dispatchedAt: now, prefilledAt: now, reserved: undefined, tokens: 0, isFirstInLine,
+				stage: placement.kind === 'pair' ? 'prefill' : 'decode', dispatchedAt: now, prefilledAt: now, reserved: undefined, tokens: 0, wasServerIdle,
 			});
 			if (placement.kind === 'plain') {
 				loads.addSlots(placement.server.id, 1, now);
@@ -126,7 +126,7 @@
 			if (progress !== undefined) {
 				running.set(placement, {...progress, reserved: {tokens, at: now}});
 				health.noteSuccess(toSubject(placement.decode), now);
-				doubts.noteSuccess(placement.decode, now);
+				cooldowns.noteSuccess(placement.decode, now);
 			}
 		},
 		/** The prefill is done and its transfer begins. */
@@ -138,21 +138,21 @@
 
 			running.set(placement, {...progress, stage: 'transfer', prefilledAt: now});
 			loads.removePrefill(placement.prefill.id, toPrefillTokens(placement));
-			if (progress.isFirstInLine) {
-				promptPace.note(placement.prefill.id, toPrefillTokens(placement), now - progress.dispatchedAt);
+			if (progress.wasServerIdle) {
+				prefillThroughput.note(placement.prefill.id, toPrefillTokens(placement), now - progress.dispatchedAt);
 				split.notePrefill(placement.prefill.pool, now - progress.dispatchedAt);
 			}
 
 			loads.addTransfers(placement.prefill.id, 1);
 			loads.addTransfers(placement.decode.id, 1);
 			if (result.promptTokens > 0) {
-				learnt.kvBytesPerToken += gain * ((result.bytes / result.promptTokens) - learnt.kvBytesPerToken);
+				learned.kvBytesPerToken += gain * ((result.bytes / result.promptTokens) - learned.kvBytesPerToken);
 			}
 
 			prefixes.noteFeedback(placement.prefill.id, placement.prefixBlocks, Math.floor(result.cachedTokens / tokensPerBlock));
 			prefixes.note(placement.prefill.id, placement.prefixBlocks);
 			health.noteSuccess(toSubject(placement.prefill), now);
-			doubts.noteSuccess(placement.prefill, now);
+			cooldowns.noteSuccess(placement.prefill, now);
 			health.noteSlowness(toSubject(placement.prefill), toSlowness(now - progress.dispatchedAt, placement.predictedPrefillMs), now);
 		},
 		/** The first token (or the first byte of a plain answer) came. */
@@ -164,7 +164,7 @@
 
 			if (placement.kind === 'plain') {
 				health.noteSuccess(toSubject(placement.server), now);
-				doubts.noteSuccess(placement.server, now);
+				cooldowns.noteSuccess(placement.server, now);
 				return;
 			}
 
@@ -181,7 +181,7 @@
 			const progress = running.get(placement);
 			if (progress !== undefined) {
 				running.set(placement, {...progress, tokens: progress.tokens + seen.tokens});
-				pace.note(placement.decode.id, seen, now);
+				tokenLatency.note(placement.decode.id, seen, now);
 			}
 		},
 		/** The attempt has ended in any way, and the servers hold nothing of it. */
@@ -207,7 +207,7 @@
 			} else if (progress.stage === 'transfer') {
 				endTransfer(placement);
 			} else {
-				learnt.holdMs += gain * (now - progress.dispatchedAt - learnt.holdMs);
+				learned.holdMs += gain * (now - progress.dispatchedAt - learned.holdMs);
 				if (progress.reserved !== undefined) {
 					split.noteReservation(placement.decode.pool, {tokens: progress.reserved.tokens, heldMs: now - progress.reserved.at});
 				}
@@ -222,11 +222,11 @@
 		noteFailure(server: ServerEntry, {kind, reason}: ServerFailure, now: Milliseconds): void {
 			if (kind === 'unreachable' || kind === 'broken' || kind === 'invalid') {
 				health.noteFailure(toSubject(server), kind, now);
-				doubts.noteFailure(server, now);
+				cooldowns.noteFailure(server, now);
 			} else if (kind === 'refused' && reason !== undefined) {
 				corrections[reason]?.(server.id, now);
-				if (reason === 'full' && isRefusingIdle(server, now)) {
-					doubts.noteRefusal(server, now);
+				if (reason === 'full' && isRefusingWhileIdle(server, now)) {
+					cooldowns.noteRefusal(server, now);
 				}
 			}
 		},
--- a/src/domain/create-placement/_lib/create-pair-search.ts
+++ b/src/domain/create-placement/_lib/create-pair-search.ts
@@ -58,8 +58,8 @@
 	/** All of the own zone, after a draw from it that gave `drawn`. */
 	const searchOwnZone = (search: Search, drawn: Pair | undefined): Pair | undefined => {
 		// A full server has made the first draw walk the whole zone already; a second walk would find no more.
-		const isWalked = drawn === undefined && search.met.full;
-		return isWalked ? undefined : searchPair(search, {local: Infinity, nearby: 0}) ?? drawn;
+		const isZoneSearched = drawn === undefined && search.findings.full;
+		return isZoneSearched ? undefined : searchPair(search, {local: Infinity, nearby: 0}) ?? drawn;
 	};
 
 	/**
@@ -68,10 +68,10 @@
 	 * draw all its requests away; having reported makes a server no better.
 	 */
 	const searchNeverReported = (search: Search): Pair | undefined =>
-		search.met.neverReported ? searchPair(search, {local: draws, nearby: 0, takesNeverReported: true}) : undefined;
+		search.findings.neverReported ? searchPair(search, {local: draws, nearby: 0, acceptsNeverReported: true}) : undefined;
 
-	const searchLax = (search: Search, widest: Scope): Pair | undefined =>
-		search.met.soft ? searchPair(search, {...widest, isLax: true}) : undefined;
+	const searchRelaxed = (search: Search, widest: Scope): Pair | undefined =>
+		search.findings.soft ? searchPair(search, {...widest, acceptsSoftReasons: true}) : undefined;
 
 	/**
 	 * Where all that is left can't be reached or was ejected, these reports may be
@@ -79,7 +79,7 @@
 	 * costs one failed call, after which the request is refused as it would have been.
 	 */
 	const searchLastResort = (search: Search, widest: Scope): Pair | undefined =>
-		search.met.lost && !search.met.full ? searchPair(search, {...widest, isLax: true, isLastResort: true}) : undefined;
+		search.findings.unreachable && !search.findings.full ? searchPair(search, {...widest, acceptsSoftReasons: true, isLastResort: true}) : undefined;
 
 	/** Looks wider step by step, until a pair will do. */
 	const findPair = (search: Search): Pair | undefined => {
@@ -106,7 +106,7 @@
 		}
 
 		const widest = toWidestScope(choice);
-		return searchLax(search, widest) ?? searchLastResort(search, widest);
+		return searchRelaxed(search, widest) ?? searchLastResort(search, widest);
 	};
 
 	return {
--- a/src/domain/create-placement/_lib/create-slowness.ts
+++ b/src/domain/create-placement/_lib/create-slowness.ts
@@ -7,7 +7,7 @@
 import {type RoleServers} from './to-pool-index.js';
 
 export type SlownessOptions = {
-	pace: InterTokenLatency;
+	tokenLatency: InterTokenLatency;
 	readLoad: (entry: ServerEntry) => ServerLoad;
 	now: Milliseconds;
 	/** Servers that the one asked about is held against. */
@@ -18,13 +18,13 @@
 
 /** Servers looked at for the usual time between tokens, and how long it is kept. */
 const maxSampled = 32;
-const typicalLifeMs = 1000;
+const typicalMaxAgeMs = 1000;
 
 /** What is slower than usual by less than this is chance; speaking against it would send all hosts to the same few servers. */
 const tolerance = 1.25;
 
 /** Part of the target between tokens within which a server is quick enough, whatever its neighbours do. */
-const easyShare = 0.5;
+const acceptableShare = 0.5;
 
 const toMedian = (values: readonly number[]): number | undefined =>
 	values.toSorted((a, b) => a - b)[Math.floor((values.length - 1) / 2)];
@@ -45,18 +45,18 @@
  * @returns Functions that tell the time between tokens and the time lost.
  */
 export const createSlowness = () => {
-	const typicals = new WeakMap<RoleServers, {stepMs: Milliseconds; at: Milliseconds}>();
+	const typicalSteps = new WeakMap<RoleServers, {stepMs: Milliseconds; at: Milliseconds}>();
 
 	const toReportedMs = (load: ServerLoad): Milliseconds => msPerSecond / Math.max(1, load.tokensPerSecond);
 
 	/** Time expected between two tokens of a server; a report that is too old says nothing. */
-	const toStepMs = (entry: ServerEntry, load: ServerLoad, fallbackMs: Milliseconds, {pace, now}: SlownessOptions): Milliseconds =>
-		pace.read(entry.id, load.isUnknown ? fallbackMs : toReportedMs(load), now);
+	const toStepMs = (entry: ServerEntry, load: ServerLoad, fallbackMs: Milliseconds, {tokenLatency, now}: SlownessOptions): Milliseconds =>
+		tokenLatency.read(entry.id, load.isUnknown ? fallbackMs : toReportedMs(load), now);
 
 	const toTypicalMs = (options: SlownessOptions): Milliseconds => {
 		const {role} = options;
-		const known = typicals.get(role);
-		if (known !== undefined && options.now - known.at < typicalLifeMs) {
+		const known = typicalSteps.get(role);
+		if (known !== undefined && options.now - known.at < typicalMaxAgeMs) {
 			return known.stepMs;
 		}
 
@@ -65,7 +65,7 @@
 			.filter(({load}) => !load.isUnknown)
 			.map(({entry, load}) => toStepMs(entry, load, toReportedMs(load), options));
 		const stepMs = toMedian(steps) ?? Infinity;
-		typicals.set(role, {stepMs, at: options.now});
+		typicalSteps.set(role, {stepMs, at: options.now});
 		return stepMs;
 	};
 
@@ -76,12 +76,12 @@
 		 * @param options - What is known of servers now, and the answer.
 		 * @returns Expected milliseconds between tokens, and milliseconds lost over the whole answer.
 		 */
-		read(entry: ServerEntry, load: ServerLoad, options: SlownessOptions): {stepMs: Milliseconds; slowMs: Milliseconds} {
+		read(entry: ServerEntry, load: ServerLoad, options: SlownessOptions): {stepMs: Milliseconds; slowdownMs: Milliseconds} {
 			const {answer} = options;
 			const typicalMs = toTypicalMs(options);
 			const stepMs = toStepMs(entry, load, Number.isFinite(typicalMs) ? typicalMs : toReportedMs(load), options);
-			const toleratedMs = Math.max(typicalMs * tolerance, answer.perTokenTargetMs * easyShare);
-			return {stepMs, slowMs: answer.tokens * Math.max(0, stepMs - toleratedMs)};
+			const toleratedMs = Math.max(typicalMs * tolerance, answer.perTokenTargetMs * acceptableShare);
+			return {stepMs, slowdownMs: answer.tokens * Math.max(0, stepMs - toleratedMs)};
 		},
 	};
 };
--- a/src/domain/create-placement/_lib/create-spill-search.ts
+++ b/src/domain/create-placement/_lib/create-spill-search.ts
@@ -9,7 +9,7 @@
 export const regionDraws = 8;
 
 /** Zones that are tried by their summaries when the first turns out to have no server that will do. */
-const spillTries = 2;
+const maxSpillTries = 2;
 
 /** Milliseconds added for each server of another region. */
 const crossRegionMs: Milliseconds = 40;
@@ -23,7 +23,7 @@
 const hasNearZone = ({servers}: Search): boolean => servers.otherZones.some(({distance}) => distance === 0);
 
 /** Whether no other zone is worth a draw. */
-const isHopeless = (choice: SpillChoice, search: Search): boolean =>
+const isWorthless = (choice: SpillChoice, search: Search): boolean =>
 	choice.kind === 'none' || (choice.kind === 'blind' && !hasNearZone(search));
 
 /** Where servers of other zones are drawn; a pair of another region stays together there, as a cache had too far to go. */
@@ -55,15 +55,15 @@
 			const tried = new Set<ZoneId>();
 			for (;;) {
 				const choice = chooseZone(search, tried);
-				const outside = isHopeless(choice, search) ? undefined : searchPair(search, toSpillScope(choice, draws));
+				const outside = isWorthless(choice, search) ? undefined : searchPair(search, toSpillScope(choice, draws));
 				if (choice.kind !== 'zone' || outside !== undefined) {
 					// Zones without room by their summaries are full, not missing.
-					search.met.full ||= choice.kind === 'none';
+					search.findings.full ||= choice.kind === 'none';
 					return {outside, choice};
 				}
 
 				tried.add(choice.zone);
-				if (tried.size >= spillTries) {
+				if (tried.size >= maxSpillTries) {
 					return {outside, choice};
 				}
 			}
--- a/src/domain/create-placement/_lib/search-types.ts
+++ b/src/domain/create-placement/_lib/search-types.ts
@@ -7,24 +7,24 @@
 import {type ServerCooldowns} from '../../create-server-cooldowns/index.js';
 import {type SpillChooser} from '../../create-spill-chooser/index.js';
 import {type InterTokenLatency} from '../../create-inter-token-latency/index.js';
-import {type Standing, type Wanted} from './create-standing.js';
+import {type Eligibility, type Wanted} from './create-eligibility.js';
 import {type Subsets} from './create-subsets.js';
 import {type PoolServers} from './to-pool-index.js';
 
 /** Which servers count that would else be passed over. */
-export type Leniency = {
+export type Relaxation = {
 	/** Servers that are doubted, returning or without a recent report. */
-	isLax?: boolean;
+	acceptsSoftReasons?: boolean;
 	/** As for `isLax`; servers that can't be reached or were ejected count as doubted. */
 	isLastResort?: boolean;
 	/** Servers that have never reported, as none has to a host that just started. */
-	takesNeverReported?: boolean;
+	acceptsNeverReported?: boolean;
 	/** Servers without a recent report in this zone, whose summary stands in for their loads. */
 	zone?: ZoneId;
 };
 
 /** One step of a search: how many servers of each role are drawn, and which of them count. */
-export type Scope = Leniency & {
+export type Scope = Relaxation & {
 	/** Servers drawn in the own zone; `Infinity` takes all. */
 	local: number;
 	/** Servers drawn in `zone`, or anywhere in the region without one. */
@@ -34,13 +34,13 @@
 };
 
 /** Why servers were passed over so far, as far as that decides how to go on. */
-export type Met = {
+export type SearchFindings = {
 	full: boolean;
 	/** A full server that nothing else speaks against. */
-	isSoundFull: boolean;
+	healthyFull: boolean;
 	soft: boolean;
 	/** A server that can't be reached or was ejected. */
-	lost: boolean;
+	unreachable: boolean;
 	neverReported: boolean;
 };
 
@@ -62,7 +62,7 @@
 	now: Milliseconds;
 	random: Random;
 	/** Written by each step, read by those after it. */
-	met: Met;
+	findings: SearchFindings;
 };
 
 export type PairSearchOptions = {
@@ -71,9 +71,9 @@
 	draws: number;
 	crossZoneMs: Milliseconds;
 	loads: LoadEstimate;
-	standing: Standing;
-	pace: InterTokenLatency;
+	eligibility: Eligibility;
+	tokenLatency: InterTokenLatency;
 	subsets: Subsets;
 	spills: SpillChooser;
-	doubts: ServerCooldowns;
+	cooldowns: ServerCooldowns;
 };
--- a/src/domain/create-placement/_lib/to-best-pair.ts
+++ b/src/domain/create-placement/_lib/to-best-pair.ts
@@ -14,9 +14,9 @@
 	/** Time expected between two tokens, on a decode server. */
 	stepMs: Milliseconds;
 	/** Time that this answer would lose to tokens slower than usual, on a decode server. */
-	slowMs: Milliseconds;
+	slowdownMs: Milliseconds;
 	/** What speaks against the server because other hosts send to it, unseen. */
-	unseenMs: Milliseconds;
+	unseenLoadMs: Milliseconds;
 };
 
 export type Pair = {
@@ -45,7 +45,7 @@
  * small beside a prefill, yet spreads streams, as each shares its server's
  * memory and batch with the rest.
  */
-const pressureMs = 100;
+const fullServerPenaltyMs = 100;
 
 /** A KV cache that crosses zones loads links which all pairs share, so it counts for more than a call that does. */
 const crossTransferFactor = 4;
@@ -55,10 +55,10 @@
 const toPrefillMs = (prefill: Candidate, request: PairRequest): Milliseconds =>
 	((prefill.load.backlogTokens + Math.max(1, request.promptTokens - prefill.cachedTokens)) / prefill.load.tokensPerSecond * msPerSecond) + toZoneMs(prefill.entry, request);
 
-const toPressure = ({load}: Candidate): number => pressureMs * load.slotsUsed / Math.max(1, load.slotsTotal);
+const toOccupancyPenalty = ({load}: Candidate): number => fullServerPenaltyMs * load.slotsUsed / Math.max(1, load.slotsTotal);
 
 /** What speaks against a decode server beside the first token. */
-const toDecodeCost = (decode: Candidate): Milliseconds => toPressure(decode) + decode.slowMs + decode.unseenMs;
+const toDecodeCost = (decode: Candidate): Milliseconds => toOccupancyPenalty(decode) + decode.slowdownMs + decode.unseenLoadMs;
 
 /** Time of the transfer over one server's link, shared with the transfers already on it. */
 const toLinkMs = ({load}: Candidate, {kvBytes}: PairRequest): Milliseconds =>
@@ -74,17 +74,17 @@
 	candidates.map(candidate => ({candidate, cost: toCost(candidate)})).toSorted((a, b) => a.cost - b.cost).slice(0, shortlist);
 
 const toBestOfVersion = (prefills: readonly Candidate[], decodes: readonly Candidate[], request: PairRequest): Pair | undefined => {
-	const bestPrefills = takeBest(prefills, prefill => toPrefillMs(prefill, request) + prefill.unseenMs);
+	const bestPrefills = takeBest(prefills, prefill => toPrefillMs(prefill, request) + prefill.unseenLoadMs);
 	const bestDecodes = takeBest(decodes, decode => toDecodeCost(decode) + toZoneMs(decode.entry, request) + toLinkMs(decode, request));
 	let best: Pair | undefined;
 	for (const {candidate: prefill, cost} of bestPrefills) {
-		const predictedPrefillMs = cost - prefill.unseenMs;
+		const predictedPrefillMs = cost - prefill.unseenLoadMs;
 		for (const {candidate: decode} of bestDecodes) {
 			const predictedFirstTokenMs = predictedPrefillMs + toTransferMs(prefill, decode, request) + decode.stepMs + toZoneMs(decode.entry, request);
-			const score = predictedFirstTokenMs + prefill.unseenMs + toDecodeCost(decode);
+			const score = predictedFirstTokenMs + prefill.unseenLoadMs + toDecodeCost(decode);
 			if (best === undefined || score < best.score) {
 				best = {
-					prefill, decode, predictedPrefillMs, predictedFirstTokenMs, delayMs: predictedFirstTokenMs + decode.slowMs, score,
+					prefill, decode, predictedPrefillMs, predictedFirstTokenMs, delayMs: predictedFirstTokenMs + decode.slowdownMs, score,
 				};
 			}
 		}
@@ -109,11 +109,11 @@
 		return toBestOfVersion(prefills, decodes, request);
 	}
 
-	const isOf = (version: string | undefined) => (candidate: Candidate) => version === undefined || candidate.version === undefined || candidate.version === version;
+	const isOfVersion = (version: string | undefined) => (candidate: Candidate) => version === undefined || candidate.version === undefined || candidate.version === version;
 	let best: Pair | undefined;
 	for (const version of versions) {
 		const decodesOf = decodes.filter(decode => decode.version === version);
-		const pair = toBestOfVersion(prefills.filter(isOf(version)), decodesOf, request);
+		const pair = toBestOfVersion(prefills.filter(isOfVersion(version)), decodesOf, request);
 		best = best === undefined || (pair !== undefined && pair.score < best.score) ? pair : best;
 	}
 
--- a/src/domain/create-placement/_lib/types.ts
+++ b/src/domain/create-placement/_lib/types.ts
@@ -10,13 +10,13 @@
 import {type FleetView} from '../../../ports/view.js';
 
 /** Why a server may not be considered, or only when nothing better is left. */
-export type StandingReason = 'excluded' | 'leaving' | 'paused' | 'unreachable' | 'doubted' | 'cut-off' | 'ejected' | 'returning' | MismatchReason | 'unknown-load';
+export type IneligibilityReason = 'excluded' | 'leaving' | 'paused' | 'unreachable' | 'doubted' | 'cut-off' | 'ejected' | 'returning' | MismatchReason | 'unknown-load';
 
 /** What the server's last report says that the request does not want. */
 export type MismatchReason = 'wrong-role' | 'wrong-model' | 'wrong-version' | 'no-adapter' | 'not-serving';
 
 /** Why a server was not considered, or considered and not taken. */
-export type PassedOverReason = StandingReason | 'full' | 'slow' | 'other-region' | 'other-zone' | 'worse';
+export type PassedOverReason = IneligibilityReason | 'full' | 'slow' | 'other-region' | 'other-zone' | 'worse';
 
 export type PlacementAccount = {
 	pool: string;
--- a/src/domain/create-placement/index.ts
+++ b/src/domain/create-placement/index.ts
@@ -26,9 +26,9 @@
 import {createServerHealth, type ServerHealthOptions} from '../create-server-health/index.js';
 import {tokensPerBlock as defaultTokensPerBlock} from '../to-prefix-blocks/index.js';
 import {createAnswerLengths} from './_lib/create-answer-lengths.js';
-import {createNotes, type Learnt} from './_lib/create-notes.js';
+import {createFeedback, type LearnedValues} from './_lib/create-feedback.js';
 import {createPairSearch} from './_lib/create-pair-search.js';
-import {createStanding} from './_lib/create-standing.js';
+import {createEligibility} from './_lib/create-eligibility.js';
 import {createSubsets} from './_lib/create-subsets.js';
 import {createUnreportedSearch} from './_lib/create-unreported-search.js';
 import {type Search} from './_lib/search-types.js';
@@ -54,7 +54,7 @@
 const ttlMarginMs = 500;
 
 /** Hosts that don't tell each other what they have under way. */
-const readNobody: SharedLoads['read'] = () => ({requests: 0, promptTokens: 0});
+const readNoPeerLoad: SharedLoads['read'] = () => ({requests: 0, promptTokens: 0});
 
 /** What a request needs of servers. */
 type Needs = Pick<Search, 'wanted' | 'promptTokens' | 'kvBytes' | 'firstTokenBudgetMs' | 'answer' | 'cachedTokens' | 'isOneCall'>;
@@ -89,15 +89,15 @@
 	const draws = options.draws ?? defaultDraws;
 	const staleAfterMs = options.staleAfterMs ?? defaultStaleAfterMs;
 	const tokensPerBlock = options.tokensPerBlock ?? defaultTokensPerBlock;
-	const learnt: Learnt = {kvBytesPerToken: options.kvBytesPerToken ?? defaultKvBytesPerToken, holdMs: defaultHoldMs};
+	const learned: LearnedValues = {kvBytesPerToken: options.kvBytesPerToken ?? defaultKvBytesPerToken, holdMs: defaultHoldMs};
 	const loads = createLoadEstimate({staleAfterMs});
 	const prefixes = createPrefixMap({maxBlocks: options.maxPrefixBlocks});
 	const health = createServerHealth(options.health);
-	const pace = createInterTokenLatency();
+	const tokenLatency = createInterTokenLatency();
 	const lengths = createAnswerLengths();
 	const subsets = createSubsets({zone, host: options.host});
-	const doubts = createServerCooldowns({zone, ...(options.isZoneSilent && {isZoneSilent: options.isZoneSilent})});
-	const promptPace = createPrefillThroughput();
+	const cooldowns = createServerCooldowns({zone, ...(options.isZoneSilent && {isZoneSilent: options.isZoneSilent})});
+	const prefillThroughput = createPrefillThroughput();
 	const split = createSplitEstimate();
 	let index: PoolIndex | undefined;
 	let indexKey = '';
@@ -107,7 +107,7 @@
 		group: `${entry.pool}/${entry.role}`,
 		groupSize: index?.pools.get(entry.pool)?.[entry.role].all.length ?? 1,
 	});
-	const standing = createStanding({
+	const eligibility = createEligibility({
 		zone, health, toSubject, staleAfterMs,
 	});
 
@@ -121,16 +121,16 @@
 		const key = `${edition}/${revision}/${digest}`;
 		if (index === undefined || key !== indexKey) {
 			const next = toPoolIndex(view.accepted.config, zone, options.regionOf);
-			for (const server of [...loads.servers(), ...health.servers(), ...pace.servers()].filter(id => !next.servers.has(id))) {
+			for (const server of [...loads.servers(), ...health.servers(), ...tokenLatency.servers()].filter(id => !next.servers.has(id))) {
 				loads.forget(server);
 				health.forget(server);
-				standing.forget(server);
+				eligibility.forget(server);
 				prefixes.forget(server);
-				pace.forget(server);
-				promptPace.forget(server);
+				tokenLatency.forget(server);
+				prefillThroughput.forget(server);
 			}
 
-			doubts.keepOnly(next.servers);
+			cooldowns.keepOnly(next.servers);
 			lengths.keepOnly(new Set(next.pools.keys()));
 			split.keepOnly(new Set(next.pools.keys()));
 
@@ -143,11 +143,11 @@
 
 	const spills = createSpillChooser({zone, rampMs: options.health?.rampMs, rampFrom: options.health?.rampFrom});
 	const pairs = createPairSearch({
-		zone, draws, crossZoneMs: options.crossZoneMs ?? defaultCrossZoneMs, loads, standing, pace, subsets, spills, doubts,
+		zone, draws, crossZoneMs: options.crossZoneMs ?? defaultCrossZoneMs, loads, eligibility, tokenLatency, subsets, spills, cooldowns,
 	});
 
 	const findUnreported = createUnreportedSearch({
-		zone, loads, standing, doubts, promptPace, readOthers: options.readPeerLoad ?? readNobody,
+		zone, loads, eligibility, cooldowns, prefillThroughput, readPeerLoad: options.readPeerLoad ?? readNoPeerLoad,
 	});
 
 	const toModelNeeds = (request: PlacementRequest): Needs => {
@@ -159,7 +159,7 @@
 				model, version, adapter, exclude,
 			},
 			promptTokens,
-			kvBytes: promptTokens * learnt.kvBytesPerToken,
+			kvBytes: promptTokens * learned.kvBytesPerToken,
 			firstTokenBudgetMs,
 			answer: {tokens: lengths.toExpected(pool, request.class, request.maxTokens), perTokenTargetMs: request.perTokenTargetMs ?? 0},
 			cachedTokens: new Map(hits),
@@ -174,9 +174,9 @@
 			return undefined;
 		}
 
-		standing.sweep(view, pools.servers, now);
+		eligibility.sweep(view, pools.servers, now);
 		subsets.refresh(view, now);
-		spills.look(view, standing.cutZones(), now);
+		spills.look(view, eligibility.partitionedZones(), now);
 		return {
 			...('model' in request ? toModelNeeds(request) : toPlainNeeds(request)),
 			pool: request.pool,
@@ -185,15 +185,15 @@
 			view,
 			now,
 			random,
-			met: {
-				full: false, isSoundFull: false, soft: false, lost: false, neverReported: false,
+			findings: {
+				full: false, healthyFull: false, soft: false, unreachable: false, neverReported: false,
 			},
 		};
 	};
 
 	/** Time until the first paused server may be asked again; `undefined` when none is paused. */
 	const toShortestPause = (roles: readonly RoleServers[], now: Milliseconds): Milliseconds | undefined => {
-		const pauses = roles.flatMap(({all}) => all.map(({id}) => standing.toPauseLeft(id, now))).filter(ms => ms > 0);
+		const pauses = roles.flatMap(({all}) => all.map(({id}) => eligibility.toRemainingPauseMs(id, now))).filter(ms => ms > 0);
 		return pauses.length === 0 ? undefined : Math.min(...pauses);
 	};
 
@@ -201,12 +201,12 @@
 	const toNothingFound = (search: Search, roles: readonly RoleServers[]): PlacementRefusal => {
 		const {pool} = search;
 		const account = () => pairs.toAccount(search, roles, []);
-		const pauseMs = search.met.full ? undefined : toShortestPause(roles, search.now);
+		const pauseMs = search.findings.full ? undefined : toShortestPause(roles, search.now);
 		if (pauseMs !== undefined) {
 			return toRefusal('paused', `the servers of pool ${pool} that would do ask to back off`, pauseMs, account);
 		}
 
-		if (!search.met.full) {
+		if (!search.findings.full) {
 			return toRefusal('no-server', `no server of pool ${pool} is in service with what the request needs; the account gives each server's reason`, noServerRetryAfterMs, account);
 		}
 
@@ -215,7 +215,7 @@
 			slots += entry.slots;
 		}
 
-		return toRefusal('no-memory', `every server of pool ${pool} that would do is full`, learnt.holdMs * 2 / slots, account);
+		return toRefusal('no-memory', `every server of pool ${pool} that would do is full`, learned.holdMs * 2 / slots, account);
 	};
 
 	const toPlacement = (request: PlacementRequest, pair: Pair, account: () => PlacementAccount): Placement => ({
@@ -281,7 +281,7 @@
 		/** Whether some pool has servers, and something speaks against each of them. */
 		isAnyPoolSuspect(view: FleetView, now: Milliseconds): boolean {
 			const pools = [...toIndex(view)?.pools.values() ?? []].map(pool => toAnswering(pool));
-			return pools.some(servers => servers.length > 0 && servers.every(server => doubts.toLevel(server, now) > 0));
+			return pools.some(servers => servers.length > 0 && servers.every(server => cooldowns.toLevel(server, now) > 0));
 		},
 		/** Part of a pool's servers that should compute prompts, by what requests cost here; `undefined` while too little is known. */
 		toPrefillShare({name, memoryTokens}: PoolEntry, servers: readonly ServerEntry[]): number | undefined {
@@ -289,12 +289,12 @@
 			return split.toPrefillShare(name, {slots, memoryTokens});
 		},
 		/** A server asks this host to back off; tells whether it did not do so already. */
-		notePause: standing.notePause,
-		isPaused: (server: ServerId, now: Milliseconds): boolean => standing.toPauseLeft(server, now) > 0,
+		notePause: eligibility.notePause,
+		isPaused: (server: ServerId, now: Milliseconds): boolean => eligibility.toRemainingPauseMs(server, now) > 0,
 		/** What this host has under way at each server. */
 		ownLoads: loads.ownLoads,
-		...createNotes({
-			loads, health, standing, prefixes, pace, promptPace, split, readOthers: options.readPeerLoad ?? readNobody, lengths, learnt, tokensPerBlock, toSubject, doubts, noteSent: spills.noteSent,
+		...createFeedback({
+			loads, health, eligibility, prefixes, tokenLatency, prefillThroughput, split, readPeerLoad: options.readPeerLoad ?? readNoPeerLoad, lengths, learned, tokensPerBlock, toSubject, cooldowns, noteSent: spills.noteSent,
 		}),
 	};
 };
