--- a/src/domain/create-placement/_lib/create-answer-lengths.ts
+++ b/src/domain/create-placement/_lib/create-answer-lengths.ts
@@ -1,15 +1,15 @@
-/** How long answers are against the longest that their requests allow, learnt for each pool and class. */
+/** Learns, for each pool and class, how long answers are relative to the maximum that their requests allow. */
 import {type ServiceClass} from '../../../ports/outcome.js';
 
 /** Weight of the newest answer. */
 const gain = 0.05;
 
-/** Part of the allowed length expected until answers have told. */
+/** Share of the maximum length that is assumed before the first answer. */
 const assumedShare = 0.5;
 
 const toKey = (pool: string, serviceClass: ServiceClass): string => `${serviceClass} ${pool}`;
 
-/** @returns Functions that note an answer's length, and tell the length expected of the next. */
+/** @returns Functions that record an answer's length, and that predict the length of the next one. */
 export const createAnswerLengths = () => {
 	const shares = new Map<string, number>();
 
--- a/src/domain/create-placement/_lib/create-candidates.ts
+++ b/src/domain/create-placement/_lib/create-candidates.ts
@@ -1,4 +1,4 @@
-/** Turns a server into a candidate, or notes why it is none. */
+/** Turns a server into a candidate, or records why it is not one. */
 import {type ServerEntry} from '../../../ports/config.js';
 import {type ServerLoad} from '../../create-load-estimate/index.js';
 import {createSlowness} from './create-slowness.js';
@@ -8,18 +8,20 @@
 import {type PassedOverReason} from './types.js';
 
 /**
- * What speaks against a server outside the own subset, milliseconds: about the
- * time that prompts of other hosts, sent since its last report, take in a
- * prefill queue; on a decode server the pressure of a full one, so that the
- * own subset is filled first.
+ * Penalty of a server outside the own subset, milliseconds. On a prefill server,
+ * about the queueing time of the prompts that other hosts sent since its last
+ * report; on a decode server, the penalty of a full one, so that the own subset is
+ * filled first.
  */
 const unseenLoadMs = {prefill: 300, decode: 100, plain: 0};
 
 const isFull = (entry: ServerEntry, load: ServerLoad): boolean => entry.role !== 'prefill' && load.slotsUsed >= load.slotsTotal;
 
 /**
- * @param options - Zone of this host, and the records that tell of servers.
- * @returns Functions that judge one server for a search.
+ * Creates the evaluation of single servers.
+ *
+ * @param options - Zone of this host, and the records of servers.
+ * @returns Functions that evaluate one server for a search.
  */
 export const createCandidates = ({zone, loads, eligibility, tokenLatency, subsets, spills}: PairSearchOptions) => {
 	const slowness = createSlowness();
@@ -34,7 +36,7 @@
 			})
 			: {stepMs: 0, slowdownMs: 0};
 
-	/** Whether the server counts in this step; notes in `search.met` what speaks against it. */
+	/** Whether the server is accepted in this step; records in `search.findings` why it is not. */
 	const isAccepted = (entry: ServerEntry, search: Search, {acceptsSoftReasons = false, isLastResort = false, acceptsNeverReported = false, zone: summarised}: Relaxation): boolean => {
 		const reason = eligibility.toReason(entry, isLastResort ? {...search, isLastResort} : search, search.random());
 		if (reason === undefined || (reason === 'unknown-load' && entry.zone === summarised)) {
@@ -51,9 +53,9 @@
 	return {
 		/**
 		 * @param entry - The server.
-		 * @param search - Its `met` notes why a server was passed over.
-		 * @param relaxation - What is let pass in this step.
-		 * @returns The server with what is known of it, or `undefined` if it does not count or is full.
+		 * @param search - The search; its `findings` record why a server was passed over.
+		 * @param relaxation - Reasons that are ignored in this step.
+		 * @returns The candidate, or `undefined` if the server is not accepted or is full.
 		 */
 		toCandidate(entry: ServerEntry, search: Search, relaxation: Relaxation): Candidate | undefined {
 			if (!isAccepted(entry, search, relaxation)) {
@@ -76,11 +78,11 @@
 			};
 		},
 		/**
-		 * Worked out after the fact, for a person who asks.
+		 * Determines afterwards, for the account, why a server was passed over.
 		 *
-		 * @param entry - A server that was not taken.
-		 * @param search - The search that passed it over; `met` stays as it is.
-		 * @returns Why.
+		 * @param entry - A server that was not chosen.
+		 * @param search - The search that passed it over; its `findings` stay unchanged.
+		 * @returns The reason.
 		 */
 		toPassedOver(entry: ServerEntry, search: Search): PassedOverReason {
 			const reason = eligibility.toReason(entry, search, 0);
--- a/src/domain/create-placement/_lib/create-eligibility.ts
+++ b/src/domain/create-placement/_lib/create-eligibility.ts
@@ -1,6 +1,6 @@
 /**
- * Which servers may be considered at all: what the view says of each, what this
- * host learnt from the server itself, and its own health record.
+ * Decides which servers are eligible, from the fleet view, from what servers told
+ * this host directly, and from this host's own health record.
  */
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type ServerEntry} from '../../../ports/config.js';
@@ -11,7 +11,7 @@
 import {type HealthSubject, type ServerHealth} from '../../create-server-health/index.js';
 import {type PassedOverReason} from './types.js';
 
-/** What a server must have. */
+/** What a server must offer, and which servers are excluded. */
 export type Wanted = {
 	model: string | undefined;
 	version: string | undefined;
@@ -23,20 +23,20 @@
 	wanted: Wanted;
 	view: FleetView;
 	now: Milliseconds;
-	/** Nothing else is left: servers whose last reachability report is bad, or that were ejected, are only doubted. */
+	/** Whether no other server is left; unreachable and ejected servers then count as suspect only. */
 	isLastResort?: boolean;
 };
 
-/** How often the view is walked for cut zones and returning servers, milliseconds. */
+/** Interval at which the view is scanned for partitioned zones and returning servers, milliseconds. */
 const sweepEveryMs = 200;
 
-/** How long a server's refusal as leaving, or as having other weights, counts without a newer report, milliseconds. */
+/** How long a refusal as leaving or as wrong model counts if no newer report arrives, milliseconds. */
 const refusalLifeMs = 30_000;
 
-/** Longest pause that a server is granted; a slip in its answer must not take it out of use for days. */
+/** Upper bound of the pause that a server may request; a wrong value in its answer must not take it out of use for days. */
 const maxPauseMs: Milliseconds = 10 * msPerMinute;
 
-/** Reasons that only make a server a worse candidate; the others keep it out. */
+/** Reasons that only make a server a worse candidate; all other reasons exclude it. */
 const softReasons: ReadonlySet<PassedOverReason> = new Set(['returning', 'unknown-load', 'doubted']);
 
 export const isSoft = (reason: PassedOverReason): boolean => softReasons.has(reason);
@@ -61,16 +61,16 @@
 	return load.state === 'loading' ? 'not-serving' : undefined;
 };
 
-/** Share of a group in the own zone that polls may call unreachable before they are doubted. */
+/** Share of a group of the own zone above which reports of unreachable servers are not trusted. */
 const suspectShare = 0.5;
 
 const toGroup = (entry: ServerEntry): string => `${entry.pool}/${entry.role}`;
 
 /**
- * Groups of the own zone of which polls call more than half unreachable. That
- * may be the agent's own trouble; taken at its word it would empty the pool, so
- * these servers are tried when nothing else is left. A reservation that cannot
- * be made costs no prefill.
+ * Finds the groups of the own zone in which polls report more than half of the
+ * servers as unreachable. The fault may be the polling agent's own; if the reports
+ * were trusted, the pool would be empty. These servers are therefore tried when no
+ * other is left, which is safe as a failed reservation costs no prefill.
  */
 const toSuspectGroups = (view: FleetView, servers: ReadonlyMap<ServerId, ServerEntry>, ownZone: ZoneId): ReadonlySet<string> => {
 	const counts = new Map<string, {total: number; lost: number}>();
@@ -84,7 +84,7 @@
 	return new Set([...counts].filter(([, {total, lost}]) => lost > total * suspectShare).map(([group]) => group));
 };
 
-/** Zones with published hosts of which the view knows some and none is alive. */
+/** Zones, other than the own one, of which the view has hosts but no live one. */
 const toPartitionedZones = (view: FleetView, ownZone: ZoneId): ReadonlySet<ZoneId> => {
 	const living = new Map<ZoneId, boolean>();
 	for (const host of view.hosts.values()) {
@@ -103,8 +103,10 @@
 };
 
 /**
+ * Creates the eligibility check of one host.
+ *
  * @param options - Zone of this host, health record, and age at which reports go stale.
- * @returns Functions that judge a server, and that note what servers say of themselves.
+ * @returns Functions that check a server, and functions that record what servers say of themselves.
  */
 export const createEligibility = ({zone, health, toSubject, staleAfterMs}: EligibilityOptions) => {
 	const leavingAt = new Map<ServerId, Milliseconds>();
@@ -115,13 +117,14 @@
 	let suspectGroups: ReadonlySet<string> = new Set();
 	let sweptAt = -Infinity;
 
-	/** Whether the server's refusal at `refusedAt` still counts against its reports. */
+	/** Whether a refusal at `refusedAt` still overrides the server's reports. */
 	const isRefusalValid = (refusedAt: Milliseconds | undefined, loadAt: Milliseconds, now: Milliseconds): boolean =>
 		refusedAt !== undefined && loadAt <= refusedAt && now - refusedAt < refusalLifeMs;
 
 	/**
-	 * Walks the view now and then. A server that was unreachable or behind a cut
-	 * and is back starts with a small share, as every host sees it empty at once.
+	 * Scans the view at intervals. A server that was unreachable or partitioned and
+	 * is back starts with a small share of requests, as all hosts see it empty at
+	 * the same moment and would flood it.
 	 */
 	const sweep = (view: FleetView, servers: ReadonlyMap<ServerId, ServerEntry>, now: Milliseconds): void => {
 		if (now - sweptAt < sweepEveryMs) {
@@ -146,17 +149,18 @@
 
 	const toRemainingPauseMs = (server: ServerId, now: Milliseconds): Milliseconds => Math.max(0, (pausedUntil.get(server) ?? -Infinity) - now);
 
-	/** Whether the server is, or says it is, on its way out. */
+	/** Whether the server is leaving, by the platform's list, its own report or a refusal. */
 	const isLeaving = (server: ServerId, status: ServerStatus | undefined, loadAt: Milliseconds, now: Milliseconds): boolean =>
 		status?.leaving === true || status?.load?.state === 'leaving' || isRefusalValid(leavingAt.get(server), loadAt, now);
 
 	const isRecent = (at: Milliseconds | undefined, now: Milliseconds): boolean => at !== undefined && now - at <= staleAfterMs;
 
 	/**
-	 * What speaks against the way to the server. A report that it can't be
-	 * reached ages: an agent that is away, or has just started, can't take it
-	 * back, and the server would stay out for as long. A zone without living hosts may have
-	 * lost its agents alone, which hosts of other zones show by reaching its servers.
+	 * Checks whether the server can be reached. A report that it is unreachable
+	 * goes stale: an agent that is down or has just started can't withdraw the
+	 * report, and the server would stay excluded for that time. A zone without live
+	 * hosts may have lost only its agents; in that case hosts of other zones still
+	 * report its servers as reachable.
 	 */
 	const toReachabilityReason = (entry: ServerEntry, status: ServerStatus | undefined, {now, isLastResort}: EligibilityQuery): PassedOverReason | undefined => {
 		const {reachable, reachableAt} = status ?? {};
@@ -184,8 +188,8 @@
 
 	/**
 	 * @param entry - The server.
-	 * @param query - What is wanted, the view, the time.
-	 * @param share - Random number in [0, 1) against which a returning server's share is held; 0 lets it pass.
+	 * @param query - Requirements, view and time.
+	 * @param share - Random number in [0, 1) that is compared with a returning server's share; 0 always accepts the server.
 	 * @returns Why the server is no candidate, or `undefined` if it is one.
 	 */
 	const toReason = (entry: ServerEntry, query: EligibilityQuery, share: number): PassedOverReason | undefined => {
@@ -223,20 +227,20 @@
 	return {
 		sweep,
 		toReason,
-		/** Zones behind a cut at the last sweep; another set after each. */
+		/** Zones that were partitioned at the last sweep; each sweep creates a new set. */
 		partitionedZones: () => partitionedZones,
-		/** The server refused as leaving: it gets nothing new, long before the platform's list says so. */
+		/** Records a refusal as leaving; the server gets no new request, long before the platform lists it as leaving. */
 		noteLeaving(server: ServerId, now: Milliseconds): void {
 			leavingAt.set(server, now);
 		},
 		toRemainingPauseMs,
-		/** The server asks this host to back off. Tells whether it did not do so already. */
+		/** Records that the server asks this host to back off; returns whether the server was not paused before. */
 		notePause(server: ServerId, pauseMs: Milliseconds, now: Milliseconds): boolean {
 			const isNew = toRemainingPauseMs(server, now) === 0;
 			pausedUntil.set(server, Math.max(pausedUntil.get(server) ?? -Infinity, now + Math.min(maxPauseMs, pauseMs)));
 			return isNew;
 		},
-		/** The server refused as having other weights than its last report said. */
+		/** Records a refusal because the server has other weights than its last report says. */
 		noteMismatch(server: ServerId, now: Milliseconds): void {
 			mismatchAt.set(server, now);
 		},
--- a/src/domain/create-placement/_lib/create-feedback.ts
+++ b/src/domain/create-placement/_lib/create-feedback.ts
@@ -1,4 +1,4 @@
-/** What a host notes of its requests on servers, from which later picks learn. */
+/** Records the progress and outcome of this host's requests, from which later picks learn. */
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type ServerEntry} from '../../../ports/config.js';
 import {type EngineRefusalReason, type PrefillResult} from '../../../ports/engine.js';
@@ -19,18 +19,18 @@
 	stage: 'prefill' | 'transfer' | 'decode';
 	dispatchedAt: Milliseconds;
 	prefilledAt: Milliseconds;
-	/** What the decode server has granted, and when. */
+	/** Size and time of the reservation that the decode server granted. */
 	reserved: {tokens: number; at: Milliseconds} | undefined;
-	/** Tokens of the answer seen. */
+	/** Answer tokens received so far. */
 	tokens: number;
-	/** When it was sent, the prefill server had nothing else to do, as far as is known. */
+	/** Whether the prefill server was idle when the request was sent, as far as this host knows. */
 	wasServerIdle: boolean;
 };
 
-/** What picks learn over time, shared by all pools of this host. */
+/** Moving averages that picks use, shared by all pools of this host. */
 export type LearnedValues = {
 	kvBytesPerToken: number;
-	/** Time for which a request holds its decode slot. */
+	/** Mean time for which a request holds its decode slot. */
 	holdMs: Milliseconds;
 };
 
@@ -48,25 +48,30 @@
 	tokensPerBlock: number;
 	cooldowns: ServerCooldowns;
 	toSubject: (entry: ServerEntry) => HealthSubject;
-	/** Told of the decode server of each pair that is about to be used. */
+	/** Called with the decode server of each pair just before the pair is used. */
 	noteSent: (server: ServerEntry, now: Milliseconds) => void;
 };
 
-/** Weight of the newest request in what is learnt. */
+/** Weight of the newest request in the moving averages. */
 const gain = 0.05;
 
-/** Predictions below this are noise when slowness is worked out, milliseconds. */
+/** Lower bound for predictions in the slowness ratio, milliseconds; shorter ones are noise. */
 const minPredictedMs = 20;
 
-/** A prefill server takes a dozen prompts and more at once, a second of work; with less in its queue it refuses for another reason than being full. */
+/**
+ * Queue, in milliseconds of work, below which a prefill server that refuses as full is not really full. A prefill
+ * server accepts a dozen prompts or more at once, about a second of work.
+ */
 const minFullQueueMs: Milliseconds = 300;
 
 const toSlowness = (tookMs: Milliseconds, predictedMs: Milliseconds): number =>
 	Math.min(100, Math.max(0, tookMs) / Math.max(minPredictedMs, predictedMs));
 
 /**
- * @param options - The records to keep up to date.
- * @returns The `note…` functions of a placement. Each is idempotent for a placement and a stage.
+ * Creates the functions that record what happens to placements.
+ *
+ * @param options - Records to update.
+ * @returns The `note…` functions of a placement; each is idempotent per placement and stage.
  */
 export const createFeedback = ({loads, health, eligibility, prefixes, tokenLatency, prefillThroughput, split, readPeerLoad, lengths, learned, tokensPerBlock, toSubject, cooldowns, noteSent}: FeedbackOptions) => {
 	const running = new WeakMap<Placement | PlainPlacement, Progress>();
@@ -78,7 +83,7 @@
 		loads.addTransfers(placement.decode.id, -1);
 	};
 
-	/** What a refusal says against the server's last report. */
+	/** Corrections that a refusal implies for the server's last report. */
 	const corrections: Partial<Record<EngineRefusalReason, (server: ServerId, now: Milliseconds) => void>> = {
 		full: loads.noteFull,
 		leaving: eligibility.noteLeaving,
@@ -89,11 +94,12 @@
 		loads.ownPromptTokens(id) === 0 && readPeerLoad(id, now).promptTokens === 0;
 
 	/**
-	 * A prefill server refuses prompts while it changes its role, seconds long, and
-	 * is published as before until it has. With nothing in its queue it looked like
-	 * the best each time: on a calm day one such server turned away 35 requests of a
-	 * zone for good, whose budget of repeats was used up. In doubt, it is asked once
-	 * a second or less.
+	 * Whether a refusal as full comes from a server whose queue is nearly empty. A
+	 * prefill server refuses prompts for seconds while it changes its role, and is
+	 * published as prefill server until the change is done. With an empty queue it
+	 * would win every comparison: under normal load one such server caused 35
+	 * requests of its zone to fail, because their retry budget was used up. In
+	 * cooldown, the server gets at most one call a second.
 	 */
 	const isRefusingWhileIdle = (server: ServerEntry, now: Milliseconds): boolean => {
 		const queuedTokens = loads.ownPromptTokens(server.id) + readPeerLoad(server.id, now).promptTokens;
@@ -101,7 +107,7 @@
 	};
 
 	return {
-		/** The placement is about to be used. Call before the first byte goes out, so that the next pick sees it. */
+		/** Records that the placement is about to be used. Call this before the first byte is sent, so that the next pick counts the request. */
 		noteDispatched(placement: Placement | PlainPlacement, now: Milliseconds): void {
 			if (running.has(placement)) {
 				return;
@@ -120,7 +126,7 @@
 			loads.addSlots(placement.decode.id, 1, now);
 			loads.addPrefill(placement.prefill.id, toPrefillTokens(placement), now);
 		},
-		/** The decode server granted the reservation of so many tokens; without this note its end will not count as room on a full server. */
+		/** Records a granted reservation, in tokens; without it the end of the request does not count as freed room on a full server. */
 		noteReserved(placement: Placement, tokens: number, now: Milliseconds): void {
 			const progress = running.get(placement);
 			if (progress !== undefined) {
@@ -129,7 +135,7 @@
 				cooldowns.noteSuccess(placement.decode, now);
 			}
 		},
-		/** The prefill is done and its transfer begins. */
+		/** Records that the prefill is done and the transfer begins. */
 		notePrefilled(placement: Placement, result: Pick<PrefillResult, 'promptTokens' | 'cachedTokens' | 'bytes'>, now: Milliseconds): void {
 			const progress = running.get(placement);
 			if (progress?.stage !== 'prefill') {
@@ -155,7 +161,7 @@
 			cooldowns.noteSuccess(placement.prefill, now);
 			health.noteSlowness(toSubject(placement.prefill), toSlowness(now - progress.dispatchedAt, placement.predictedPrefillMs), now);
 		},
-		/** The first token (or the first byte of a plain answer) came. */
+		/** Records the first token, or the first byte of a plain answer. */
 		noteFirstToken(placement: Placement | PlainPlacement, now: Milliseconds): void {
 			const progress = running.get(placement);
 			if (progress === undefined) {
@@ -176,7 +182,7 @@
 				health.noteSlowness(toSubject(placement.decode), toSlowness(now - progress.prefilledAt, predictedMs), now);
 			}
 		},
-		/** Tokens came one after the other. Call now and then while a stream goes on, so that a server that turns slow is known before its streams end. */
+		/** Records tokens of a stream. Call this repeatedly while the stream runs, so that a slow server is noticed before its streams end. */
 		noteTokens(placement: Placement, seen: SeenTokens, now: Milliseconds): void {
 			const progress = running.get(placement);
 			if (progress !== undefined) {
@@ -184,7 +190,7 @@
 				tokenLatency.note(placement.decode.id, seen, now);
 			}
 		},
-		/** The attempt has ended in any way, and the servers hold nothing of it. */
+		/** Records the end of the attempt, successful or not; the servers hold nothing of the request any more. */
 		noteFinished(placement: Placement | PlainPlacement, now: Milliseconds): void {
 			const progress = running.get(placement);
 			if (progress === undefined) {
@@ -216,8 +222,9 @@
 			}
 		},
 		/**
-		 * A server failed or refused. `refused`, `gone` and `aborted` say nothing
-		 * against its health; `full`, `leaving` and `wrong-model` correct its reports.
+		 * Records that a server failed or refused. The kinds `refused`, `gone` and
+		 * `aborted` don't affect the server's health; the reasons `full`, `leaving`
+		 * and `wrong-model` correct its last report.
 		 */
 		noteFailure(server: ServerEntry, {kind, reason}: ServerFailure, now: Milliseconds): void {
 			if (kind === 'unreachable' || kind === 'broken' || kind === 'invalid') {
--- a/src/domain/create-placement/_lib/create-pair-search.ts
+++ b/src/domain/create-placement/_lib/create-pair-search.ts
@@ -1,4 +1,4 @@
-/** Looks for the best pair of servers, step by step wider, and says why servers were passed over. */
+/** Searches for the best pair of servers in widening steps, and explains why servers were passed over. */
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type ServerId} from '../../../ports/ids.js';
 import {createCandidates} from './create-candidates.js';
@@ -11,10 +11,10 @@
 import {type RoleServers} from './to-pool-index.js';
 import {type PlacementAccount} from './types.js';
 
-/** Share of the first token's budget up to which the own zone is kept to without a look at others. */
+/** Share of the first-token budget within which a pair is taken without widening the search. */
 const localShare = 0.5;
 
-/** Another zone must promise this much less than the own one, or small differences would send load to and fro. */
+/** A pair of another zone must have a delay below this share of the own zone's; otherwise small differences would make load oscillate between zones. */
 const spillGain = 0.75;
 
 const isWithin = (limitMs: Milliseconds, pair: Pair | undefined): boolean => pair !== undefined && pair.delayMs <= limitMs;
@@ -25,13 +25,15 @@
 		return outside !== undefined;
 	}
 
-	// Quicker tokens are no reason to miss the first one, which would be refused.
+	// Faster tokens don't justify a late first token, for which the request would be refused.
 	const isInTime = outside.predictedFirstTokenMs <= Math.max(search.firstTokenBudgetMs, local.predictedFirstTokenMs);
 	return isInTime && outside.delayMs < local.delayMs * spillGain;
 };
 
 /**
- * @param options - Zone of this host, draws, and the records that tell of servers.
+ * Creates the search.
+ *
+ * @param options - Zone of this host, sample size, and the records of servers.
  * @returns Functions that find servers for a search.
  */
 export const createPairSearch = (options: PairSearchOptions) => {
@@ -39,7 +41,7 @@
 	const candidates = createCandidates(options);
 	const roleDraw = createRoleDraw(options, candidates);
 
-	/** The best pair among the servers drawn in one step. */
+	/** Finds the best pair among the servers sampled in one step. */
 	const searchPair = (search: Search, scope: Scope): Pair | undefined => {
 		const decodes = roleDraw.drawRole(search.servers.decode, search, scope);
 		if (decodes.length === 0) {
@@ -55,17 +57,18 @@
 
 	const {searchOutside, toWidestScope} = createSpillSearch({...options, searchPair});
 
-	/** All of the own zone, after a draw from it that gave `drawn`. */
+	/** Searches the whole own zone, after a sample of it gave `drawn`. */
 	const searchOwnZone = (search: Search, drawn: Pair | undefined): Pair | undefined => {
-		// A full server has made the first draw walk the whole zone already; a second walk would find no more.
+		// With a full server in the zone, the first sample has already scanned the whole zone; a second scan would find no more.
 		const isZoneSearched = drawn === undefined && search.findings.full;
 		return isZoneSearched ? undefined : searchPair(search, {local: Infinity, nearby: 0}) ?? drawn;
 	};
 
 	/**
-	 * Just after a start this host has no report of its own zone's servers, but
-	 * its neighbours' summaries of other zones. Taken as better known, those would
-	 * draw all its requests away; having reported makes a server no better.
+	 * Searches the servers of the own zone that have never reported. Just after a
+	 * start this host has no reports of its own zone, but summaries of other zones
+	 * from its neighbours. Without this step all its requests would go to other
+	 * zones, although a server is no better for having reported.
 	 */
 	const searchNeverReported = (search: Search): Pair | undefined =>
 		search.findings.neverReported ? searchPair(search, {local: draws, nearby: 0, acceptsNeverReported: true}) : undefined;
@@ -74,14 +77,15 @@
 		search.findings.soft ? searchPair(search, {...widest, acceptsSoftReasons: true}) : undefined;
 
 	/**
-	 * Where all that is left can't be reached or was ejected, these reports may be
-	 * wrong or old, and a refusal for them needless. A server that is really gone
-	 * costs one failed call, after which the request is refused as it would have been.
+	 * Searches unreachable and ejected servers, when no others are left. The reports
+	 * may be wrong or old, and the request would be refused without need. A server
+	 * that is really gone costs one failed call; the request is then refused as it
+	 * would have been without the call.
 	 */
 	const searchLastResort = (search: Search, widest: Scope): Pair | undefined =>
 		search.findings.unreachable && !search.findings.full ? searchPair(search, {...widest, acceptsSoftReasons: true, isLastResort: true}) : undefined;
 
-	/** Looks wider step by step, until a pair will do. */
+	/** Widens the search step by step until a pair is good enough. */
 	const findPair = (search: Search): Pair | undefined => {
 		const limitMs = search.firstTokenBudgetMs * localShare;
 		const drawn = searchPair(search, {local: draws, nearby: 0});
@@ -112,7 +116,7 @@
 	return {
 		findPair,
 		findPlain: createPlainSearch(options, roleDraw),
-		/** Account of a search for servers of `roles` that took the servers `chosen`. */
+		/** Builds the account of a search for servers of `roles` that chose the servers `chosen`. */
 		toAccount: (search: Search, roles: readonly RoleServers[], chosen: readonly ServerId[]): PlacementAccount =>
 			toAccount(search.pool, roles, chosen, entry => candidates.toPassedOver(entry, search)),
 	};
--- a/src/domain/create-placement/_lib/create-plain-search.ts
+++ b/src/domain/create-placement/_lib/create-plain-search.ts
@@ -10,9 +10,11 @@
 	local === undefined || (other !== undefined && toLevel(other) < toLevel(local)) ? other : local;
 
 /**
- * @param options - Servers drawn in the own zone.
- * @param roleDraw - Draws candidates.
- * @returns A function that finds the least used of a few plain servers, of the own zone as long as one there has room.
+ * Creates the search for servers of plain services.
+ *
+ * @param options - Sample size in the own zone, and the record of cooldowns.
+ * @param roleDraw - Samples candidates.
+ * @returns A function that finds the least used of a few plain servers, in the own zone as long as one there has room.
  */
 export const createPlainSearch = ({draws, cooldowns}: Pick<PairSearchOptions, 'draws'> & {cooldowns: ServerCooldowns}, {drawRole}: RoleDraw) => {
 	const ownZone: Scope = {local: draws, nearby: 0};
@@ -24,7 +26,7 @@
 		const toLevel = ({entry}: Candidate): number => cooldowns.toLevel(entry, search.now);
 		const pick = (scope: Scope) => drawRole(search.servers.plain, search, scope).toSorted((a, b) => (toLevel(a) - toLevel(b)) || (toUtilisation(a) - toUtilisation(b)))[0];
 		const local = pick(ownZone);
-		// A server in doubt makes its caller wait, and another zone's costs a millisecond.
+		// A server in cooldown may cost its caller a timeout, another zone only a millisecond.
 		const isLocalGood = local !== undefined && toLevel(local) === 0;
 		const found = isLocalGood ? local : toBetter(local, pick(region), toLevel) ?? pick(relaxed);
 		const isLastResort = found === undefined && search.findings.unreachable && !search.findings.full;
--- a/src/domain/create-placement/_lib/create-role-draw.ts
+++ b/src/domain/create-placement/_lib/create-role-draw.ts
@@ -1,4 +1,4 @@
-/** Draws the candidates of one role: of the own subset, the own zone, other zones, and holders of the prompt's prefix. */
+/** Samples the candidates of one role from the own subset, the own zone, other zones, and the holders of the prompt's prefix. */
 import {type ServerEntry} from '../../../ports/config.js';
 import {type Candidates} from './create-candidates.js';
 import {draw} from './draw.js';
@@ -6,16 +6,18 @@
 import {type Candidate} from './to-best-pair.js';
 import {type RoleServers} from './to-pool-index.js';
 
-/** Servers of the own subset that are looked at for each role. */
+/** Number of servers of the own subset that are sampled for each role. */
 const subsetDraws = 4;
 
-/** Holders of the prompt's prefix that are looked at beside those drawn. */
+/** Maximum number of holders of the prompt's prefix that are added to the sample. */
 const maxPrefixHolders = 4;
 
 /**
+ * Creates the sampling of servers.
+ *
  * @param options - Zone of this host and its subsets.
- * @param candidates - Judges each server drawn.
- * @returns Functions that draw candidates for one step of a search.
+ * @param candidates - Evaluates each sampled server.
+ * @returns Functions that sample candidates for one step of a search.
  */
 export const createRoleDraw = ({zone, subsets}: Pick<PairSearchOptions, 'zone' | 'subsets'>, {toCandidate}: Candidates) => ({
 	/** @returns Candidates of the role: own subset first, then the own zone, then `scope.zone` or the region. */
@@ -27,7 +29,7 @@
 		const others = scope.zone === undefined ? role.nearby : role.byZone.get(scope.zone) ?? [];
 		return [...own, ...local, ...draw(others, scope.nearby, toValue, search.random)];
 	},
-	/** @returns Servers of the own zone that hold the prompt's prefix and were not drawn, deepest first. */
+	/** @returns Servers of the own zone that hold the prompt's prefix and were not sampled, longest prefix first. */
 	toHolders(search: Search, drawn: readonly Candidate[]): Candidate[] {
 		if (search.cachedTokens.size === 0) {
 			return [];
--- a/src/domain/create-placement/_lib/create-slowness.ts
+++ b/src/domain/create-placement/_lib/create-slowness.ts
@@ -1,4 +1,4 @@
-/** How much time an answer would lose on a decode server whose tokens come late. */
+/** Estimates how much time an answer would lose on a slow decode server. */
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type ServerEntry} from '../../../ports/config.js';
 import {msPerSecond} from '../../../ports/units.js';
@@ -10,20 +10,20 @@
 	tokenLatency: InterTokenLatency;
 	readLoad: (entry: ServerEntry) => ServerLoad;
 	now: Milliseconds;
-	/** Servers that the one asked about is held against. */
+	/** Servers against which a server's speed is compared. */
 	role: RoleServers;
-	/** Answer tokens expected, and the target between two. */
+	/** Expected length of the answer, and the target time between two tokens. */
 	answer: {tokens: number; perTokenTargetMs: Milliseconds};
 };
 
-/** Servers looked at for the usual time between tokens, and how long it is kept. */
+/** Servers sampled for the typical time between tokens, and how long the result is cached. */
 const maxSampled = 32;
 const typicalMaxAgeMs = 1000;
 
-/** What is slower than usual by less than this is chance; speaking against it would send all hosts to the same few servers. */
+/** Times up to this factor above typical are treated as chance; penalising them would send all hosts to the same few servers. */
 const tolerance = 1.25;
 
-/** Part of the target between tokens within which a server is quick enough, whatever its neighbours do. */
+/** Share of the target time between tokens within which a server is fast enough, however fast the others are. */
 const acceptableShare = 0.5;
 
 const toMedian = (values: readonly number[]): number | undefined =>
@@ -36,20 +36,21 @@
 };
 
 /**
- * A server is held against the median of its pool and region. Three safeguards
- * lie in that: where all servers are slow, none is avoided and the pool is used
- * as ever; no more than half can be slower than the median, so that a bad signal
- * never speaks against more (of a large group, half of a sample); and being slow never keeps a server out, it costs
+ * Creates the estimate, which compares a server with the median of its pool and
+ * region. The comparison has three safeguards: where all servers are slow, none
+ * is avoided and the pool is used as usual; at most half of the servers can be
+ * slower than the median, so a bad signal never affects more of them (in a large
+ * group, half of the sample); and a slow server is not excluded, it only costs
  * time in the comparison, so that it is used once the others are full.
  *
- * @returns Functions that tell the time between tokens and the time lost.
+ * @returns Functions that read the time between tokens and the time lost.
  */
 export const createSlowness = () => {
 	const typicalSteps = new WeakMap<RoleServers, {stepMs: Milliseconds; at: Milliseconds}>();
 
 	const toReportedMs = (load: ServerLoad): Milliseconds => msPerSecond / Math.max(1, load.tokensPerSecond);
 
-	/** Time expected between two tokens of a server; a report that is too old says nothing. */
+	/** Expected time between two tokens of a server; stale reports are ignored. */
 	const toStepMs = (entry: ServerEntry, load: ServerLoad, fallbackMs: Milliseconds, {tokenLatency, now}: SlownessOptions): Milliseconds =>
 		tokenLatency.read(entry.id, load.isUnknown ? fallbackMs : toReportedMs(load), now);
 
@@ -73,7 +74,7 @@
 		/**
 		 * @param entry - A decode server.
 		 * @param load - Its load.
-		 * @param options - What is known of servers now, and the answer.
+		 * @param options - Current records of servers, and the expected answer.
 		 * @returns Expected milliseconds between tokens, and milliseconds lost over the whole answer.
 		 */
 		read(entry: ServerEntry, load: ServerLoad, options: SlownessOptions): {stepMs: Milliseconds; slowdownMs: Milliseconds} {
--- a/src/domain/create-placement/_lib/create-spill-search.ts
+++ b/src/domain/create-placement/_lib/create-spill-search.ts
@@ -1,14 +1,14 @@
-/** Looks for a pair with servers of another zone, chosen by the zones' summaries. */
+/** Searches for a pair with servers of another zone, chosen by the zones' summaries. */
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type ZoneId} from '../../../ports/ids.js';
 import {type SpillChoice} from '../../create-spill-chooser/index.js';
 import {type PairSearchOptions, type Scope, type Search} from './search-types.js';
 import {type Pair} from './to-best-pair.js';
 
-/** Servers drawn outside the own zone for each role. */
+/** Number of servers sampled outside the own zone for each role. */
 export const regionDraws = 8;
 
-/** Zones that are tried by their summaries when the first turns out to have no server that will do. */
+/** Maximum number of zones tried, if the first one has no suitable server in spite of its summary. */
 const maxSpillTries = 2;
 
 /** Milliseconds added for each server of another region. */
@@ -22,11 +22,11 @@
 
 const hasNearZone = ({servers}: Search): boolean => servers.otherZones.some(({distance}) => distance === 0);
 
-/** Whether no other zone is worth a draw. */
+/** Whether sampling servers of other zones is pointless. */
 const isWorthless = (choice: SpillChoice, search: Search): boolean =>
 	choice.kind === 'none' || (choice.kind === 'blind' && !hasNearZone(search));
 
-/** Where servers of other zones are drawn; a pair of another region stays together there, as a cache had too far to go. */
+/** Where servers of other zones are sampled; both servers of a pair are in the same region, as a KV cache would take too long between regions. */
 const toSpillScope = (choice: SpillChoice, draws: number): Scope => {
 	if (choice.kind !== 'zone') {
 		return {local: draws, nearby: choice.kind === 'blind' ? regionDraws : 0};
@@ -41,8 +41,10 @@
 };
 
 /**
- * @param options - Draws in the own zone, chooser of zones, and the search of one step.
- * @returns Functions for the steps of a search that leave the own zone.
+ * Creates the steps of a search that leave the own zone.
+ *
+ * @param options - Sample size in the own zone, the chooser of zones, and the search of one step.
+ * @returns Functions for these steps.
  */
 export const createSpillSearch = ({draws, spills, searchPair}: SpillSearchOptions) => {
 	const chooseZone = (search: Search, except: ReadonlySet<ZoneId>): SpillChoice => spills.choose({
@@ -57,7 +59,7 @@
 				const choice = chooseZone(search, tried);
 				const outside = isWorthless(choice, search) ? undefined : searchPair(search, toSpillScope(choice, draws));
 				if (choice.kind !== 'zone' || outside !== undefined) {
-					// Zones without room by their summaries are full, not missing.
+					// If the summaries say that no zone has room, the zones are full, not missing.
 					search.findings.full ||= choice.kind === 'none';
 					return {outside, choice};
 				}
@@ -68,7 +70,7 @@
 				}
 			}
 		},
-		/** @returns All of the own zone, and of other zones what was drawn before; of another region nothing, as pairs don't span regions. */
+		/** @returns A scope with all servers of the own zone and the same sample of other zones; none of another region, as pairs don't span regions. */
 		toWidestScope: (choice: SpillChoice): Scope =>
 			isFar(choice) ? {local: Infinity, nearby: 0} : {...toSpillScope(choice, draws), local: Infinity},
 	};
--- a/src/domain/create-placement/_lib/create-subsets.ts
+++ b/src/domain/create-placement/_lib/create-subsets.ts
@@ -1,4 +1,4 @@
-/** The subset of each role's servers that this host sends to first, kept up to the hosts that live. */
+/** Maintains the subset of each role's servers that this host prefers, according to the hosts that are alive. */
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type ServerEntry} from '../../../ports/config.js';
 import {type HostId, type ZoneId} from '../../../ports/ids.js';
@@ -11,7 +11,7 @@
 	has: (entry: ServerEntry) => boolean;
 };
 
-/** How often the hosts of the view are looked through, milliseconds. */
+/** Interval at which the hosts of the view are scanned, milliseconds. */
 const refreshEveryMs = 1000;
 
 const toHosts = (view: FleetView, zone: ZoneId, own: HostId): Set<HostId> => {
@@ -22,14 +22,15 @@
 };
 
 /**
- * Load reports are late, and what other hosts send meanwhile is not seen. With
- * every host choosing among all servers, several choose the same idle one: its
- * queue is long before a report says so. Servers that mostly one host sends to
- * are known to it exactly, by its own count. Hosts that disagree about who lives
- * share some servers for a while, which is how it would be without subsets.
+ * Creates the subsets of one host. Load reports lag, and a host does not see what
+ * other hosts send in the meantime. If every host chose among all servers, several
+ * would choose the same idle server, and its queue would be long before a report
+ * shows it. Where mostly one host sends to a server, that host's own count is
+ * exact. Hosts that disagree about which hosts are alive share some servers for a
+ * while, which is no worse than without subsets.
  *
  * @param options - Zone and name of this host; without a name there are no subsets.
- * @returns Functions that follow the view, and tell the subset of a role.
+ * @returns Functions that follow the view, and that read the subset of a role.
  */
 export const createSubsets = ({zone, host}: {zone: ZoneId; host: HostId | undefined}) => {
 	let hosts: ReadonlySet<HostId> = new Set();
@@ -49,7 +50,7 @@
 				subsets = new WeakMap();
 			}
 		},
-		/** @returns Servers of the own zone that this host sends to first; `undefined` where all are alike. */
+		/** @returns Servers of the own zone that this host prefers; `undefined` without subsets. */
 		read(role: RoleServers): Subset | undefined {
 			if (host === undefined) {
 				return undefined;
--- a/src/domain/create-placement/_lib/create-unreported-search.ts
+++ b/src/domain/create-placement/_lib/create-unreported-search.ts
@@ -1,8 +1,8 @@
 /**
- * Finds a prefill and a decode server where nobody polls loads: this host knows
- * its own requests, what servers answered them, and what other hosts say that
- * they have under way. The decode server, asked for a reservation, is the arbiter of its memory, so a
- * wrong guess costs one short call and no prompt computed for nothing.
+ * Finds a prefill and a decode server where nobody polls loads. This host knows
+ * its own requests, the servers' answers, and the in-flight loads that other hosts
+ * announce. The decode server decides on each reservation, so a wrong guess costs
+ * one short call and no wasted prefill.
  */
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type ServerEntry} from '../../../ports/config.js';
@@ -17,40 +17,43 @@
 
 /**
  * Time after a refusal as full in which a decode server is not asked again. Its
- * streams last seconds and several hosts send to it, so room comes every hundred
- * milliseconds or so; asking each waiting request's turn would be calls for nothing.
+ * streams last seconds and come from several hosts, so a place becomes free about
+ * every hundred milliseconds; a call for each waiting request would be wasted.
  */
 const fullCooldownMs: Milliseconds = 40;
 
 /**
- * Decode servers of the own zone, and of all others, that are asked at once. So many
- * that say that they are full tell that the rest is too, but not those of the own zone
- * alone, which is asked first and may be full by itself. Each call costs a small host a millisecond or two, and a request that
- * waits asked all of fifty servers a thousand times a second in all.
+ * Number of decode servers, both of the own zone and of all other zones, after whose
+ * refusals the whole pool counts as full. The own zone alone is not enough: it is
+ * asked first and may be full by itself. Each call costs a small host a millisecond
+ * or two; without this limit a waiting request made a thousand calls a second in a
+ * pool of fifty servers.
  */
 const fullSampleSize = 8;
 
 /**
- * What another zone counts against a decode server, in requests. A stream within
- * its zone outlives a cut of the zone and moves its prompt in half the time; with
- * two, and not a half, between servers of a dozen places the load is still even.
+ * Penalty of a decode server in another zone, in requests. A stream within its own
+ * zone survives a partition of the zone and transfers its prompt in half the time.
+ * With a penalty of 2 instead of 0.5, the load of servers with a dozen slots is
+ * still even.
  */
 const otherZonePenaltyRequests = 2;
 
-/** What crossing zones adds to a transfer that others share, milliseconds. */
+/** Time added to a transfer between zones, whose links are shared, milliseconds. */
 const crossZoneTransferMs: Milliseconds = 20;
 
-/** Costs beyond all others: what is in doubt is tried only when nothing else is left. */
+/** Penalties above all other costs: a server in cooldown is tried only when no other is left. */
 const cooldownPenaltyRequests = 1000;
 const cooldownPenaltyMs: Milliseconds = 1_000_000;
 
 /**
- * A decode server computes a prompt at half the pace of a prefill server, and
- * its streams wait meanwhile: two such prompts one behind the other are a pause
- * that makes all of them late. So it does so only where the queue of the best
- * prefill server is this much longer. In a model of six servers under bursts
- * (bench `split-pool`) 300 ms served 0.88 in time with two prefill servers and
- * 0.62 with one, 600 ms 0.91 and 0.69, never 0.92 and 0.49.
+ * A decode server computes a prompt at half the speed of a prefill server and
+ * stalls its streams meanwhile; two such prompts in a row make all of them late.
+ * It therefore computes a prompt only if the wait for the best prefill server is
+ * longer by `prefillOverflowMs`. In a model of six servers under bursts (bench
+ * `split-pool`), 300 ms served 0.88 of the requests in time with two prefill
+ * servers and 0.62 with one; 600 ms served 0.91 and 0.69; without overflow 0.92
+ * and 0.49 were served.
  */
 const decodePrefillSpeed = 0.5;
 const prefillOverflowMs: Milliseconds = 600;
@@ -62,7 +65,9 @@
 };
 
 /**
- * @param options - Zone of this host, its own counts, and what speaks against servers.
+ * Creates the search.
+ *
+ * @param options - Zone of this host, its own counts, and the records of failures.
  * @returns A function that finds the decode server with the fewest requests and the prefill server with the shortest queue.
  */
 export const createUnreportedSearch = ({zone, loads, eligibility, cooldowns, prefillThroughput, readPeerLoad}: UnreportedOptions) => {
@@ -70,7 +75,7 @@
 		const query = isLastResort ? {...search, isLastResort} : search;
 		const reason = eligibility.toReason(entry, query, isLastResort ? 0 : search.random());
 		search.findings.unreachable ||= reason === 'unreachable' || reason === 'ejected';
-		// Nobody reports here, so a load that is not known says nothing against a server.
+		// No server reports here, so an unknown load does not count against a server.
 		return reason === undefined || reason === 'unknown-load' || (isLastResort && isSoft(reason));
 	};
 
@@ -84,7 +89,7 @@
 	const readDecodes = (search: Search, isLastResort: boolean): Candidate[] => {
 		const {servers: {decode}, now, findings} = search;
 		const rounds = Math.max(1, decode.all.length / fullSampleSize);
-		// With more servers room is rarer at each of them, and a round finds it later.
+		// The more servers there are, the less often each one has room, and the later a round of calls finds it.
 		const roundMs = fullCooldownMs * Math.sqrt(rounds);
 		const wasFullWithin = (ms: Milliseconds) => ({id}: ServerEntry): boolean => loads.isFullSince(id, now - ms);
 		const isSampleFull = (servers: readonly ServerEntry[]): boolean => servers.filter(wasFullWithin(roundMs)).length >= Math.min(fullSampleSize, servers.length);
@@ -96,7 +101,7 @@
 			return [];
 		}
 
-		// Remembered until the others have had their turn.
+		// A refusal counts until the other servers have been asked in turn.
 		const isStillFull = wasFullWithin(roundMs * rounds);
 		return readAll(decode, search, isLastResort).filter(({entry}) => {
 			const isFull = isStillFull(entry);
@@ -125,9 +130,9 @@
 		const decodes = readDecodes(search, isLastResort);
 		const toRequests = ({entry, load}: Candidate): number =>
 			load.own + readPeerLoad(entry.id, now).requests + (entry.zone === zone ? 0 : otherZonePenaltyRequests) + (cooldowns.toLevel(entry, now) * cooldownPenaltyRequests);
-		// Chance breaks ties, or all hosts that start empty would send to the same server.
+		// Ties are broken at random; otherwise all hosts that have just started would send to the same server.
 		const decode = pickCheapest(decodes, candidate => toRequests(candidate) + (random() / 2));
-		// Room comes back at a full server within the time that one behind a cut takes to be given up.
+		// A full server has room again sooner than a call to a partitioned server times out.
 		if (decode === undefined || (search.findings.healthyFull && cooldowns.toLevel(decode.entry, now) > 0)) {
 			return undefined;
 		}
@@ -136,9 +141,9 @@
 			((load.ownPromptTokens + readPeerLoad(entry.id, now).promptTokens + promptTokens) / prefillThroughput.read(entry.id)) + (entry.zone === decode.entry.zone ? 0 : crossZoneTransferMs);
 		const best = search.isOneCall ? undefined : pickCheapest(readAll(search.servers.prefill, search, isLastResort), candidate => toPrefillMs(candidate) + random() + (cooldowns.toLevel(candidate.entry, now) * cooldownPenaltyMs));
 		const decodeOnlyMs = promptTokens / prefillThroughput.read(decode.entry.id) / decodePrefillSpeed;
-		// Servers that are replaced may all come back as decode servers, and a cut may leave a zone without any other. Those
-		// compute a prompt too, slower and between the tokens of others; without that, every request would be refused, or
-		// wait for one silent prefill server after the other, while decode memory stands free.
+		// Replaced servers may all return as decode servers, and a partition may leave a zone with decode servers only. Decode
+		// servers can compute prompts too, slower and between the tokens of their streams. Without this fallback every request
+		// would be refused, or would wait for one unresponsive prefill server after another, while decode memory is free.
 		const isDecodeOnly = best === undefined || cooldowns.toLevel(best.entry, now) > cooldowns.toLevel(decode.entry, now) || toPrefillMs(best) > decodeOnlyMs + prefillOverflowMs;
 		const prefill = isDecodeOnly ? decode : best;
 		const predictedPrefillMs = isDecodeOnly ? decodeOnlyMs : toPrefillMs(prefill);
--- a/src/domain/create-placement/_lib/draw.ts
+++ b/src/domain/create-placement/_lib/draw.ts
@@ -1,15 +1,15 @@
 import {type Random} from '../../../ports/clock.js';
 
-/** Random tries for each server wanted before the list is walked instead. */
+/** Random tries per requested element before the list is scanned instead. */
 const triesPerDraw = 3;
 
 /**
- * Draws distinct elements at random among those accepted. Its cost follows the
- * number drawn, not the length of the list, unless few are acceptable.
+ * Draws distinct accepted elements at random. The cost depends on the number drawn
+ * and not on the length of the list, unless few elements are accepted.
  *
  * @param list - Elements to draw from.
  * @param count - How many to draw; `Infinity` takes all accepted ones.
- * @param toValue - The value of an acceptable element, `undefined` for others; called at most twice for each.
+ * @param toValue - Gives the value of an accepted element, `undefined` for others; called at most twice per element.
  * @param random - Numbers in [0, 1).
  * @returns The values drawn, at most `count`.
  */
--- a/src/domain/create-placement/_lib/fixtures.ts
+++ b/src/domain/create-placement/_lib/fixtures.ts
@@ -1,4 +1,4 @@
-/** Small fleets for tests and benches of placement. */
+/** Small fleets for the tests and benches of placement. */
 import {type Random} from '../../../ports/clock.js';
 import {type Config, type ServerEntry, type ServerRole} from '../../../ports/config.js';
 import {type LoadReport} from '../../../ports/engine.js';
--- a/src/domain/create-placement/_lib/search-types.ts
+++ b/src/domain/create-placement/_lib/search-types.ts
@@ -1,4 +1,4 @@
-/** What the steps of a search for servers pass to one another. */
+/** Types shared by the steps of a search for servers. */
 import {type Milliseconds, type Random} from '../../../ports/clock.js';
 import {type ServerEntry} from '../../../ports/config.js';
 import {type ServerId, type ZoneId} from '../../../ports/ids.js';
@@ -11,35 +11,35 @@
 import {type Subsets} from './create-subsets.js';
 import {type PoolServers} from './to-pool-index.js';
 
-/** Which servers count that would else be passed over. */
+/** Which servers are accepted that would otherwise be passed over. */
 export type Relaxation = {
-	/** Servers that are doubted, returning or without a recent report. */
+	/** Accepts servers that are suspect, returning or without a recent report. */
 	acceptsSoftReasons?: boolean;
-	/** As for `isLax`; servers that can't be reached or were ejected count as doubted. */
+	/** Treats servers that are unreachable or ejected as suspect only; used with `acceptsSoftReasons`. */
 	isLastResort?: boolean;
-	/** Servers that have never reported, as none has to a host that just started. */
+	/** Accepts servers that have never reported, as is the case for all servers just after this host has started. */
 	acceptsNeverReported?: boolean;
-	/** Servers without a recent report in this zone, whose summary stands in for their loads. */
+	/** Accepts servers of this zone without a recent report; the zone's summary replaces their loads. */
 	zone?: ZoneId;
 };
 
-/** One step of a search: how many servers of each role are drawn, and which of them count. */
+/** One step of a search: how many servers of each role are sampled, and which of them are accepted. */
 export type Scope = Relaxation & {
-	/** Servers drawn in the own zone; `Infinity` takes all. */
+	/** Number of servers sampled in the own zone; `Infinity` takes all. */
 	local: number;
-	/** Servers drawn in `zone`, or anywhere in the region without one. */
+	/** Number of servers sampled in `zone`, or in the whole region if `zone` is not set. */
 	nearby: number;
-	/** What a server of another zone costs, if not as usual. */
+	/** Overrides the usual cost of a server in another zone, milliseconds. */
 	crossZoneMs?: Milliseconds;
 };
 
-/** Why servers were passed over so far, as far as that decides how to go on. */
+/** Reasons for which servers were passed over so far; they decide which step comes next. */
 export type SearchFindings = {
 	full: boolean;
-	/** A full server that nothing else speaks against. */
+	/** A server that is full, but neither its own nor its zone's failures count against it. */
 	healthyFull: boolean;
 	soft: boolean;
-	/** A server that can't be reached or was ejected. */
+	/** A server that is unreachable or was ejected. */
 	unreachable: boolean;
 	neverReported: boolean;
 };
@@ -52,22 +52,22 @@
 	promptTokens: number;
 	kvBytes: number;
 	firstTokenBudgetMs: Milliseconds;
-	/** Answer tokens expected, and the target between two. */
+	/** Expected length of the answer, and the target time between two tokens. */
 	answer: {tokens: number; perTokenTargetMs: Milliseconds};
-	/** Prompt tokens expected in the prefix cache of each server that has any. */
+	/** Prompt tokens expected in the prefix cache, for each server that has some. */
 	cachedTokens: ReadonlyMap<ServerId, number>;
-	/** No other server than the decode server computes the prompt. */
+	/** Whether the decode server must compute the prompt itself. */
 	isOneCall: boolean;
 	view: FleetView;
 	now: Milliseconds;
 	random: Random;
-	/** Written by each step, read by those after it. */
+	/** Written by each step, read by later steps. */
 	findings: SearchFindings;
 };
 
 export type PairSearchOptions = {
 	zone: ZoneId;
-	/** Servers drawn for each role by the first step. */
+	/** Number of servers sampled for each role by the first step. */
 	draws: number;
 	crossZoneMs: Milliseconds;
 	loads: LoadEstimate;
--- a/src/domain/create-placement/_lib/to-account.ts
+++ b/src/domain/create-placement/_lib/to-account.ts
@@ -3,10 +3,10 @@
 import {type RoleServers} from './to-pool-index.js';
 import {maxAccountRows, type PassedOverReason, type PlacementAccount} from './types.js';
 
-/** Servers looked at for an account, the own zone's first: it is made for each request, also in a pool of thousands. */
+/** Maximum number of servers examined for an account, those of the own zone first; accounts are made for each request, also in pools of thousands of servers. */
 const maxLookedAt = 256;
 
-/** The first elements of several lists, without a copy of the rest. */
+/** Takes the first elements of several lists without copying the rest. */
 const takeFirst = (lists: ReadonlyArray<readonly ServerEntry[]>, count: number): ServerEntry[] => {
 	const taken: ServerEntry[] = [];
 	for (const list of lists) {
@@ -17,9 +17,11 @@
 };
 
 /**
+ * Builds the account of a placement: which servers were chosen, and why others were passed over.
+ *
  * @param pool - Name of the pool.
- * @param roles - Its servers of the roles looked for.
- * @param chosen - Servers taken.
+ * @param roles - Its servers of the requested roles.
+ * @param chosen - Servers that were chosen.
  * @param toReason - Why a server of the own zone or region was passed over.
  * @returns The account, with a bounded number of rows.
  */
--- a/src/domain/create-placement/_lib/to-best-pair.ts
+++ b/src/domain/create-placement/_lib/to-best-pair.ts
@@ -1,4 +1,4 @@
-/** Predicts the first token and the time lost to slow tokens of each prefill and decode pair, and takes the best. */
+/** Predicts the first token and the time lost to slow tokens for pairs of a prefill and a decode server, and picks the best pair. */
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type ServerEntry} from '../../../ports/config.js';
 import {type ServerLoad} from '../../create-load-estimate/index.js';
@@ -7,15 +7,15 @@
 export type Candidate = {
 	entry: ServerEntry;
 	load: ServerLoad;
-	/** Version of weights by the last report; `undefined` without one. */
+	/** Version of weights in the last report; `undefined` without a report. */
 	version: string | undefined;
 	/** Prompt tokens expected in the server's prefix cache. */
 	cachedTokens: number;
-	/** Time expected between two tokens, on a decode server. */
+	/** Expected time between two tokens; 0 on a prefill server. */
 	stepMs: Milliseconds;
-	/** Time that this answer would lose to tokens slower than usual, on a decode server. */
+	/** Time that this answer would lose to slow tokens; 0 on a prefill server. */
 	slowdownMs: Milliseconds;
-	/** What speaks against the server because other hosts send to it, unseen. */
+	/** Penalty for the load that other hosts may have added since the last report. */
 	unseenLoadMs: Milliseconds;
 };
 
@@ -24,9 +24,9 @@
 	decode: Candidate;
 	predictedPrefillMs: Milliseconds;
 	predictedFirstTokenMs: Milliseconds;
-	/** Predicted first token, and the time lost to slow tokens. */
+	/** Predicted time to the first token plus the time lost to slow tokens. */
 	delayMs: Milliseconds;
-	/** `delayMs` plus what else speaks against the servers. */
+	/** `delayMs` plus the penalties of both servers. */
 	score: number;
 };
 
@@ -37,17 +37,17 @@
 	crossZoneMs: Milliseconds;
 };
 
-/** Best servers of each role that are combined; the rest cannot win but by a link much faster than its peers'. */
+/** Number of best servers of each role that are combined into pairs; another server could win only with a much faster link. */
 const shortlist = 4;
 
 /**
- * Weight of a full decode server against an empty one, milliseconds. It is
- * small beside a prefill, yet spreads streams, as each shares its server's
- * memory and batch with the rest.
+ * Penalty of a full decode server compared with an empty one, milliseconds. It is
+ * small compared with a prefill, but spreads streams over servers; streams share
+ * their server's memory and batch.
  */
 const fullServerPenaltyMs = 100;
 
-/** A KV cache that crosses zones loads links which all pairs share, so it counts for more than a call that does. */
+/** A KV transfer between zones uses links that all pairs share, so it costs more than a call between zones. */
 const crossTransferFactor = 4;
 
 const toZoneMs = (entry: ServerEntry, request: PairRequest): Milliseconds => entry.zone === request.zone ? 0 : request.crossZoneMs;
@@ -57,14 +57,14 @@
 
 const toOccupancyPenalty = ({load}: Candidate): number => fullServerPenaltyMs * load.slotsUsed / Math.max(1, load.slotsTotal);
 
-/** What speaks against a decode server beside the first token. */
+/** Cost of a decode server in addition to its effect on the first token. */
 const toDecodeCost = (decode: Candidate): Milliseconds => toOccupancyPenalty(decode) + decode.slowdownMs + decode.unseenLoadMs;
 
-/** Time of the transfer over one server's link, shared with the transfers already on it. */
+/** Duration of the transfer over one server's link, shared with the transfers in progress. */
 const toLinkMs = ({load}: Candidate, {kvBytes}: PairRequest): Milliseconds =>
 	kvBytes * (1 + load.transfers) / Math.max(1, load.linkBytesPerSecond) * msPerSecond;
 
-/** The slower end decides. */
+/** Duration of the transfer; the slower link determines it. */
 const toTransferMs = (prefill: Candidate, decode: Candidate, request: PairRequest): Milliseconds => {
 	const crossing = prefill.entry.zone === decode.entry.zone ? 0 : request.crossZoneMs * crossTransferFactor;
 	return Math.max(toLinkMs(prefill, request), toLinkMs(decode, request)) + crossing;
@@ -94,9 +94,9 @@
 };
 
 /**
- * A KV cache is of use only to the weights that made it: a pair of two versions
- * would answer with nonsense, or be refused after the prefill was paid for. So
- * while a pool changes its version, pairs are made within each version.
+ * Picks the best pair. A KV cache can be used only with the weights that produced
+ * it: a pair with two versions would generate nonsense, or be refused after the
+ * prefill was done. During a rollout, pairs are therefore formed within a version.
  *
  * @param prefills - Candidates for the prefill.
  * @param decodes - Candidates with room for one more request.
--- a/src/domain/create-placement/_lib/to-pool-index.ts
+++ b/src/domain/create-placement/_lib/to-pool-index.ts
@@ -1,4 +1,4 @@
-/** Servers of a configuration, ordered the way a pick looks them up. */
+/** Indexes the servers of a configuration by pool, role and zone. */
 import {
 	type Config, type PoolEntry, type ServerEntry, type ServerRole,
 } from '../../../ports/config.js';
@@ -18,7 +18,7 @@
 	prefill: RoleServers;
 	decode: RoleServers;
 	plain: RoleServers;
-	/** Other zones with servers that decode or prefill for the pool; those of the own region have distance 0, others 1. */
+	/** Other zones with prefill or decode servers of the pool; zones of the own region have distance 0, others 1. */
 	otherZones: ReadonlyArray<{zone: ZoneId; distance: number}>;
 };
 
@@ -52,6 +52,8 @@
 }
 
 /**
+ * Builds the index.
+ *
  * @param config - The accepted configuration.
  * @param zone - Zone of this host.
  * @param regionOf - Region of a zone; `undefined` takes it from the configuration.
--- a/src/domain/create-placement/_lib/to-refusal.ts
+++ b/src/domain/create-placement/_lib/to-refusal.ts
@@ -1,11 +1,11 @@
-/** Why a request is not placed, and when to come again. */
+/** Creates refusals: why a request is not placed, and when the caller may retry. */
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type FleetView} from '../../../ports/view.js';
 import {type PlacementAccount, type PlacementRefusal, type PlacementRefusalReason} from './types.js';
 
 const minRetryAfterMs = 100;
 const maxRetryAfterMs = 30_000;
-/** Delay that is asked for while no server is in service. */
+/** Retry delay while no server is in service. */
 export const noServerRetryAfterMs = 2000;
 
 const noAccount = (pool: string): PlacementAccount => ({
@@ -14,12 +14,12 @@
 
 const toRetryAfter = (ms: Milliseconds): Milliseconds => Math.round(Math.min(maxRetryAfterMs, Math.max(minRetryAfterMs, ms)));
 
-/** Creates a refusal, its delay kept within bounds. */
+/** Creates a refusal with its retry delay limited to the bounds above. */
 export const toRefusal = (reason: PlacementRefusalReason, message: string, retryAfterMs: Milliseconds, account: () => PlacementAccount): PlacementRefusal => ({
 	reason, message, retryAfterMs: toRetryAfter(retryAfterMs), account,
 });
 
-/** Why a pool cannot be looked up in a view. */
+/** Creates the refusal for a pool that the view does not have. */
 export const toLookupRefusal = (view: FleetView, pool: string): PlacementRefusal => {
 	const isEmpty = view.accepted === undefined;
 	return {
--- a/src/domain/create-placement/_lib/types.ts
+++ b/src/domain/create-placement/_lib/types.ts
@@ -9,13 +9,13 @@
 import {type SharedLoads} from '../../create-shared-loads/index.js';
 import {type FleetView} from '../../../ports/view.js';
 
-/** Why a server may not be considered, or only when nothing better is left. */
+/** Why a server is not eligible, or eligible only when no better one is left. */
 export type IneligibilityReason = 'excluded' | 'leaving' | 'paused' | 'unreachable' | 'doubted' | 'cut-off' | 'ejected' | 'returning' | MismatchReason | 'unknown-load';
 
-/** What the server's last report says that the request does not want. */
+/** How the server's last report differs from what the request requires. */
 export type MismatchReason = 'wrong-role' | 'wrong-model' | 'wrong-version' | 'no-adapter' | 'not-serving';
 
-/** Why a server was not considered, or considered and not taken. */
+/** Why a server was not eligible, or eligible and not chosen. */
 export type PassedOverReason = IneligibilityReason | 'full' | 'slow' | 'other-region' | 'other-zone' | 'worse';
 
 export type PlacementAccount = {
@@ -23,36 +23,36 @@
 	chosen: readonly ServerId[];
 	/** Servers passed over, at most {@link maxAccountRows} of them. */
 	passedOver: ReadonlyArray<{server: ServerId; reason: PassedOverReason}>;
-	/** How many servers each reason kept out, among those looked at; other regions are counted whole. */
+	/** Number of examined servers that each reason excluded; for other regions, all servers. */
 	counts: Readonly<Partial<Record<PassedOverReason, number>>>;
-	/** Servers in reach that the account leaves out for its own bound. */
+	/** Number of servers in the region that were not examined, because the account is bounded. */
 	notLookedAt: number;
 };
 
-/** Rows of an account; a pool of thousands is summed up in `counts`. */
+/** Maximum number of rows in an account; for larger pools `counts` has the totals. */
 export const maxAccountRows = 64;
 
 export type PlacementRequest = {
 	pool: string;
 	model: string;
 	/**
-	 * Version of weights that a rule asks for. `undefined` takes any version on
-	 * which a pair agrees, so that a pool serves on while its own version changes.
+	 * Version of weights that a rule asks for. `undefined` accepts any version that
+	 * both servers of a pair have, so that a pool keeps serving during a rollout.
 	 */
 	version: string | undefined;
 	adapter: string | undefined;
 	promptTokens: number;
 	maxTokens: number;
 	class: ServiceClass;
-	/** Time left in which the first token is still of use, milliseconds. */
+	/** Time left until the first token would be too late, milliseconds. */
 	firstTokenBudgetMs: Milliseconds;
-	/** Time between tokens that the request's rule asks for, milliseconds; half of it speaks against no server. */
+	/** Target time between tokens from the request's rule, milliseconds; a server within half of it is never penalised as slow. */
 	perTokenTargetMs?: Milliseconds;
-	/** Hashes of the prompt's prefix blocks, each over all text up to its end. */
+	/** Hashes of the prompt's prefix blocks, each over the prompt from its start to the end of the block. */
 	prefixBlocks?: readonly string[];
 	/** Servers that this request must not get, for example after a failed attempt. */
 	exclude?: ReadonlySet<ServerId>;
-	/** The decode server computes the prompt as well, so that the attempt is one call; heeded where servers report no loads. */
+	/** Whether the decode server also computes the prompt, so that the attempt is one call; only honoured where servers report no loads. */
 	isOneCall?: boolean;
 };
 
@@ -64,19 +64,19 @@
 	version: string | undefined;
 	promptTokens: number;
 	prefixBlocks: readonly string[];
-	/** Prompt tokens thought to be in the prefill server's prefix cache. */
+	/** Prompt tokens expected in the prefill server's prefix cache. */
 	expectedCachedTokens: number;
-	/** Part of `predictedFirstTokenMs` until the prefill is done. */
+	/** Part of `predictedFirstTokenMs` up to the end of the prefill. */
 	predictedPrefillMs: Milliseconds;
 	predictedFirstTokenMs: Milliseconds;
-	/** Time expected between two tokens. */
+	/** Expected time between two tokens. */
 	predictedStepMs: Milliseconds;
-	/** Longest answer that the request may get, and its class, from which the length of others is learnt. */
+	/** Longest answer that the request allows; with its class, the basis for predicting the length of other answers. */
 	maxTokens: number;
 	class: ServiceClass;
-	/** Life to ask for the decode reservation, so that prefill and transfer fit within it. */
+	/** Lifetime to request for the decode reservation, long enough for prefill and transfer. */
 	reservationTtlMs: Milliseconds;
-	/** Worked out only when called; keeps the view alive, so do not store it for long. */
+	/** Computed when called; the function holds a reference to the view, so don't keep it for long. */
 	account: () => PlacementAccount;
 };
 
@@ -95,7 +95,7 @@
 	account: () => PlacementAccount;
 };
 
-/** What happened on a server, as an engine failure tells it or as an adapter for plain services does. */
+/** How a call to a server failed, as reported by the engine or by the adapter for plain services. */
 export type ServerFailure = {
 	kind: EngineFailureKind;
 	reason: EngineRefusalReason | undefined;
@@ -104,25 +104,25 @@
 export type PlacementOptions = {
 	/** Zone of this host. */
 	zone: ZoneId;
-	/** Name of this host, by which it finds the servers to send to first; without one, all servers are alike. */
+	/** Name of this host, which determines its subset of servers; without a name there are no subsets. */
 	host?: HostId;
 	/** Region of a zone; the configuration's own `zones` by default. */
 	regionOf?: (zone: ZoneId) => RegionId | undefined;
-	/** Servers drawn at random for each role, of which the best is taken; `Infinity` looks at all. */
+	/** Number of servers sampled at random for each role, of which the best is taken; `Infinity` examines all. */
 	draws?: number;
-	/** Age at which a load report is no longer believed, milliseconds. */
+	/** Age at which a load report is stale, milliseconds. */
 	staleAfterMs?: Milliseconds;
-	/** KV cache bytes for a prompt token until a prefill has told. */
+	/** KV cache bytes per prompt token, assumed until a prefill has reported its size. */
 	kvBytesPerToken?: number;
-	/** Prompt tokens for each hash in `prefixBlocks`. */
+	/** Prompt tokens per hash in `prefixBlocks`. */
 	tokensPerBlock?: number;
 	/** Milliseconds added for each server outside this host's zone. */
 	crossZoneMs?: Milliseconds;
-	/** Blocks that the prefix map remembers. */
+	/** Maximum number of blocks in the prefix map. */
 	maxPrefixBlocks?: number;
-	/** What other hosts have under way at a server, where hosts tell each other. */
+	/** Reads the in-flight load of other hosts at a server, where hosts exchange it. */
 	readPeerLoad?: SharedLoads['read'];
-	/** Whether the hosts of another zone fell silent, where hosts talk to each other. */
+	/** Whether the hosts of another zone have stopped sending messages, where hosts exchange messages. */
 	isZoneSilent?: SharedLoads['isZoneSilent'];
 };
 
--- a/src/domain/create-placement/full-pool.test.ts
+++ b/src/domain/create-placement/full-pool.test.ts
@@ -1,9 +1,9 @@
 /*
- * Small hosts stand still in a burst. The memory of all of a pool's servers is full,
- * and a waiting request asks each of them for a place, one after the other, again and
- * again: a thousand calls a second where there are fifty servers, though an answer of
- * eight of them tells that the pool is full. Proof: calls of one waiting request in a
- * second, by the number of servers; and that each server is still asked within it.
+ * Guards against small hosts that are overloaded in a burst. With the memory of all
+ * servers full, a waiting request asked one server after another for a reservation,
+ * a thousand calls a second with fifty servers, although eight refusals show that
+ * the pool is full. The test counts the calls of one waiting request in a second for
+ * several pool sizes, and checks that every server is still asked.
  */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
@@ -22,7 +22,7 @@
 	return toView(toConfig(servers, {pools}), []);
 };
 
-/** Calls that a request makes to full servers while it waits for a second, by server. */
+/** Counts, by server, the calls to full servers that a request makes while it waits for a second. */
 function askForSecond(decodes: number): Map<string, number> {
 	const placement = createPlacement({zone: 'a'});
 	const random = toSeededRandom(decodes);
@@ -51,11 +51,11 @@
 
 describe('a pool of many servers whose memory is full', () => {
 	/*
-	 * Callers that come back are refused once more. The servers of their host's zone
-	 * are full and are asked first; eight of them stood for the whole pool, though
-	 * those of two other zones had room.
+	 * Guards against needless refusals of callers that retry. The servers of the own
+	 * zone are full and are asked first; eight refusals from them were taken for a full
+	 * pool, although the servers of two other zones had room.
 	 */
-	it('is not taken for full by the servers of one zone', () => {
+	it('does not count as full because the servers of one zone are full', () => {
 		const servers = Array.from({length: 37}, (_, i) => toServer(`s${i}`, i === 0 ? 'prefill' : 'decode', {zone: 'abc'[i % 3]!}));
 		const pools = toConfig(servers).pools.map(pool => ({...pool, version: undefined, isUnreported: true}));
 		const view = toView(toConfig(servers, {pools}), []);
@@ -76,7 +76,7 @@
 	});
 
 	for (const {decodes, most} of [{decodes: 6, most: 200}, {decodes: 25, most: 160}, {decodes: 55, most: 120}, {decodes: 200, most: 60}]) {
-		it(`is asked ${most} times in a second at most by a request that waits, with ${decodes} servers`, t => {
+		it(`gets at most ${most} calls a second from a waiting request, with ${decodes} servers`, t => {
 			const calls = askForSecond(decodes);
 			const sum = [...calls.values()].reduce((total, count) => total + count, 0);
 			t.diagnostic(`${sum} calls to ${calls.size} servers`);
--- a/src/domain/create-placement/index.ts
+++ b/src/domain/create-placement/index.ts
@@ -1,14 +1,14 @@
 /**
- * Where a request goes: the prefill and decode servers that give the earliest
- * first token by this host's own estimate, and tokens no slower than need be, or
- * the reason why none does.
+ * Places a request: picks the prefill and decode servers with the earliest first
+ * token by this host's own estimate, at no needless cost in token speed, or says
+ * why no server can take the request.
  *
- * A pick draws a few servers for each role, of those that this host sends to
- * first and of its whole zone, adds those that hold the prompt's prefix, and
- * takes the best pair. It looks wider, at the
- * whole zone and at the region, only when that pair is missing or late, so the
- * usual cost does not grow with the fleet. Each decision is this host's alone:
- * the decode engine, asked for a reservation, is the arbiter of its memory.
+ * A pick samples a few servers for each role from this host's subset and from
+ * its whole zone, adds the servers that hold the prompt's prefix, and takes the
+ * best pair. The search widens to the whole zone and then to the region only
+ * when that pair is missing or late, so the usual cost does not grow with the
+ * fleet. Each host decides alone: the decode engine, when asked for a
+ * reservation, has the last word on its memory.
  */
 import {err, ok} from 'neverthrow';
 import {type Milliseconds, type Random} from '../../ports/clock.js';
@@ -49,14 +49,14 @@
 const defaultCrossZoneMs = 5;
 const defaultHoldMs = 5000;
 
-/** A reservation lives for the predicted first token, this much longer, and a fixed margin. */
+/** Lifetime of a reservation: the predicted time to the first token times this factor, plus a fixed margin. */
 const ttlFactor = 1.5;
 const ttlMarginMs = 500;
 
-/** Hosts that don't tell each other what they have under way. */
+/** Used where hosts don't exchange their in-flight loads. */
 const readNoPeerLoad: SharedLoads['read'] = () => ({requests: 0, promptTokens: 0});
 
-/** What a request needs of servers. */
+/** What a request requires of its servers. */
 type Needs = Pick<Search, 'wanted' | 'promptTokens' | 'kvBytes' | 'firstTokenBudgetMs' | 'answer' | 'cachedTokens' | 'isOneCall'>;
 
 const toPlainNeeds = ({exclude}: PlainRequest): Needs => ({
@@ -75,7 +75,7 @@
  * Creates the placement of one host.
  *
  * @param options - Zone of the host and tuning; see {@link PlacementOptions}.
- * @returns `pick` and `pickPlain`, which decide, and the `note…` functions, from which they learn.
+ * @returns `pick` and `pickPlain`, which choose servers, and the `note…` functions, which record the outcomes that later picks learn from.
  *
  * @example
  * const placement = createPlacement({zone: 'dvorana-a'});
@@ -111,7 +111,7 @@
 		zone, health, toSubject, staleAfterMs,
 	});
 
-	/** The servers of the accepted configuration, worked out once for each. */
+	/** Indexes the servers of the accepted configuration, once for each configuration. */
 	const toIndex = (view: FleetView): PoolIndex | undefined => {
 		if (view.accepted === undefined) {
 			return undefined;
@@ -191,23 +191,23 @@
 		};
 	};
 
-	/** Time until the first paused server may be asked again; `undefined` when none is paused. */
+	/** Time until the first paused server may be called again, milliseconds; `undefined` when none is paused. */
 	const toShortestPause = (roles: readonly RoleServers[], now: Milliseconds): Milliseconds | undefined => {
 		const pauses = roles.flatMap(({all}) => all.map(({id}) => eligibility.toRemainingPauseMs(id, now))).filter(ms => ms > 0);
 		return pauses.length === 0 ? undefined : Math.min(...pauses);
 	};
 
-	/** Refusal when nothing was found: for want of memory if a server was passed over for that alone. */
+	/** Refusal when no server was found; the reason is memory if a server was passed over only because it was full. */
 	const toNothingFound = (search: Search, roles: readonly RoleServers[]): PlacementRefusal => {
 		const {pool} = search;
 		const account = () => pairs.toAccount(search, roles, []);
 		const pauseMs = search.findings.full ? undefined : toShortestPause(roles, search.now);
 		if (pauseMs !== undefined) {
-			return toRefusal('paused', `the servers of pool ${pool} that would do ask to back off`, pauseMs, account);
+			return toRefusal('paused', `the suitable servers of pool ${pool} have asked to back off`, pauseMs, account);
 		}
 
 		if (!search.findings.full) {
-			return toRefusal('no-server', `no server of pool ${pool} is in service with what the request needs; the account gives each server's reason`, noServerRetryAfterMs, account);
+			return toRefusal('no-server', `no server of pool ${pool} in service meets the request's requirements; the account gives the reason for each server`, noServerRetryAfterMs, account);
 		}
 
 		let slots = 1;
@@ -215,7 +215,7 @@
 			slots += entry.slots;
 		}
 
-		return toRefusal('no-memory', `every server of pool ${pool} that would do is full`, learned.holdMs * 2 / slots, account);
+		return toRefusal('no-memory', `every suitable server of pool ${pool} is full`, learned.holdMs * 2 / slots, account);
 	};
 
 	const toPlacement = (request: PlacementRequest, pair: Pair, account: () => PlacementAccount): Placement => ({
@@ -250,7 +250,7 @@
 
 		const account = () => pairs.toAccount(search, [prefill, decode], [pair.prefill.entry.id, pair.decode.entry.id]);
 		const lateMs = pair.predictedFirstTokenMs - request.firstTokenBudgetMs;
-		// Own counts alone are too rough a ground to refuse a request by.
+		// Without load reports the prediction rests on this host's counts alone, which is too rough to refuse a request.
 		if (lateMs > 0 && !isUnreported) {
 			const message = `the first token is predicted after ${Math.round(pair.predictedFirstTokenMs)} ms, over the ${Math.round(request.firstTokenBudgetMs)} ms left`;
 			return err(toRefusal('would-miss-target', message, lateMs, account));
@@ -272,26 +272,26 @@
 			: ok({kind: 'plain', server: best.entry, account: () => pairs.toAccount(search, roles, [best.entry.id])});
 	};
 
-	/** Servers of a pool that answer requests; a prompt can be computed by any of them. */
+	/** Servers of a pool that generate answers; each of them can also compute a prompt. */
 	const toAnswering = ({plain, decode}: PoolServers): readonly ServerEntry[] => [...plain.all, ...decode.all];
 
 	return {
 		pick,
 		pickPlain,
-		/** Whether some pool has servers, and something speaks against each of them. */
+		/** Whether every answering server of some pool is in cooldown, or is in a zone in cooldown. */
 		isAnyPoolSuspect(view: FleetView, now: Milliseconds): boolean {
 			const pools = [...toIndex(view)?.pools.values() ?? []].map(pool => toAnswering(pool));
 			return pools.some(servers => servers.length > 0 && servers.every(server => cooldowns.toLevel(server, now) > 0));
 		},
-		/** Part of a pool's servers that should compute prompts, by what requests cost here; `undefined` while too little is known. */
+		/** Share of a pool's servers that should do prefill, from the costs that this host measured; `undefined` while there are too few samples. */
 		toPrefillShare({name, memoryTokens}: PoolEntry, servers: readonly ServerEntry[]): number | undefined {
 			const slots = Math.min(...servers.map(server => server.slots));
 			return split.toPrefillShare(name, {slots, memoryTokens});
 		},
-		/** A server asks this host to back off; tells whether it did not do so already. */
+		/** Records that a server asks this host to back off; returns whether the server was not paused before. */
 		notePause: eligibility.notePause,
 		isPaused: (server: ServerId, now: Milliseconds): boolean => eligibility.toRemainingPauseMs(server, now) > 0,
-		/** What this host has under way at each server. */
+		/** In-flight load of this host at each server. */
 		ownLoads: loads.ownLoads,
 		...createFeedback({
 			loads, health, eligibility, prefixes, tokenLatency, prefillThroughput, split, readPeerLoad: options.readPeerLoad ?? readNoPeerLoad, lengths, learned, tokensPerBlock, toSubject, cooldowns, noteSent: spills.noteSent,
--- a/src/domain/create-placement/subsets.test.ts
+++ b/src/domain/create-placement/subsets.test.ts
@@ -1,8 +1,8 @@
 /**
- * The caller waits for its first token behind prompts that its host could not
- * see: other hosts saw the same idle server in the same late report, and sent
- * theirs there too. So each host sends to servers of its own first, whose load
- * it knows by its own count, and to the others when those will not do.
+ * Guards against first tokens that are late because several hosts saw the same idle
+ * server in the same outdated report and all sent prompts there. Each host prefers
+ * its own subset of servers, whose load it knows from its own count, and uses the
+ * others when the subset is full or slow.
  */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
@@ -24,7 +24,7 @@
 
 const hosts = ['h1', 'h2', 'h3'].map(id => toHost(id));
 
-/** Servers that a host takes, each kind apart. */
+/** Servers that a host picks, by role. */
 const toTaken = (host: string, known: readonly HostStatus[], {used = () => 0, queued = () => 0}: Loads = {}) => {
 	const decider = createPlacement({zone: 'a', host});
 	const random = toSeededRandom(3);
@@ -38,7 +38,7 @@
 };
 
 describe('createPlacement among hosts of its zone', () => {
-	it('sends to servers of its own first, which are those of no other host', () => {
+	it('prefers the servers of its own subset, which no other host has in its subset', () => {
 		for (const role of ['prefill', 'decode'] as const) {
 			const taken = hosts.map(({id}) => toTaken(id, hosts)[role]);
 			assert.deepEqual(taken.map(set => set.size), [4, 4, 4]);
@@ -46,20 +46,20 @@
 		}
 	});
 
-	it('does not chase a server that looks a little better, as others may have done so already', () => {
+	it('does not leave its subset for a server that looks only a little better, as other hosts may have chosen it already', () => {
 		const own = toTaken('h1', hosts);
 		const taken = toTaken('h1', hosts, {used: id => own.decode.has(id) ? 10 : 0, queued: id => own.prefill.has(id) ? 1600 : 0});
 		assert.deepEqual(taken, own);
 	});
 
-	it('sends to the others when its own are full, or their queues long', () => {
+	it('uses servers outside its subset when those of the subset are full or have long queues', () => {
 		const own = toTaken('h1', hosts);
 		const taken = toTaken('h1', hosts, {used: id => own.decode.has(id) ? 20 : 0, queued: id => own.prefill.has(id) ? 8000 : 0});
 		assert.ok([...taken.decode].every(id => !own.decode.has(id)));
 		assert.ok([...taken.prefill].every(id => !own.prefill.has(id)));
 	});
 
-	it('divides the servers among living hosts of its zone alone', () => {
+	it('divides the servers only among the live hosts of its zone', () => {
 		const rest = [toHost('h2', {life: 'dead'}), toHost('h3', {leaving: true}), toHost('h4', {zone: 'b'})];
 		assert.equal(toTaken('h1', [toHost('h1'), ...rest]).decode.size, 12);
 	});
--- a/src/domain/create-placement/summaries.test.ts
+++ b/src/domain/create-placement/summaries.test.ts
@@ -1,7 +1,7 @@
 /**
- * In a large fleet a host knows the loads of its own zone alone, and of other
- * zones what their summaries say. A crowded zone sends its requests where they
- * tell of room, and refuses when they tell of none, without offering them round.
+ * In a large fleet a host has load reports of its own zone only, and summaries of
+ * other zones. An overloaded zone spills requests to zones whose summaries show
+ * room, and refuses requests when none does, without trying the zones in turn.
  */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
@@ -19,7 +19,7 @@
 
 type Said = {free: number; waitMs?: number; at?: number};
 
-/** Loads of zone a alone, where decode servers are full and prompts wait as long as said, and summaries of the others. */
+/** A view with load reports of zone a, whose decode servers are full unless changed, and summaries of the other zones. */
 function toFleet(said: Readonly<Record<string, Said>>, {used = 20, queuedTokens = 0}: {used?: number; queuedTokens?: number} = {}) {
 	const statuses = servers.map((entry): ServerStatus => entry.zone === 'a'
 		? {...toStatus(entry, 1000), load: toReport(entry, entry.role === 'decode' ? {slotsUsed: used} : {queuedTokens})}
@@ -39,7 +39,7 @@
 	return {...toView(config, statuses), zones: new Map(zones)};
 }
 
-/** Zones of 100 picks, as prefill and decode. */
+/** Counts the zones of 100 picks, as pairs of prefill and decode zone. */
 function pickZones(view: ReturnType<typeof toFleet>): Record<string, number> {
 	const placement = createPlacement({zone: 'a'});
 	const random = toSeededRandom(1);
@@ -55,12 +55,12 @@
 
 describe('createPlacement with summaries of other zones', () => {
 	const rows: Array<[string, ReturnType<typeof toFleet>, Record<string, number>]> = [
-		['stays in its zone while that is quick enough', toFleet({b: {free: 80}}, {used: 10}), {'a a': 100}],
-		['spills where there is room', toFleet({b: {free: 80}, c: {free: 0}}), {'b b': 100}],
-		['spills prompts too when its own wait', toFleet({b: {free: 80}}, {used: 10, queuedTokens: 40_000}), {'b b': 100}],
-		['stays with its own queue when prompts wait as long there', toFleet({b: {free: 80, waitMs: 1000}}, {used: 10, queuedTokens: 9000}), {'a a': 100}],
-		['refuses when there is no room', toFleet({b: {free: 0}, c: {free: 0}}), {'no-memory': 100}],
-		['leaves its region as a pair, and only when that has no room', toFleet({b: {free: 0}, c: {free: 0}, far: {free: 10, waitMs: 300}}), {'far far': 100}],
+		['stays in its zone while its zone is fast enough', toFleet({b: {free: 80}}, {used: 10}), {'a a': 100}],
+		['spills to a zone with room', toFleet({b: {free: 80}, c: {free: 0}}), {'b b': 100}],
+		['spills prompts too when the prefill queues of its own zone are long', toFleet({b: {free: 80}}, {used: 10, queuedTokens: 40_000}), {'b b': 100}],
+		['stays in its own zone when prefill queues elsewhere are as long', toFleet({b: {free: 80, waitMs: 1000}}, {used: 10, queuedTokens: 9000}), {'a a': 100}],
+		['refuses when no zone has room', toFleet({b: {free: 0}, c: {free: 0}}), {'no-memory': 100}],
+		['places both servers of a pair in another region, and only when its own region has no room', toFleet({b: {free: 0}, c: {free: 0}, far: {free: 10, waitMs: 300}}), {'far far': 100}],
 	];
 	for (const [name, view, expected] of rows) {
 		it(name, () => {
@@ -68,18 +68,18 @@
 		});
 	}
 
-	it('spills in proportion to the room', () => {
+	it('spills in proportion to the free room of each zone', () => {
 		const {'b b': toB = 0, 'c c': toC = 0} = pickZones(toFleet({b: {free: 90}, c: {free: 30}}));
 		assert.equal(toB + toC, 100);
 		assert.ok(toB > 60 && toB < 90, `${toB}`);
 	});
 
-	it('spills blindly inside its region when all summaries are stale', () => {
+	it('spills to random zones of its region when all summaries are stale', () => {
 		const picked = pickZones(toFleet({b: {free: 80, at: -60_000}, far: {free: 80, at: -60_000}}));
 		assert.deepEqual(new Set(Object.keys(picked).map(name => name.split(' ')[1])), new Set(['b', 'c']));
 	});
 
-	it('counts what it sent against the summary', () => {
+	it('subtracts the requests that it sent from the room in the summary', () => {
 		const placement = createPlacement({zone: 'a'});
 		const view = toFleet({b: {free: 12}, c: {free: 0}, far: {free: 1000}});
 		const random = toSeededRandom(1);
--- a/src/domain/create-placement/test.ts
+++ b/src/domain/create-placement/test.ts
@@ -32,7 +32,7 @@
 		['leaving by its own report', toLoad(decodes[0], {state: 'leaving'}), 'leaving'],
 		['unreachable', {reachable: false}, 'unreachable'],
 		['loading weights', toLoad(decodes[0], {state: 'loading'}), 'not-serving'],
-		['turned to another role', toLoad(decodes[0], {role: 'prefill'}), 'wrong-role'],
+		['changed to another role', toLoad(decodes[0], {role: 'prefill'}), 'wrong-role'],
 		['with another model', toLoad(decodes[0], {model: 'other'}), 'wrong-model'],
 		['full', toLoad(decodes[0], {slotsUsed: 20}), 'full'],
 	];
@@ -47,7 +47,7 @@
 		});
 	}
 
-	it('serves on while the pool changes its version, and pairs only servers of one version', () => {
+	it('keeps serving during a rollout, and pairs only servers of the same version', () => {
 		const mixed = toFleet({p1: toLoad(prefills[0], {version: 'v0'}), d2: toLoad(decodes[1], {version: 'v0'})});
 		const decider = toDecider(2);
 		const pairs = new Set<string>();
@@ -59,7 +59,7 @@
 		assert.deepEqual([...pairs].toSorted((a, b) => a < b ? -1 : 1), ['p1 d2 v0', 'p2 d1 v1']);
 	});
 
-	it('gives a request that asks for a version no other', () => {
+	it('gives a request only the version that it asks for', () => {
 		const mixed = toFleet({p1: toLoad(prefills[0], {version: 'v0'}), d2: toLoad(decodes[1], {version: 'v0'})});
 		const placement = toDecider().pick(toPlacementRequest({version: 'v0'}), mixed, 1000, random)._unsafeUnwrap();
 		assert.deepEqual([placement.prefill.id, placement.decode.id], ['p1', 'd2']);
@@ -67,7 +67,7 @@
 		assert.equal(toDecider().pick(toPlacementRequest({version: 'v9'}), mixed, 1000, random)._unsafeUnwrapErr().reason, 'no-server');
 	});
 
-	it('takes a server with the adapter', () => {
+	it('picks a server with the requested adapter', () => {
 		const change = {d2: toLoad(decodes[1], {adapters: ['legal']}), p2: toLoad(prefills[1], {adapters: ['legal']})};
 		const placement = toDecider().pick(toPlacementRequest({adapter: 'legal'}), toFleet(change), 1000, random)._unsafeUnwrap();
 		assert.deepEqual([placement.prefill.id, placement.decode.id], ['p2', 'd2']);
@@ -79,7 +79,7 @@
 		assert.equal(refusal.account().counts.excluded, 2);
 	});
 
-	it('spreads a burst over servers though their reports stand still', () => {
+	it('spreads a burst over servers although their reports do not change', () => {
 		const decider = toDecider();
 		const counts = new Map<string, number>();
 		for (let i = 0; i < 20; i++) {
@@ -91,7 +91,7 @@
 		assert.deepEqual([...counts.values()], [10, 10]);
 	});
 
-	it('refuses for want of memory once its own requests fill what the reports leave', () => {
+	it('refuses for lack of memory once its own requests fill the slots that the reports show as free', () => {
 		const decider = toDecider();
 		const view = toFleet({d1: toLoad(decodes[0], {slotsUsed: 19}), d2: toLoad(decodes[1], {slotsUsed: 19})});
 		const taken = [1, 2].map(() => {
@@ -105,31 +105,31 @@
 		assert.ok(decider.pick(toPlacementRequest(), view, 1002, random).isOk());
 	});
 
-	it('refuses at once what would miss its target, with the time until it would not', () => {
+	it('refuses at once a request that would miss its target, with the time until it could meet it', () => {
 		const slow = Object.fromEntries(prefills.map(entry => [entry.id, toLoad(entry, {queuedTokens: 80_000})]));
 		const refusal = toDecider().pick(toPlacementRequest({firstTokenBudgetMs: 1000}), toFleet(slow), 1000, random)._unsafeUnwrapErr();
 		assert.equal(refusal.reason, 'would-miss-target');
 		assert.ok(refusal.retryAfterMs > 8000 && refusal.retryAfterMs < 12_000);
 	});
 
-	it('goes on without any report', () => {
+	it('works without any report', () => {
 		const silent = Object.fromEntries(servers.map(entry => [entry.id, {load: undefined, loadAt: 0, reachable: undefined}]));
 		assert.ok(toDecider().pick(toPlacementRequest(), toFleet(silent), 1000, random).isOk());
 	});
 
-	it('goes on when every report is old', () => {
+	it('works when every report is stale', () => {
 		assert.ok(toDecider().pick(toPlacementRequest(), toFleet(), 1_000_000, random).isOk());
 	});
 
-	it('serves on when polls reach no server, all of them at once', () => {
+	it('keeps serving when polls suddenly reach no server', () => {
 		const lost = Object.fromEntries(servers.map(entry => [entry.id, {reachable: false, reachableAt: 1000}]));
 		const decider = toDecider();
 		assert.ok(decider.pick(toPlacementRequest(), toFleet(), 1000, random).isOk());
 		assert.ok(decider.pick(toPlacementRequest(), toFleet(lost), 1001, random).isOk());
 	});
 
-	it('tries a server again that was last found unreachable long ago, when nothing else has room', () => {
-		// The full server's report stays new: with an old one it would be taken as well, by chance.
+	it('retries a server whose unreachable report is old, when no other server has room', () => {
+		// The full server's report stays recent; with a stale one the full server would sometimes be picked too.
 		const pick = (now: number) => {
 			const d2 = {...toLoad(decodes[1], {slotsUsed: 20}), loadAt: now};
 			return toDecider().pick(toPlacementRequest(), toFleet({d1: {reachable: false, reachableAt: 1000}, d2}), now, random);
@@ -142,13 +142,13 @@
 		}
 	});
 
-	it('says no-config before a configuration is accepted, and no-pool for one it does not have', () => {
+	it('refuses with no-config before a configuration is accepted, and with no-pool for an unknown pool', () => {
 		const view = toFleet();
 		assert.equal(toDecider().pick(toPlacementRequest(), {...view, accepted: undefined}, 1000, random)._unsafeUnwrapErr().reason, 'no-config');
 		assert.equal(toDecider().pick(toPlacementRequest({pool: 'none'}), view, 1000, random)._unsafeUnwrapErr().reason, 'no-pool');
 	});
 
-	it('gives nothing new to a server that refused as leaving', () => {
+	it('sends no new request to a server that refused as leaving', () => {
 		const decider = toDecider();
 		decider.noteFailure(decodes[0]!, {kind: 'refused', reason: 'leaving'}, 1000);
 		for (let i = 0; i < 50; i++) {
@@ -156,7 +156,7 @@
 		}
 	});
 
-	it('does not count a prompt whose prefill was cancelled, or never sent because the reservation was refused', () => {
+	it('does not count a prompt whose prefill was cancelled, or was not sent because the reservation was refused', () => {
 		const entries = [prefills[0]!, decodes[0]!];
 		for (const {sent, queuedTokens} of [{sent: [27_500], queuedTokens: 27_500}, {sent: Array.from({length: 10}, () => 2000), queuedTokens: 0}]) {
 			const decider = toDecider();
@@ -166,7 +166,7 @@
 				decider.noteFinished(placement, 1900);
 			}
 
-			// A report from before the cancel still counts it.
+			// A report from before the cancellation still counts the prompt.
 			const view = toFleet({p1: {...toLoad(prefills[0], {queuedTokens}), loadAt: 1500}}, entries);
 			assert.ok(decider.pick(toPlacementRequest(), view, 1950, random)._unsafeUnwrap().predictedFirstTokenMs < 500);
 		}
--- a/src/domain/create-placement/unreported.test.ts
+++ b/src/domain/create-placement/unreported.test.ts
@@ -39,13 +39,13 @@
 const findServer = (id: string) => all.find(server => server.id === id)!;
 
 /*
- * Nobody polls loads: a host knows its own requests and what servers answered.
- * Streams come in bursts that fill the decode memory; a host that sends them all
- * to one server is refused there while others are free, and one that goes on
- * asking what lies behind a cut makes each caller wait for it.
+ * Nobody polls loads: a host knows only its own requests and the servers' answers.
+ * Guards against a host that sends a whole burst to one server and is refused while
+ * others have free memory, and against one that keeps calling partitioned servers
+ * and makes each caller wait for a timeout.
  */
 describe('createPlacement where no server reports', () => {
-	it('spreads its requests evenly over all decode servers, the own zone first between equals', () => {
+	it('spreads its requests evenly over all decode servers, and prefers its own zone among equals', () => {
 		const placement = createPlacement({zone: 'a'});
 		const random = createRandom();
 		const counts = new Map<string, number>();
@@ -59,7 +59,7 @@
 		assert.deepEqual([...counts.values()].toSorted((a, b) => a - b).map(count => count >= 9 && count <= 11), [true, true, true, true]);
 	});
 
-	it('passes over a server that just said it is full, and asks it again soon', () => {
+	it('skips a server that has just refused as full, and tries it again soon', () => {
 		const placement = createPlacement({zone: 'a'});
 		const random = createRandom();
 		for (const id of ['d1-a', 'd2-a', 'd1-b', 'd2-b']) {
@@ -71,10 +71,10 @@
 	});
 
 	/*
-	 * A zone is cut off and has no server of one pool. Its hosts refuse every caller
-	 * of that pool, though hosts of other zones could serve them.
+	 * Guards against hosts of a partitioned zone without servers of one pool: they
+	 * refuse every caller of that pool, although hosts of other zones could serve them.
 	 */
-	it('knows that a pool is out of reach once something speaks against all of its servers', () => {
+	it('reports a suspect pool once all of its servers are in cooldown', () => {
 		const placement = createPlacement({zone: 'c', isZoneSilent: () => true});
 		const view = toView(all);
 		assert.equal(placement.isAnyPoolSuspect(view, 1000), false);
@@ -82,11 +82,11 @@
 		assert.equal(placement.isAnyPoolSuspect(view, 1100), false);
 		placement.noteFailure(findServer('d1-b'), {kind: 'unreachable', reason: undefined}, 1000);
 		assert.equal(placement.isAnyPoolSuspect(view, 1100), true);
-		assert.equal(placement.isAnyPoolSuspect(view, 9000), true, 'also when no request has tried for a while');
-		assert.equal(placement.isAnyPoolSuspect(toView([]), 1100), false, 'a pool without servers is nobody\'s fault here');
+		assert.equal(placement.isAnyPoolSuspect(view, 9000), true, 'even if no request has called the servers for a while');
+		assert.equal(placement.isAnyPoolSuspect(toView([]), 1100), false, 'a pool without servers is not suspect');
 	});
 
-	it('waits for room at a sound server rather than try one that just failed', () => {
+	it('waits for room on a healthy server rather than trying one that has just failed', () => {
 		const placement = createPlacement({zone: 'a'});
 		const random = createRandom();
 		placement.noteFailure(findServer('d1-b'), {kind: 'broken', reason: undefined}, 1000);
@@ -98,7 +98,7 @@
 		assert.equal(placement.pick(request, toView(all), 1010, random)._unsafeUnwrapErr().reason, 'no-memory');
 	});
 
-	it('leaves out a zone of which neither hosts nor servers answer', () => {
+	it('avoids a zone whose hosts and servers both do not answer', () => {
 		const placement = createPlacement({zone: 'a', isZoneSilent: zone => zone === 'b'});
 		const random = createRandom();
 		placement.noteFailure(findServer('d1-b'), {kind: 'broken', reason: undefined}, 1000);
@@ -109,17 +109,17 @@
 		}
 	});
 
-	it('sends a prompt where neither this host nor another one has any', () => {
+	it('sends a prompt to a prefill server at which neither this host nor another host has prompts', () => {
 		const placement = createPlacement({zone: 'a', readPeerLoad: server => ({requests: 0, promptTokens: server === 'p-a' ? 9000 : 0})});
 		const picked = placement.pick(request, toView(all), 1000, createRandom())._unsafeUnwrap();
 		assert.equal(picked.prefill.id, 'p-b');
 	});
 
 	/*
-	 * A prefill server is told to become a decode server. It refuses prompts for six
-	 * seconds and looks idle all the while, so every prompt of its zone went there.
+	 * Guards against a prefill server that is changing its role to decode: it refuses
+	 * prompts for six seconds and looks idle, so every prompt of its zone went there.
 	 */
-	it('keeps away from a prefill server that refuses prompts with an empty queue', () => {
+	it('avoids a prefill server that refuses prompts although its queue is empty', () => {
 		const placement = createPlacement({zone: 'a'});
 		const random = createRandom();
 		let refused = 0;
@@ -140,20 +140,20 @@
 		assert.ok(refused <= 3, `${refused} of 120 prompts were refused`);
 	});
 
-	it('goes on sending prompts to a server that refused one with a long queue', () => {
+	it('keeps sending prompts to a server that refused one because its queue is long', () => {
 		const placement = createPlacement({zone: 'a', readPeerLoad: server => ({requests: 0, promptTokens: server === 'p-a' ? 10_000 : 14_000})});
 		placement.noteFailure(findServer('p-a'), {kind: 'refused', reason: 'full'}, 1000);
 		const picked = placement.pick(request, toView(all), 1100, createRandom())._unsafeUnwrap();
 		assert.equal(picked.prefill.id, 'p-a');
 	});
 
-	it('has a decode server compute its prompt where the queues of all prefill servers are long', () => {
+	it('lets a decode server compute the prompt when the queues of all prefill servers are long', () => {
 		const placement = createPlacement({zone: 'a', readPeerLoad: server => ({requests: 0, promptTokens: server.startsWith('p-') ? 60_000 : 0})});
 		const picked = placement.pick(request, toView(all), 1000, createRandom())._unsafeUnwrap();
 		assert.equal(picked.prefill.id, picked.decode.id);
 	});
 
-	it('tries a zone last of which two servers could not be reached', () => {
+	it('uses a zone last in which two servers were unreachable', () => {
 		const placement = createPlacement({zone: 'a'});
 		const random = createRandom();
 		placement.noteFailure(findServer('d1-b'), {kind: 'broken', reason: undefined}, 1000);
@@ -167,7 +167,7 @@
 
 	const withoutPrefill: ReadonlyArray<{name: string; servers: readonly ServerEntry[]; isCut: boolean}> = [
 		{name: 'is left', servers: all.filter(({role}) => role !== 'prefill'), isCut: false},
-		{name: 'of the own zone is left, and the others are behind a cut', servers: all.filter(({id}) => id !== 'p-a'), isCut: true},
+		{name: 'of the own zone is left, and the others are partitioned', servers: all.filter(({id}) => id !== 'p-a'), isCut: true},
 	];
 	for (const {name, servers, isCut} of withoutPrefill) {
 		it(`lets a decode server compute the prompt when no prefill server ${name}`, () => {
@@ -181,8 +181,8 @@
 		});
 	}
 
-	/* Guards against a further attempt that sends two calls where one is paid for. */
-	it('lets the decode server compute the prompt of an attempt that is to be one call, beside idle prefill servers', () => {
+	/* Guards against a retry that makes two calls although its retry budget paid for one. */
+	it('lets the decode server compute the prompt of a one-call attempt, even if prefill servers are idle', () => {
 		const placement = createPlacement({zone: 'a'});
 		const picked = placement.pick({...request, isOneCall: true}, toView(all), 1000, createRandom())._unsafeUnwrap();
 		assert.equal(picked.prefill.id, picked.decode.id);
--- a/src/domain/create-placement/zones.test.ts
+++ b/src/domain/create-placement/zones.test.ts
@@ -1,8 +1,8 @@
 /**
- * The caller of a zone is served in it as long as that is quick enough. When
- * the zone is crowded, its requests spill to others of the region; never to a
- * zone behind a cut, and only little by little to one that has just come back,
- * because at that moment it looks empty to every host at once.
+ * Requests are served in their own zone as long as it is fast enough. When the zone
+ * is overloaded, requests spill to other zones of the region, never to a
+ * partitioned zone, and only gradually to a zone that has just come back, as such a
+ * zone looks empty to all hosts at once.
  */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
@@ -42,7 +42,7 @@
 	return toView(config, statuses, ['a', 'b', 'far'].map(zone => toHost(zone, lives[zone] ?? 'alive')));
 };
 
-/** Zones of the servers picked in `count` picks. */
+/** Counts the decode zones, or refusal reasons, of `count` picks. */
 const pickZones = (placement: ReturnType<typeof createPlacement>, view: ReturnType<typeof toFleet>, now: number, count = 60) => {
 	const random = toSeededRandom(now + 1);
 	const zones = new Map<string, number>();
@@ -57,18 +57,18 @@
 
 describe('createPlacement across zones', () => {
 	const rows: Array<[string, Change, Record<string, number>]> = [
-		['stays in its zone while that is quick enough', {usedIn: {a: 15}}, {a: 60}],
+		['stays in its zone while its zone is fast enough', {usedIn: {a: 15}}, {a: 60}],
 		['spills to its region when its decode servers are full', {usedIn: {a: 20}}, {b: 60}],
 		['spills to its region when its prefill queues would miss the target', {queuedIn: {a: 40_000}}, {b: 60}],
-		['spills to its region when tokens come slowly in its own zone', {stepIn: {a: 80}}, {b: 60}],
-		['stays when they come as slowly everywhere in its region', {stepIn: {a: 80, b: 80}}, {a: 60}],
-		['keeps to its zone before the first reports of its servers, as just after a start', {neverReported: 'a'}, {a: 60}],
+		['spills to its region when tokens are slow in its own zone', {stepIn: {a: 80}}, {b: 60}],
+		['stays when tokens are as slow in its whole region', {stepIn: {a: 80, b: 80}}, {a: 60}],
+		['stays in its zone before the first reports of its servers, as just after a start', {neverReported: 'a'}, {a: 60}],
 		['never leaves its region', {usedIn: {a: 20, b: 20}}, {'no-memory': 60}],
-		['never goes to a zone whose hosts are all dead', {usedIn: {a: 20}, lives: {b: 'dead'}}, {'no-memory': 60}],
-		['never goes to servers that cannot be reached', {usedIn: {a: 20}, unreachable: 'b'}, {'no-memory': 60}],
-		['tries its own zone though polls say that none of it can be reached, when nothing else is left', {usedIn: {b: 20}, unreachable: 'a'}, {a: 60}],
-		['prefers a zone that can be reached to one that may not', {unreachable: 'a'}, {b: 60}],
-		['serves on in its own zone when it knows no living host', {lives: {a: 'suspect', b: 'dead', far: 'dead'}}, {a: 60}],
+		['never spills to a zone whose hosts are all dead', {usedIn: {a: 20}, lives: {b: 'dead'}}, {'no-memory': 60}],
+		['never spills to unreachable servers', {usedIn: {a: 20}, unreachable: 'b'}, {'no-memory': 60}],
+		['tries its own zone when no other is left, even if polls report all of its servers as unreachable', {usedIn: {b: 20}, unreachable: 'a'}, {a: 60}],
+		['prefers a reachable zone to one that may be unreachable', {unreachable: 'a'}, {b: 60}],
+		['keeps serving in its own zone when it knows no live host', {lives: {a: 'suspect', b: 'dead', far: 'dead'}}, {a: 60}],
 	];
 	for (const [name, change, expected] of rows) {
 		it(name, () => {
@@ -76,13 +76,13 @@
 		});
 	}
 
-	it('tries, for a zone without servers, those of the region though polls reach none, when nothing else is left', () => {
+	it('tries unreachable servers of the region for a zone without servers, when no others are left', () => {
 		const remote = toConfig(servers.filter(({zone}) => zone !== 'a'), {zones: config.zones});
 		const view = {...toFleet(1000, {unreachable: 'b'}), accepted: toView(remote, []).accepted};
 		assert.deepEqual(pickZones(createPlacement({zone: 'a'}), view, 1000), {b: 60});
 	});
 
-	it('tries what it ejected when its only other zone is cut off, rather than refuse', () => {
+	it('tries ejected servers rather than refuse when its only other zone is partitioned', () => {
 		const plains = ['a', 'b'].map(zone => toServer(`${zone}-plain`, 'plain', {zone, pool: 'web'}));
 		const pools = toConfig([...servers.filter(({id}) => /^[ab]-.1$/v.test(id)), ...plains], {zones: config.zones});
 		const view = {...toFleet(1000, {lives: {b: 'dead'}}), accepted: toView(pools, []).accepted};
@@ -96,7 +96,7 @@
 		assert.deepEqual(pickZones(placement, view, 1001), {a: 60});
 	});
 
-	it('uses a zone without living hosts only when nothing else is left, and while others reach its servers', () => {
+	it('uses a zone without live hosts only when no other is left, and while other hosts reach its servers', () => {
 		const toReached = (change: Change, reachableAt: number) => {
 			const view = toFleet(1000, {...change, lives: {b: 'dead'}});
 			return {...view, servers: new Map([...view.servers].map(([id, status]) => [id, {...status, reachableAt}]))};
@@ -107,7 +107,7 @@
 		assert.deepEqual(pickZones(createPlacement({zone: 'a'}), toReached({usedIn: {a: 20}}, -5000), 1000), {'no-memory': 60});
 	});
 
-	it('accounts for a large pool within a bound, and counts the rest', () => {
+	it('bounds the account of a large pool, and counts the servers that were left out', () => {
 		const many = Array.from({length: 600}, (_, i) => toServer(`s${i}`, i % 2 === 0 ? 'prefill' : 'decode', {zone: i < 400 ? 'a' : 'far'}));
 		const big = toConfig(many, {zones: config.zones});
 		const view = toView(big, many.map(entry => toStatus(entry, 1000)));
@@ -117,7 +117,7 @@
 		assert.equal(notLookedAt, 400 - 256);
 	});
 
-	it('returns little by little to a zone that was cut off', () => {
+	it('returns gradually to a zone that was partitioned', () => {
 		const placement = createPlacement({zone: 'a', health: {rampMs: 10_000, rampFrom: 0.1}});
 		const crowded = {queuedIn: {a: 9000}};
 		assert.deepEqual(pickZones(placement, toFleet(1000, {...crowded, lives: {b: 'dead'}}), 1000), {a: 60});
