--- a/src/domain/create-admission/_lib/create-lane.ts
+++ b/src/domain/create-admission/_lib/create-lane.ts
@@ -2,18 +2,18 @@
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type WorkspaceId} from '../../../ports/ids.js';
 import {createFairQueue, type FairQueue} from '../../create-fair-queue/index.js';
-import {createMean, type Mean} from './create-mean.js';
-import {createReturnTimes, type ReturnTimes} from './create-return-times.js';
+import {createMovingAverage, type MovingAverage} from './create-moving-average.js';
+import {createRetryTimes, type RetryTimes} from './create-retry-times.js';
 import {type AdmissionRequest, type PoolSettings, type QueuedRequest} from './types.js';
 
 export type Lane = {
 	queue: FairQueue<QueuedRequest>;
 	running: number;
 	/** Time for which a request holds its place. */
-	holdMs: Mean;
+	holdMs: MovingAverage;
 	/** Time from admission to the first token. */
-	firstTokenMs: Mean;
-	returnTimes: ReturnTimes;
+	firstTokenMs: MovingAverage;
+	retryTimes: RetryTimes;
 };
 
 /**
@@ -24,9 +24,9 @@
 	return {
 		queue: createFairQueue<QueuedRequest>({windowCost: settings.fairnessWindowCost}),
 		running: 0,
-		holdMs: createMean(settings.meanWeight),
-		firstTokenMs: createMean(settings.meanWeight),
-		returnTimes: createReturnTimes(),
+		holdMs: createMovingAverage(settings.meanWeight),
+		firstTokenMs: createMovingAverage(settings.meanWeight),
+		retryTimes: createRetryTimes(),
 	};
 }
 
--- a/src/domain/create-admission/_lib/create-mean.ts
+++ b/src/domain/create-admission/_lib/create-moving-average.ts
@@ -1,5 +1,5 @@
 /** A mean that forgets: each sample moves it by a fixed part of the distance. */
-export type Mean = {
+export type MovingAverage = {
 	add: (sample: number) => void;
 	/** `undefined` before the first sample. */
 	readonly value: number | undefined;
@@ -9,7 +9,7 @@
  * @param weight - part of the distance that one sample moves the mean, in (0, 1].
  * @returns the mean. Its first samples count as in a plain average, so that the start does not depend on one sample.
  */
-export function createMean(weight: number): Mean {
+export function createMovingAverage(weight: number): MovingAverage {
 	let mean: number | undefined;
 	let count = 0;
 
--- a/src/domain/create-admission/_lib/create-places.ts
+++ b/src/domain/create-admission/_lib/create-places.ts
@@ -22,7 +22,7 @@
 	noteBorrowed: () => void;
 	noteBounce: (running: number) => void;
 	/** Lets one request be tried after a bounce. */
-	allowTry: (running: number) => void;
+	allowProbe: (running: number) => void;
 };
 
 /** Time in which batch work may borrow its share of what is free once, however many reports tell of the same free places. */
@@ -38,7 +38,7 @@
 	/** Running requests when the last report came, to correct the report by what was started since. */
 	let runningAtReport = 0;
 	/** Batch requests that may start on borrowed places; grows with each report. */
-	let credit = 0;
+	let borrowCredit = 0;
 	/** Running requests beyond which the servers have just bounced one. */
 	let bouncedAbove = Infinity;
 	let reportedAt = -Infinity;
@@ -69,18 +69,18 @@
 			const spare = Math.max(0, freeInPool(running) - keptFree);
 			const part = Math.min(1, (now - reportedAt) / borrowEveryMs);
 			reportedAt = now;
-			credit = Math.min(spare, credit + (spare * next.share * borrowShare * part));
+			borrowCredit = Math.min(spare, borrowCredit + (spare * next.share * borrowShare * part));
 		},
 		hasRoom: running => capacity.slots > 0 && running < bouncedAbove && (running < own || freeInPool(running) >= 1),
-		canBorrow: () => credit >= 1,
+		canBorrow: () => borrowCredit >= 1,
 		noteBorrowed() {
-			credit = Math.max(0, credit - 1);
+			borrowCredit = Math.max(0, borrowCredit - 1);
 		},
 		noteBounce(running) {
 			// Others took the places that this process counted on: without this it would offer in a loop what bounces.
 			bouncedAbove = running;
 		},
-		allowTry(running) {
+		allowProbe(running) {
 			if (running >= bouncedAbove) {
 				bouncedAbove = running + 1;
 			}
--- a/src/domain/create-admission/_lib/create-pool.ts
+++ b/src/domain/create-admission/_lib/create-pool.ts
@@ -29,7 +29,7 @@
 const batchReviewMs = 250;
 
 /** Requests of this process under way from which the pace of a pool is told: the error of a smaller count is larger than what it tells. */
-const leastTelling = 4;
+const minDrainSamples = 4;
 
 type Running = {
 	lane: Lane;
@@ -68,7 +68,7 @@
 		return Math.min(occupied + variation, places.own * settings.slackShare);
 	}
 
-	function isBatchOwed(): boolean {
+	function isBatchDue(): boolean {
 		if (batch.queue.size === 0 || settings.batchShare === 0) {
 			return false;
 		}
@@ -84,14 +84,14 @@
 		const forQuick = Math.max(quick.running, reservedAt(now));
 		// Shares are not whole places: rounding to the nearest keeps the sum over the processes right.
 		return batch.running < guaranteed()
-			|| isBatchOwed()
+			|| isBatchDue()
 			|| batch.running + forQuick + (1 / 2) <= places.own
 			|| places.canBorrow();
 	}
 
 	function isAdmissible(lane: Lane, now: Milliseconds): boolean {
 		// Any place of the pool will do for quick work: a wrong guess costs one bounced reservation, a missed place costs the target.
-		return places.hasRoom(running.size) && (lane === quick ? !isBatchOwed() : isBatchAdmissible(now));
+		return places.hasRoom(running.size) && (lane === quick ? !isBatchDue() : isBatchAdmissible(now));
 	}
 
 	function start(lane: Lane, id: RequestId, now: Milliseconds): void {
@@ -124,15 +124,15 @@
 			return toRate(usable, batch.holdMs.value);
 		}
 
-		const owed = batch.queue.size > 0 ? Math.min(batch.running, places.own * settings.batchShare) : 0;
+		const guaranteedToBatch = batch.queue.size > 0 ? Math.min(batch.running, places.own * settings.batchShare) : 0;
 		// What quick work of other processes frees counts too, in the proportion of this one's share.
 		const freeing = places.isUsedKnown ? Math.max(quick.running, Math.min(quickOccupancy(now), places.own)) : quick.running;
-		return toRate(freeing, quick.holdMs.value) + toRate(batch.running - owed, batch.holdMs.value);
+		return toRate(freeing, quick.holdMs.value) + toRate(batch.running - guaranteedToBatch, batch.holdMs.value);
 	}
 
 	/** Whether other processes, whose use nobody reports, fill the pool, and what runs here is too little to show its pace. */
-	function isPaceUnknown(): boolean {
-		return !places.isUsedKnown && running.size < Math.min(leastTelling, places.own);
+	function isDrainRateUnknown(): boolean {
+		return !places.isUsedKnown && running.size < Math.min(minDrainSamples, places.own);
 	}
 
 	/**
@@ -141,7 +141,7 @@
 	 * was refused on arrival although hundreds ended elsewhere within its time.
 	 */
 	function toWaitMs(lane: Lane, ahead: number, now: Milliseconds): Milliseconds {
-		if (isPaceUnknown()) {
+		if (isDrainRateUnknown()) {
 			return 0;
 		}
 
@@ -158,7 +158,7 @@
 	}
 
 	function toRefusal(lane: Lane, reason: Refusal['reason'], now: Milliseconds): Refusal {
-		return {reason, retryAfterMs: lane.returnTimes.next(lane.queue.size, drainPerMs(lane, now), now)};
+		return {reason, retryAfterMs: lane.retryTimes.next(lane.queue.size, drainPerMs(lane, now), now)};
 	}
 
 	function offer(request: AdmissionRequest, now: Milliseconds): AdmissionAnswer {
@@ -214,7 +214,7 @@
 			places.noteBounce(running.size);
 			if (entry?.lane === quick) {
 				// It comes again, and would count twice in what quick work needs.
-				quickRate.takeBack(now);
+				quickRate.remove(now);
 			}
 		}
 
@@ -226,7 +226,7 @@
 		return admitNext(now);
 	}
 
-	function refuseHopeless(lane: Lane, now: Milliseconds): AdmissionTick['refused'] {
+	function refuseLate(lane: Lane, now: Milliseconds): AdmissionTick['refused'] {
 		const refused: Array<Refusal & {id: RequestId}> = [];
 		// Sorting a long queue of batch work costs more than its far deadlines need: look at it less often.
 		if (lane === batch && now - batchReviewedAt < batchReviewMs && places.slots > 0) {
@@ -269,9 +269,9 @@
 		cancel,
 		tick(now) {
 			// A place may have been freed by another process.
-			places.allowTry(running.size);
+			places.allowProbe(running.size);
 			const admitted = admitNext(now);
-			return {admitted, refused: [...refuseHopeless(quick, now), ...refuseHopeless(batch, now)]};
+			return {admitted, refused: [...refuseLate(quick, now), ...refuseLate(batch, now)]};
 		},
 		setCapacity,
 		meanHoldMs: () => quick.holdMs.value ?? batch.holdMs.value,
--- a/src/domain/create-admission/_lib/create-rate.ts
+++ b/src/domain/create-admission/_lib/create-rate.ts
@@ -4,7 +4,7 @@
 export type Rate = {
 	add: (now: Milliseconds) => void;
 	/** Takes back an event of a moment ago that will be added again. */
-	takeBack: (now: Milliseconds) => void;
+	remove: (now: Milliseconds) => void;
 	/** Events a millisecond. */
 	at: (now: Milliseconds) => number;
 };
@@ -17,22 +17,22 @@
 	let rate = 0;
 	let updatedAt = 0;
 
-	function fade(now: Milliseconds): void {
+	function decay(now: Milliseconds): void {
 		rate *= Math.exp(-Math.max(0, now - updatedAt) / memoryMs);
 		updatedAt = now;
 	}
 
 	return {
 		add(now) {
-			fade(now);
+			decay(now);
 			rate += 1 / memoryMs;
 		},
-		takeBack(now) {
-			fade(now);
+		remove(now) {
+			decay(now);
 			rate = Math.max(0, rate - (1 / memoryMs));
 		},
 		at(now) {
-			fade(now);
+			decay(now);
 			return rate;
 		},
 	};
--- a/src/domain/create-admission/_lib/create-return-times.ts
+++ b/src/domain/create-admission/_lib/create-retry-times.ts
@@ -7,7 +7,7 @@
 import {msPerSecond} from '../../../ports/units.js';
 import {toRetryAfter} from '../../to-retry-after/index.js';
 
-export type ReturnTimes = {
+export type RetryTimes = {
 	/** Gives one refused caller its delay; `ahead` requests wait already, `drainPerMs` leave in a millisecond. */
 	next: (ahead: number, drainPerMs: number, now: Milliseconds) => Milliseconds;
 };
@@ -16,17 +16,17 @@
 const maxExpected = 1000;
 
 /** @returns return times in constant memory. */
-export function createReturnTimes(): ReturnTimes {
+export function createRetryTimes(): RetryTimes {
 	/** Callers told to come back for whom the pool has not had the time yet. */
-	let expected = 0;
+	let expectedRetries = 0;
 	let updatedAt = 0;
 
 	return {
 		next(ahead, drainPerMs, now) {
-			expected = Math.max(0, expected - (drainPerMs * Math.max(0, now - updatedAt)));
+			expectedRetries = Math.max(0, expectedRetries - (drainPerMs * Math.max(0, now - updatedAt)));
 			updatedAt = now;
-			const retryAfterMs = toRetryAfter({ahead: ahead + expected + 1, drainPerSecond: drainPerMs * msPerSecond});
-			expected = Math.min(maxExpected, expected + 1);
+			const retryAfterMs = toRetryAfter({ahead: ahead + expectedRetries + 1, drainPerSecond: drainPerMs * msPerSecond});
+			expectedRetries = Math.min(maxExpected, expectedRetries + 1);
 			return retryAfterMs;
 		},
 	};
--- a/src/domain/create-crash-suspects/index.ts
+++ b/src/domain/create-crash-suspects/index.ts
@@ -57,10 +57,10 @@
 const maxAnsweringServers = 8192;
 
 /** Time for which a request's first crash is told of: until then it has come to all hosts, or was a victim. */
-const freshMs: Milliseconds = 5 * msPerSecond;
+const freshCrashMs: Milliseconds = 5 * msPerSecond;
 
 /** Crashes from which on a request is told of for as long as it is remembered. */
-const leastToRepeat = 2;
+const minCrashesToRepeat = 2;
 
 /**
  * Creates the memory of a host that has seen nothing yet.
@@ -83,14 +83,14 @@
 	/** Start of the latest call that each server answered. */
 	const answeredAt = new Map<ServerId, Milliseconds>();
 	const changed = new Set<Fingerprint>();
-	let firstReported = 0;
+	let reportOffset = 0;
 
 	const isCrash = ({clearedAt}: Suspect, server: ServerId, at: Milliseconds): boolean =>
 		at > clearedAt && at >= (answeredAt.get(server) ?? -Infinity);
 
 	const toCrashes = (suspect: Suspect): Array<[ServerId, Milliseconds]> => [...suspect.crashes].filter(([server, at]) => isCrash(suspect, server, at));
 
-	const isEnough = (suspect: Suspect): boolean => toCrashes(suspect).length >= crashesToQuarantine;
+	const hasEnoughCrashes = (suspect: Suspect): boolean => toCrashes(suspect).length >= crashesToQuarantine;
 
 	function forget(fingerprint: Fingerprint): void {
 		suspects.delete(fingerprint);
@@ -113,8 +113,8 @@
 		}
 
 		const [oldest] = suspects.keys();
-		const [victim = oldest] = [...suspects].find(([, suspect]) => !isEnough(suspect)) ?? [];
-		forget(victim!);
+		const [evicted = oldest] = [...suspects].find(([, suspect]) => !hasEnoughCrashes(suspect)) ?? [];
+		forget(evicted!);
 	}
 
 	/** Puts the request behind all others that were seen before. */
@@ -154,7 +154,7 @@
 	/** Whether the change makes the request a quarantined one. */
 	function noteCrashes(fingerprint: Fingerprint, {seenAt, crashes}: {seenAt: Milliseconds; crashes: ReadonlyArray<[ServerId, Milliseconds]>}, now: Milliseconds): boolean {
 		const suspect = touch(fingerprint, seenAt, now);
-		const wasEnough = isEnough(suspect);
+		const hadEnoughCrashes = hasEnoughCrashes(suspect);
 		const added = crashes.filter(([server, at]) => addCrash(suspect, server, at));
 		if (added.length > 0) {
 			changed.add(fingerprint);
@@ -162,7 +162,7 @@
 			forget(fingerprint);
 		}
 
-		return !wasEnough && isEnough(suspect);
+		return !hadEnoughCrashes && hasEnoughCrashes(suspect);
 	}
 
 	function toReport(fingerprint: Fingerprint, suspect: Suspect, now: Milliseconds): CrashReport {
@@ -218,7 +218,7 @@
 		},
 		isQuarantined(fingerprint, now) {
 			const suspect = find(fingerprint, now);
-			return suspect !== undefined && isEnough(suspect);
+			return suspect !== undefined && hasEnoughCrashes(suspect);
 		},
 		crashedServers(fingerprint, now) {
 			const suspect = find(fingerprint, now);
@@ -226,12 +226,12 @@
 		},
 		toReports(now, {leastFresh, limit}) {
 			sweep(now);
-			const told = [...suspects]
+			const reportable = [...suspects]
 				.map(([fingerprint, suspect]) => ({fingerprint, suspect, crashes: toCrashes(suspect)}))
-				.filter(({crashes}) => crashes.length >= leastToRepeat || (crashes.length >= leastFresh && crashes.some(([, at]) => now - at <= freshMs)));
-			firstReported = told.length <= limit ? 0 : (firstReported + limit) % told.length;
-			return [...told, ...told]
-				.slice(firstReported, firstReported + Math.min(limit, told.length))
+				.filter(({crashes}) => crashes.length >= minCrashesToRepeat || (crashes.length >= leastFresh && crashes.some(([, at]) => now - at <= freshCrashMs)));
+			reportOffset = reportable.length <= limit ? 0 : (reportOffset + limit) % reportable.length;
+			return [...reportable, ...reportable]
+				.slice(reportOffset, reportOffset + Math.min(limit, reportable.length))
 				.map(({fingerprint, suspect}) => toReport(fingerprint, suspect, now));
 		},
 		takeChanged(now, limit) {
@@ -244,7 +244,7 @@
 		},
 		count(now) {
 			sweep(now);
-			return {suspects: suspects.size, quarantined: [...suspects.values()].filter(suspect => isEnough(suspect)).length};
+			return {suspects: suspects.size, quarantined: [...suspects.values()].filter(suspect => hasEnoughCrashes(suspect)).length};
 		},
 	};
 }
--- a/src/domain/create-fair-queue/index.ts
+++ b/src/domain/create-fair-queue/index.ts
@@ -64,15 +64,15 @@
 	const windowCost = options.windowCost ?? 0;
 	const waiting = new Map<WorkspaceId, WorkspaceState<Item>>();
 	/** Where workspaces that were just emptied had got to, so that coming back does not forgive what they took. */
-	const resting = new Map<WorkspaceId, number>();
+	const idleStarts = new Map<WorkspaceId, number>();
 	const workspaceOf = new Map<RequestId, WorkspaceId>();
 	let virtualTime = 0;
 
 	function push(item: Item): void {
 		let state = waiting.get(item.workspace);
 		if (state === undefined) {
-			state = {start: Math.max(virtualTime, resting.get(item.workspace) ?? 0), items: []};
-			resting.delete(item.workspace);
+			state = {start: Math.max(virtualTime, idleStarts.get(item.workspace) ?? 0), items: []};
+			idleStarts.delete(item.workspace);
 			waiting.set(item.workspace, state);
 		}
 
@@ -90,7 +90,7 @@
 		workspaceOf.delete(item.id);
 		virtualTime = Math.max(virtualTime, state.start);
 		state.start += item.cost;
-		rest(item.workspace, state);
+		retireIfEmpty(item.workspace, state);
 		return item;
 	}
 
@@ -104,11 +104,11 @@
 
 		workspaceOf.delete(id);
 		const [item] = state.items.splice(index, 1);
-		rest(workspace, state);
+		retireIfEmpty(workspace, state);
 		return item;
 	}
 
-	function rest(workspace: WorkspaceId, state: WorkspaceState<Item>): void {
+	function retireIfEmpty(workspace: WorkspaceId, state: WorkspaceState<Item>): void {
 		if (state.items.length > 0) {
 			return;
 		}
@@ -116,14 +116,14 @@
 		waiting.delete(workspace);
 		if (waiting.size === 0) {
 			// Nobody waits: nobody is owed anything, and no state needs to be kept.
-			resting.clear();
+			idleStarts.clear();
 			virtualTime = 0;
 			return;
 		}
 
-		resting.set(workspace, state.start);
-		if (resting.size > 2 * waiting.size) {
-			forgetPassed(resting, virtualTime);
+		idleStarts.set(workspace, state.start);
+		if (idleStarts.size > 2 * waiting.size) {
+			dropPassed(idleStarts, virtualTime);
 		}
 	}
 
@@ -143,7 +143,7 @@
 	function countBefore(item: Item): number {
 		const own = waiting.get(item.workspace);
 		const ownBefore = own === undefined ? [] : own.items.filter(other => other.deadline <= item.deadline);
-		const first = own?.start ?? Math.max(virtualTime, resting.get(item.workspace) ?? 0);
+		const first = own?.start ?? Math.max(virtualTime, idleStarts.get(item.workspace) ?? 0);
 		const start = first + sumOfCosts(ownBefore);
 		let count = ownBefore.length;
 		for (const [workspace, state] of waiting) {
@@ -166,7 +166,7 @@
 			return workspaceOf.size;
 		},
 		get workspaces() {
-			return waiting.size + resting.size;
+			return waiting.size + idleStarts.size;
 		},
 	};
 }
@@ -233,10 +233,10 @@
 	items.splice(low, 0, item);
 }
 
-function forgetPassed(resting: Map<WorkspaceId, number>, virtualTime: number): void {
-	for (const [workspace, start] of resting) {
+function dropPassed(idleStarts: Map<WorkspaceId, number>, virtualTime: number): void {
+	for (const [workspace, start] of idleStarts) {
 		if (start <= virtualTime) {
-			resting.delete(workspace);
+			idleStarts.delete(workspace);
 		}
 	}
 }
--- a/src/domain/create-inter-token-latency/index.ts
+++ b/src/domain/create-inter-token-latency/index.ts
@@ -12,7 +12,7 @@
 };
 
 /** Tokens of one stream that came one after the other. */
-export type SeenTokens = {
+export type ObservedTokens = {
 	tokens: number;
 	/** Time from the token before the first of them to the last. */
 	tookMs: Milliseconds;
@@ -50,7 +50,7 @@
 	const toWeight = (track: Track, now: Milliseconds): number => track.weight * (0.5 ** (Math.max(0, now - track.at) / halfLifeMs));
 
 	return {
-		note(server: ServerId, {tokens, tookMs}: SeenTokens, now: Milliseconds): void {
+		note(server: ServerId, {tokens, tookMs}: ObservedTokens, now: Milliseconds): void {
 			if (tokens <= 0) {
 				return;
 			}
--- a/src/domain/create-leaving-overrides/index.ts
+++ b/src/domain/create-leaving-overrides/index.ts
@@ -38,20 +38,20 @@
 	forget: (server: ServerId) => void;
 };
 
-type Hold = {
+type Override = {
 	probeAt: Milliseconds;
 	/** Probes refused, and holds that began again soon after a probe was accepted. */
 	failures: number;
-	/** Whether the server said so itself, or the list, since; the end of that ends the hold. */
-	saidItself: boolean;
-	listed: boolean;
+	/** Whether the server said so itself, or the list, since; the end of that ends the override. */
+	hasReportedLeaving: boolean;
+	wasListedLeaving: boolean;
 };
 
 const defaultFirstProbeMs = 5 * msPerSecond;
 const defaultMaxProbeMs = 5 * msPerMinute;
 
-/** A hold that begins so soon after an accepted probe ended the last goes on with its delay. */
-const memoryMs = msPerMinute;
+/** A override that begins so soon after an accepted probe ended the last goes on with its delay. */
+const repeatWindowMs = msPerMinute;
 
 /**
  * Creates it. A server that refuses work as leaving and reports `serving` would
@@ -72,99 +72,99 @@
  * @returns See {@link LeavingOverrides}.
  *
  * @example
- * const hold = createLeaveHold();
- * hold.noteRefusal('d1', now);
- * hold.judge(report, now, context).state; // 'leaving'
+ * const override = createLeaveHold();
+ * override.noteRefusal('d1', now);
+ * override.judge(report, now, context).state; // 'leaving'
  */
 export function createLeavingOverrides({firstProbeMs = defaultFirstProbeMs, maxProbeMs = defaultMaxProbeMs}: LeavingOverridesOptions = {}): LeavingOverrides {
-	const holds = new Map<ServerId, Hold>();
-	const ended = new Map<ServerId, {at: Milliseconds; failures: number}>();
+	const overrides = new Map<ServerId, Override>();
+	const endedOverrides = new Map<ServerId, {at: Milliseconds; failures: number}>();
 	const polled = new Set<ServerId>();
 
 	const toDelay = (failures: number): Milliseconds => Math.min(maxProbeMs, firstProbeMs * (2 ** Math.min(failures, 20)));
 
-	function begin(server: ServerId, now: Milliseconds): Hold {
-		const last = ended.get(server);
-		const failures = last !== undefined && now - last.at < memoryMs ? last.failures + 1 : 0;
-		const hold = {
-			probeAt: now + toDelay(failures), failures, saidItself: false, listed: false,
+	function start(server: ServerId, now: Milliseconds): Override {
+		const last = endedOverrides.get(server);
+		const failures = last !== undefined && now - last.at < repeatWindowMs ? last.failures + 1 : 0;
+		const override = {
+			probeAt: now + toDelay(failures), failures, hasReportedLeaving: false, wasListedLeaving: false,
 		};
-		holds.set(server, hold);
-		return hold;
+		overrides.set(server, override);
+		return override;
 	}
 
-	/** The hold that counts for a report; one that others ended, or began, while they polled the server, is taken as they left it. */
-	function findHold({server, state}: LoadReport, now: Milliseconds, {wasLeaving, previousState: stateBefore}: ReportContext): Hold | undefined {
+	/** The override that counts for a report; one that others ended, or began, while they polled the server, is taken as they left it. */
+	function findOverride({server, state}: LoadReport, now: Milliseconds, {wasLeaving, previousState: stateBefore}: ReportContext): Override | undefined {
 		const isFirst = !polled.has(server);
 		polled.add(server);
-		const hold = holds.get(server);
-		if (hold !== undefined && isFirst && !wasLeaving) {
-			holds.delete(server);
+		const override = overrides.get(server);
+		if (override !== undefined && isFirst && !wasLeaving) {
+			overrides.delete(server);
 			return undefined;
 		}
 
-		const isNew = hold === undefined && (state === 'leaving' || (isFirst && stateBefore === 'leaving'));
-		return isNew ? begin(server, now) : hold;
+		const isNew = override === undefined && (state === 'leaving' || (isFirst && stateBefore === 'leaving'));
+		return isNew ? start(server, now) : override;
 	}
 
 	return {
 		noteRefusal(server, now) {
-			if (!holds.has(server)) {
-				begin(server, now);
+			if (!overrides.has(server)) {
+				start(server, now);
 			}
 		},
 		toEffectiveReport(load, now, context) {
-			const hold = findHold(load, now, context);
-			if (hold === undefined) {
+			const override = findOverride(load, now, context);
+			if (override === undefined) {
 				return load;
 			}
 
 			const isListed = context.isListedLeaving();
-			const isOver = (hold.saidItself && load.state === 'serving') || (hold.listed && !isListed);
+			const isOver = (override.hasReportedLeaving && load.state === 'serving') || (override.wasListedLeaving && !isListed);
 			if (isOver) {
-				holds.delete(load.server);
+				overrides.delete(load.server);
 				return load;
 			}
 
-			hold.saidItself ||= load.state === 'leaving';
-			hold.listed ||= isListed;
+			override.hasReportedLeaving ||= load.state === 'leaving';
+			override.wasListedLeaving ||= isListed;
 			return load.state === 'serving' ? {...load, state: 'leaving'} : load;
 		},
 		noteUnreachable(server, now) {
-			const hold = holds.get(server);
-			if (hold !== undefined) {
-				hold.probeAt = Math.min(hold.probeAt, now);
+			const override = overrides.get(server);
+			if (override !== undefined) {
+				override.probeAt = Math.min(override.probeAt, now);
 			}
 		},
 		takeProbe(server, now) {
-			const hold = holds.get(server);
+			const override = overrides.get(server);
 			// A server that says itself that it leaves, or is listed so, needs no asking.
-			if (hold === undefined || hold.saidItself || hold.listed || now < hold.probeAt) {
+			if (override === undefined || override.hasReportedLeaving || override.wasListedLeaving || now < override.probeAt) {
 				return false;
 			}
 
-			hold.probeAt = Infinity;
+			override.probeAt = Infinity;
 			return true;
 		},
 		noteProbeResult(server, isAccepted, now) {
-			const hold = holds.get(server);
-			if (hold === undefined) {
+			const override = overrides.get(server);
+			if (override === undefined) {
 				return;
 			}
 
 			if (isAccepted) {
-				ended.set(server, {at: now, failures: hold.failures});
-				holds.delete(server);
+				endedOverrides.set(server, {at: now, failures: override.failures});
+				overrides.delete(server);
 				return;
 			}
 
-			hold.failures += 1;
-			hold.probeAt = now + toDelay(hold.failures);
+			override.failures += 1;
+			override.probeAt = now + toDelay(override.failures);
 		},
 		forget(server) {
 			polled.delete(server);
-			holds.delete(server);
-			ended.delete(server);
+			overrides.delete(server);
+			endedOverrides.delete(server);
 		},
 	};
 }
--- a/src/domain/create-load-broadcast/_lib/pack.ts
+++ b/src/domain/create-load-broadcast/_lib/pack.ts
@@ -9,7 +9,7 @@
 	/** Hash of the server's name. */
 	server: number;
 	/** Hash of the part that seldom changes; a receiver that has another one asks for the whole report. */
-	rest: number;
+	staticHash: number;
 	state: LoadReport['state'] | 'unreachable';
 	slotsUsed: number;
 	queued: number;
@@ -25,7 +25,7 @@
 const ageUnitMs = 50;
 
 /** Hash of the part of a report that seldom changes. */
-export function toRest({role, model, version, adapters, slotsTotal, fence}: LoadReport): number {
+export function toStaticHash({role, model, version, adapters, slotsTotal, fence}: LoadReport): number {
 	return toHash32([role, model, version, ...adapters, slotsTotal, fence].join('\n')) % (2 ** 16);
 }
 
@@ -36,7 +36,7 @@
 	for (const [i, delta] of deltas.entries()) {
 		const at = i * deltaBytes;
 		view.setUint32(at, delta.server);
-		view.setUint16(at + 4, delta.rest);
+		view.setUint16(at + 4, delta.staticHash);
 		view.setUint8(at + 6, states.indexOf(delta.state));
 		view.setUint16(at + 7, Math.min(65_535, delta.slotsUsed));
 		view.setUint16(at + 9, Math.min(65_535, delta.queued));
@@ -56,7 +56,7 @@
 		.filter(at => view.getUint8(at + 6) < states.length)
 		.map(at => ({
 			server: view.getUint32(at),
-			rest: view.getUint16(at + 4),
+			staticHash: view.getUint16(at + 4),
 			state: states[view.getUint8(at + 6)]!,
 			slotsUsed: view.getUint16(at + 7),
 			queued: view.getUint16(at + 9),
--- a/src/domain/create-load-broadcast/index.ts
+++ b/src/domain/create-load-broadcast/index.ts
@@ -8,7 +8,7 @@
 import {type LoadReport} from '../../ports/engine.js';
 import {type ServerId} from '../../ports/ids.js';
 import {
-	packDeltas, toRest, unpackDeltas, type LoadDelta,
+	packDeltas, toStaticHash, unpackDeltas, type LoadDelta,
 } from './_lib/pack.js';
 
 /** What one message costs besides its deltas: frame (36), IP and TCP headers, and the acknowledgement (104). */
@@ -36,7 +36,7 @@
 	load: LoadReport | undefined;
 	loadAt: Milliseconds;
 	/** Start of the polls that did not reach it; `undefined` while it is reached. */
-	lostAt: Milliseconds | undefined;
+	unreachableSince: Milliseconds | undefined;
 	sent: string;
 	sentAt: Milliseconds;
 };
@@ -58,17 +58,17 @@
 	const polled = new Map<ServerId, Polled>();
 	let nextAt = -Infinity;
 
-	function toDelta(server: ServerId, {load, loadAt, lostAt}: Polled, now: Milliseconds): LoadDelta {
+	function toDelta(server: ServerId, {load, loadAt, unreachableSince}: Polled, now: Milliseconds): LoadDelta {
 		return {
 			server: toHash32(server),
-			rest: load ? toRest(load) : 0,
-			state: lostAt === undefined ? load!.state : 'unreachable',
+			staticHash: load ? toStaticHash(load) : 0,
+			state: unreachableSince === undefined ? load!.state : 'unreachable',
 			slotsUsed: load?.slotsUsed ?? 0,
 			queued: load?.queued ?? 0,
 			queuedTokens: load?.queuedTokens ?? 0,
 			tokensPerSecond: load?.tokensPerSecond ?? 0,
 			linkBytesPerSecond: load?.linkBytesPerSecond ?? 0,
-			ageMs: now - (lostAt ?? loadAt),
+			ageMs: now - (unreachableSince ?? loadAt),
 		};
 	}
 
@@ -76,13 +76,13 @@
 		notePolled(load, loadAt) {
 			const {sent = '', sentAt = -Infinity} = polled.get(load.server) ?? {};
 			polled.set(load.server, {
-				load, loadAt, lostAt: undefined, sent, sentAt,
+				load, loadAt, unreachableSince: undefined, sent, sentAt,
 			});
 		},
 		noteUnreachable(server, askedAt) {
 			const {load, loadAt = 0, sent = '', sentAt = -Infinity} = polled.get(server) ?? {};
 			polled.set(server, {
-				load, loadAt, lostAt: askedAt, sent, sentAt,
+				load, loadAt, unreachableSince: askedAt, sent, sentAt,
 			});
 		},
 		forget(server) {
@@ -95,12 +95,12 @@
 
 			const due = [...polled].flatMap(([server, entry]) => {
 				const delta = toDelta(server, entry, now);
-				const shown = packDeltas([{...delta, ageMs: 0}]).join(' ');
-				if (shown === entry.sent && now - entry.sentAt < refreshMs) {
+				const content = packDeltas([{...delta, ageMs: 0}]).join(' ');
+				if (content === entry.sent && now - entry.sentAt < refreshMs) {
 					return [];
 				}
 
-				entry.sent = shown;
+				entry.sent = content;
 				entry.sentAt = now;
 				return [delta];
 			});
@@ -143,7 +143,7 @@
 	const loads: LoadReport[] = [];
 	const unreachable: Array<{server: ServerId; ageMs: Milliseconds}> = [];
 	const wanted: number[] = [];
-	for (const {server: hash, rest, state, ...numbers} of unpackDeltas(bytes)) {
+	for (const {server: hash, staticHash, state, ...numbers} of unpackDeltas(bytes)) {
 		const server = findServer(hash);
 		if (server === undefined) {
 			continue;
@@ -152,7 +152,7 @@
 		const known = findLoad(server);
 		if (state === 'unreachable') {
 			unreachable.push({server, ageMs: numbers.ageMs});
-		} else if (known && toRest(known) === rest) {
+		} else if (known && toStaticHash(known) === staticHash) {
 			loads.push({...known, ...numbers, state});
 		} else {
 			wanted.push(hash);
--- a/src/domain/create-load-estimate/index.ts
+++ b/src/domain/create-load-estimate/index.ts
@@ -67,7 +67,7 @@
  * calls: left out for as long as a report counts, one refusal in a burst would
  * take the server away for seconds.
  */
-const fullUnreportedMs = 50;
+const fullWithoutReportMs = 50;
 const defaultTokensPerSecond = 8000;
 const defaultStreamTokensPerSecond = 50;
 const defaultLinkBytesPerSecond = 1_000_000_000;
@@ -89,7 +89,7 @@
 	fullAt: -Infinity,
 });
 
-const toDrained = (track: Track, now: Milliseconds): number => {
+const toRemainingBacklog = (track: Track, now: Milliseconds): number => {
 	const elapsedMs = Math.max(0, now - track.backlogAt);
 	return elapsedMs === Infinity ? 0 : Math.max(0, track.backlogTokens - (elapsedMs * track.drainPerSecond / msPerSecond));
 };
@@ -135,7 +135,7 @@
 	/** Adds to the backlog as it stands then; it never falls below nothing. */
 	const addTokens = (track: Track, {at, tokens}: Change): void => {
 		if (tokens !== 0) {
-			track.backlogTokens = Math.max(0, toDrained(track, at) + tokens);
+			track.backlogTokens = Math.max(0, toRemainingBacklog(track, at) + tokens);
 			track.backlogAt = at;
 		}
 	};
@@ -182,11 +182,11 @@
 
 		const slotsTotal = report !== undefined && report.slotsTotal > 0 ? report.slotsTotal : entry.slots;
 		const corrected = isUnknown ? track.own : Math.max(track.own, report.slotsUsed + track.slotsSince);
-		const isFull = track.fullAt > track.reportAt && now - track.fullAt <= (report === undefined ? fullUnreportedMs : staleAfterMs);
+		const isFull = track.fullAt > track.reportAt && now - track.fullAt <= (report === undefined ? fullWithoutReportMs : staleAfterMs);
 		return {
 			slotsTotal,
 			slotsUsed: isFull ? Math.max(slotsTotal, corrected) : corrected,
-			backlogTokens: Math.max(toDrained(track, now), toOwnBacklog(track)),
+			backlogTokens: Math.max(toRemainingBacklog(track, now), toOwnBacklog(track)),
 			tokensPerSecond,
 			linkBytesPerSecond: report !== undefined && report.linkBytesPerSecond > 0 ? report.linkBytesPerSecond : assumedLink,
 			transfers: track.transfers,
--- a/src/domain/create-pause-guard/index.ts
+++ b/src/domain/create-pause-guard/index.ts
@@ -37,19 +37,19 @@
  * ```
  */
 export function createPauseGuard({limitMs, startedAt}: {limitMs: Milliseconds; startedAt: Milliseconds}): PauseGuard {
-	let seenAt = startedAt;
+	let lastCallAt = startedAt;
 	let pauseStart = -Infinity;
 	let pauseEnd = -Infinity;
 
 	function note(now: Milliseconds): Milliseconds {
-		const gap = now - seenAt;
+		const gap = now - lastCallAt;
 		const isPause = gap > limitMs;
 		if (isPause) {
-			pauseStart = seenAt;
+			pauseStart = lastCallAt;
 			pauseEnd = now;
 		}
 
-		seenAt = Math.max(seenAt, now);
+		lastCallAt = Math.max(lastCallAt, now);
 		return isPause ? gap : 0;
 	}
 
--- a/src/domain/create-placement/_lib/create-candidates.ts
+++ b/src/domain/create-placement/_lib/create-candidates.ts
@@ -27,7 +27,7 @@
 	const slowness = createSlowness();
 
 	const readLoad = (entry: ServerEntry, {view, now}: Search): ServerLoad =>
-		spills.fill(entry, loads.read(entry, view.servers.get(entry.id), now), view, now);
+		spills.fillUnknownLoad(entry, loads.read(entry, view.servers.get(entry.id), now), view, now);
 
 	const toSlowdown = (entry: ServerEntry, load: ServerLoad, search: Search): Pick<Candidate, 'stepMs' | 'slowdownMs'> =>
 		entry.role === 'decode'
--- a/src/domain/create-placement/_lib/create-feedback.ts
+++ b/src/domain/create-placement/_lib/create-feedback.ts
@@ -8,7 +8,7 @@
 import {type PrefixMap} from '../../create-prefix-map/index.js';
 import {type PrefillThroughput} from '../../create-prefill-throughput/index.js';
 import {type SharedLoads} from '../../create-shared-loads/index.js';
-import {type SeenTokens, type InterTokenLatency} from '../../create-inter-token-latency/index.js';
+import {type ObservedTokens, type InterTokenLatency} from '../../create-inter-token-latency/index.js';
 import {type SplitEstimate} from '../../create-split-estimate/index.js';
 import {type HealthSubject, type ServerHealth} from '../../create-server-health/index.js';
 import {type AnswerLengths} from './create-answer-lengths.js';
@@ -183,7 +183,7 @@
 			}
 		},
 		/** Records tokens of a stream. Call this repeatedly while the stream runs, so that a slow server is noticed before its streams end. */
-		noteTokens(placement: Placement, seen: SeenTokens, now: Milliseconds): void {
+		noteTokens(placement: Placement, seen: ObservedTokens, now: Milliseconds): void {
 			const progress = running.get(placement);
 			if (progress !== undefined) {
 				running.set(placement, {...progress, tokens: progress.tokens + seen.tokens});
--- a/src/domain/create-placement/_lib/create-spill-search.ts
+++ b/src/domain/create-placement/_lib/create-spill-search.ts
@@ -48,7 +48,7 @@
  */
 export const createSpillSearch = ({draws, spills, searchPair}: SpillSearchOptions) => {
 	const chooseZone = (search: Search, except: ReadonlySet<ZoneId>): SpillChoice => spills.choose({
-		pool: search.pool, zones: search.servers.otherZones, view: search.view, now: search.now, random: search.random, waitLimitMs: search.firstTokenBudgetMs, except,
+		pool: search.pool, zones: search.servers.otherZones, view: search.view, now: search.now, random: search.random, waitLimitMs: search.firstTokenBudgetMs, excluded: except,
 	});
 
 	return {
--- a/src/domain/create-placement/index.ts
+++ b/src/domain/create-placement/index.ts
@@ -176,7 +176,7 @@
 
 		eligibility.sweep(view, pools.servers, now);
 		subsets.refresh(view, now);
-		spills.look(view, eligibility.partitionedZones(), now);
+		spills.update(view, eligibility.partitionedZones(), now);
 		return {
 			...('model' in request ? toModelNeeds(request) : toPlainNeeds(request)),
 			pool: request.pool,
--- a/src/domain/create-prefill-throughput/index.ts
+++ b/src/domain/create-prefill-throughput/index.ts
@@ -15,13 +15,13 @@
  * work off a server that seems busy for longer than it is, too high a one sends
  * a burst to one server; the first few prompts correct either.
  */
-const firstPace = 20;
+const initialTokensPerMs = 20;
 
 /** Weight of the newest prompt. Hearsay of other hosts is some milliseconds late, so a server thought idle may not have been. */
 const gain = 0.2;
 
 /** Shorter calls say more of the network than of the server. */
-const leastMs: Milliseconds = 5;
+const minCallMs: Milliseconds = 5;
 
 /**
  * Creates the record of one host.
@@ -36,19 +36,19 @@
  * ```
  */
 export function createPrefillThroughput(): PrefillThroughput {
-	const paces = new Map<ServerId, number>();
+	const throughputs = new Map<ServerId, number>();
 	/** Of all servers, for those that have computed nothing yet. */
-	let common: number | undefined;
+	let overall: number | undefined;
 	return {
 		note(server, promptTokens, tookMs) {
-			const seen = promptTokens / Math.max(leastMs, tookMs);
-			const known = paces.get(server);
-			paces.set(server, known === undefined ? seen : known + (gain * (seen - known)));
-			common = common === undefined ? seen : common + (gain * (seen - common));
+			const measured = promptTokens / Math.max(minCallMs, tookMs);
+			const known = throughputs.get(server);
+			throughputs.set(server, known === undefined ? measured : known + (gain * (measured - known)));
+			overall = overall === undefined ? measured : overall + (gain * (measured - overall));
 		},
-		read: server => paces.get(server) ?? common ?? firstPace,
+		read: server => throughputs.get(server) ?? overall ?? initialTokensPerMs,
 		forget(server) {
-			paces.delete(server);
+			throughputs.delete(server);
 		},
 	};
 }
--- a/src/domain/create-retry-budget/index.ts
+++ b/src/domain/create-retry-budget/index.ts
@@ -96,18 +96,18 @@
 	const {perSuccess = 0.1, perSecond = 0.5, capacity = 10, toCapacity = () => capacity, maxAttempts = 3, notRunCost = 0.25, isEarnedOnly = () => false} = options;
 	const notOfferedCost = options.notOfferedCost ?? notRunCost;
 	/** Retries that were made and not paid for yet: the bucket is full without any, however large it is by then. */
-	let owed = 0;
+	let debt = 0;
 	/** What successes and time have paid for since the start, without what was spent of it. */
 	let earned = 0;
 	let filledAt: Milliseconds | undefined;
 
 	function earn(retries: number): void {
-		owed = Math.max(0, owed - retries);
+		debt = Math.max(0, debt - retries);
 		earned = Math.min(toCapacity(), earned + retries);
 	}
 
 	function spend(cost: number): void {
-		owed += cost;
+		debt += cost;
 		earned = Math.max(0, earned - cost);
 	}
 
@@ -119,7 +119,7 @@
 
 	function toAvailable(now: Milliseconds): number {
 		fill(now);
-		const saved = toCapacity() - owed;
+		const saved = toCapacity() - debt;
 		return isEarnedOnly(now) ? Math.min(saved, earned) : saved;
 	}
 
@@ -132,7 +132,7 @@
 	};
 
 	function findReason(failed: FailedAttempt, now: Milliseconds): NoRetryReason | undefined {
-		const refusal = findFinalReason(failed);
+		const refusal = findPermanentReason(failed);
 		if (refusal !== undefined) {
 			return refusal;
 		}
@@ -184,7 +184,7 @@
 }
 
 /** What bars another attempt for good, whatever the budget. */
-function findFinalReason(failed: FailedAttempt): NoRetryReason | undefined {
+function findPermanentReason(failed: FailedAttempt): NoRetryReason | undefined {
 	if (failed.outcome === 'ran') {
 		return 'ran';
 	}
--- a/src/domain/create-server-cooldowns/index.ts
+++ b/src/domain/create-server-cooldowns/index.ts
@@ -10,11 +10,11 @@
 import {msPerSecond} from '../../ports/units.js';
 
 /** Doubt after the first failure; it doubles with each that follows, and one success ends it. */
-const firstDoubtMs = msPerSecond;
-const maxDoubtMs = 8 * msPerSecond;
+const firstCooldownMs = msPerSecond;
+const maxCooldownMs = 8 * msPerSecond;
 
 /** Servers of a zone that must be in doubt for the way to the zone to be: one may have failed by itself. */
-const zoneServers = 2;
+const minServersForZone = 2;
 
 export type ServerCooldownsOptions = {
 	/** Zone of the host, to which the way is never in doubt. */
@@ -23,7 +23,7 @@
 	isZoneSilent?: (zone: ZoneId, now: Milliseconds) => boolean;
 };
 
-type Doubt = {zone: ZoneId; failures: number; until: Milliseconds; hasAnswered: boolean};
+type Cooldown = {zone: ZoneId; failures: number; until: Milliseconds; hasAnswered: boolean};
 
 export type ServerCooldowns = {
 	noteFailure: (server: ServerEntry, now: Milliseconds) => void;
@@ -51,7 +51,7 @@
  * ```
  */
 export function createServerCooldowns({zone, isZoneSilent = () => false}: ServerCooldownsOptions): ServerCooldowns {
-	const doubts = new Map<ServerId, Doubt>();
+	const cooldowns = new Map<ServerId, Cooldown>();
 	const failedAt = new Map<ZoneId, Milliseconds>();
 	const succeededAt = new Map<ZoneId, Milliseconds>();
 
@@ -62,31 +62,31 @@
 	 * doubts of servers alone, which end after a second, the hosts of a zone that
 	 * was cut off for six tried what lay behind the cut a hundred times, 300 ms each.
 	 */
-	function isCutOff(other: ZoneId, now: Milliseconds): boolean {
+	function isPartitioned(other: ZoneId, now: Milliseconds): boolean {
 		return (failedAt.get(other) ?? -Infinity) > (succeededAt.get(other) ?? -Infinity) && isZoneSilent(other, now);
 	}
 
-	function isZoneDoubted(other: ZoneId, now: Milliseconds): boolean {
+	function isZoneInCooldown(other: ZoneId, now: Milliseconds): boolean {
 		if (other === zone) {
 			return false;
 		}
 
-		if (isCutOff(other, now)) {
+		if (isPartitioned(other, now)) {
 			return true;
 		}
 
 		let count = 0;
-		for (const doubt of doubts.values()) {
-			count += doubt.zone === other && !doubt.hasAnswered && doubt.until > now ? 1 : 0;
+		for (const cooldown of cooldowns.values()) {
+			count += cooldown.zone === other && !cooldown.hasAnswered && cooldown.until > now ? 1 : 0;
 		}
 
-		return count >= zoneServers;
+		return count >= minServersForZone;
 	}
 
 	function add({id, zone: serverZone}: ServerEntry, hasAnswered: boolean, now: Milliseconds): void {
-		const failures = (doubts.get(id)?.failures ?? 0) + 1;
-		doubts.set(id, {
-			zone: serverZone, failures, hasAnswered, until: now + Math.min(maxDoubtMs, firstDoubtMs * (2 ** (failures - 1))),
+		const failures = (cooldowns.get(id)?.failures ?? 0) + 1;
+		cooldowns.set(id, {
+			zone: serverZone, failures, hasAnswered, until: now + Math.min(maxCooldownMs, firstCooldownMs * (2 ** (failures - 1))),
 		});
 	}
 
@@ -101,16 +101,16 @@
 		},
 		noteSuccess(server, now) {
 			succeededAt.set(server.zone, now);
-			doubts.delete(server.id);
+			cooldowns.delete(server.id);
 		},
 		toLevel(server, now) {
-			const isDoubted = (doubts.get(server.id)?.until ?? -Infinity) > now;
-			return isDoubted ? 2 : (isZoneDoubted(server.zone, now) ? 1 : 0);
+			const isInCooldown = (cooldowns.get(server.id)?.until ?? -Infinity) > now;
+			return isInCooldown ? 2 : (isZoneInCooldown(server.zone, now) ? 1 : 0);
 		},
 		keepOnly(servers) {
-			for (const id of doubts.keys()) {
+			for (const id of cooldowns.keys()) {
 				if (!servers.has(id)) {
-					doubts.delete(id);
+					cooldowns.delete(id);
 				}
 			}
 		},
--- a/src/domain/create-server-health/index.ts
+++ b/src/domain/create-server-health/index.ts
@@ -19,7 +19,7 @@
 	ejectMs?: Milliseconds;
 	maxEjectMs?: Milliseconds;
 	/** Largest share of a group that may be out. */
-	maxOutShare?: number;
+	maxEjectedShare?: number;
 	/** Share of a group that may look bad before the signal is not believed. */
 	panicShare?: number;
 	/** Slowness against the median of the group at which a server counts as bad. */
@@ -48,7 +48,7 @@
 	samples: number;
 	/** End of the time in which the server is taken for bad. */
 	badUntil: Milliseconds;
-	isOut: boolean;
+	isEjected: boolean;
 	ejections: number;
 	/** Start of a gradual return, for example after the server was unreachable. */
 	returnAt: Milliseconds;
@@ -60,7 +60,7 @@
 	failuresToEject: 3,
 	ejectMs: 5 * msPerSecond,
 	maxEjectMs: msPerMinute,
-	maxOutShare: 0.34,
+	maxEjectedShare: 0.34,
 	panicShare: 0.5,
 	slowRatio: 3,
 	minSlowSamples: 10,
@@ -84,7 +84,7 @@
 const minSlowPeers = 3;
 
 const createTrack = (group: string): Track => ({
-	group, score: 0, scoreAt: -Infinity, slowness: 1, samples: 0, badUntil: -Infinity, isOut: false, ejections: 0, returnAt: -Infinity,
+	group, score: 0, scoreAt: -Infinity, slowness: 1, samples: 0, badUntil: -Infinity, isEjected: false, ejections: 0, returnAt: -Infinity,
 });
 
 const toMedian = (values: readonly number[]): number => {
@@ -93,7 +93,7 @@
 };
 
 /** Servers of a group that may be out: never all, and one of two or three. */
-const toOutLimit = (size: number, share: number): number =>
+const toEjectionLimit = (size: number, share: number): number =>
 	size < 2 ? 0 : Math.min(size - 1, Math.max(1, Math.floor(size * share)));
 
 /**
@@ -142,8 +142,8 @@
 			const track = tracks.get(server);
 			if (track === undefined || track.badUntil <= now) {
 				group.bad.delete(server);
-				if (track?.isOut) {
-					track.isOut = false;
+				if (track?.isEjected) {
+					track.isEjected = false;
 					track.returnAt = track.badUntil;
 				}
 			}
@@ -157,19 +157,19 @@
 		}
 
 		expire(group, now);
-		const wasLong = now - track.badUntil > cfg.maxEjectMs;
-		track.ejections = wasLong ? 1 : track.ejections + 1;
+		const isLongAgo = now - track.badUntil > cfg.maxEjectMs;
+		track.ejections = isLongAgo ? 1 : track.ejections + 1;
 		track.badUntil = now + Math.min(cfg.maxEjectMs, cfg.ejectMs * (2 ** (track.ejections - 1)));
 		track.score = cfg.failuresToEject - probationMargin;
 		track.scoreAt = track.badUntil;
 		track.samples = 0;
 		track.slowness = 1;
-		let outCount = 0;
+		let ejectedCount = 0;
 		for (const server of group.bad) {
-			outCount += tracks.get(server)?.isOut ? 1 : 0;
+			ejectedCount += tracks.get(server)?.isEjected ? 1 : 0;
 		}
 
-		track.isOut = outCount < toOutLimit(group.size, cfg.maxOutShare);
+		track.isEjected = ejectedCount < toEjectionLimit(group.size, cfg.maxEjectedShare);
 		group.bad.add(subject.server);
 	};
 
@@ -197,12 +197,12 @@
 		}
 
 		const group = groups.get(track.group);
-		if (group !== undefined && track.badUntil > now && track.isOut) {
+		if (group !== undefined && track.badUntil > now && track.isEjected) {
 			expire(group, now);
 			return group.bad.size > cfg.panicShare * group.size ? 1 : 0;
 		}
 
-		const returnAt = track.isOut ? track.badUntil : track.returnAt;
+		const returnAt = track.isEjected ? track.badUntil : track.returnAt;
 		return now - returnAt >= cfg.rampMs ? 1 : Math.min(1, cfg.rampFrom + ((1 - cfg.rampFrom) * Math.max(0, now - returnAt) / cfg.rampMs));
 	};
 
--- a/src/domain/create-server-health/test.ts
+++ b/src/domain/create-server-health/test.ts
@@ -70,7 +70,7 @@
 	});
 
 	it('leaves out no more than its cap, the first judged bad, below the panic share', () => {
-		const health = createServerHealth({maxOutShare: 0.34});
+		const health = createServerHealth({maxEjectedShare: 0.34});
 		for (const [i, server] of toNames(3).entries()) {
 			breakServer(health, server, 6, i);
 		}
@@ -97,7 +97,7 @@
 	it('never has more out than its cap allows, whatever happens (property)', () => {
 		const event = fc.record({server: fc.nat(11), kind: fc.constantFrom('broken' as const, 'unreachable' as const, 'ok' as const, 'slow' as const), afterMs: fc.nat(200)});
 		fc.assert(fc.property(fc.integer({min: 1, max: 12}), fc.array(event, {minLength: 20, maxLength: 200, size: 'max'}), (size, events) => {
-			const health = createServerHealth({maxOutShare: 0.34, minSlowSamples: 2});
+			const health = createServerHealth({maxEjectedShare: 0.34, minSlowSamples: 2});
 			let now = 0;
 			for (const {server, kind, afterMs} of events) {
 				const subject = toSubject(`s${server % size}`, size);
--- a/src/domain/create-spill-chooser/index.ts
+++ b/src/domain/create-spill-chooser/index.ts
@@ -18,7 +18,7 @@
  */
 export type SpillChoice = {kind: 'zone'; zone: ZoneId; isFar: boolean} | {kind: 'blind' | 'none'};
 
-export type SpillInquiry = {
+export type SpillQuery = {
 	pool: string;
 	/** Other zones with servers of the pool; those of the own region have distance 0. */
 	zones: ReadonlyArray<{zone: ZoneId; distance: number}>;
@@ -28,7 +28,7 @@
 	/** Wait for a prefill at which a zone is of no use, milliseconds. */
 	waitLimitMs: Milliseconds;
 	/** Zones that have just shown that they won't do. */
-	except?: ReadonlySet<ZoneId>;
+	excluded?: ReadonlySet<ZoneId>;
 };
 
 export type SpillChooserOptions = Pick<SpillOptions, 'rampMs' | 'rampFrom' | 'staleAfterMs'> & {
@@ -38,15 +38,15 @@
 
 export type SpillChooser = {
 	/** Looks at each new view, so that a zone that was away and is back is known. */
-	look: (view: FleetView, cutZones: ReadonlySet<ZoneId>, now: Milliseconds) => void;
-	choose: (inquiry: SpillInquiry) => SpillChoice;
+	update: (view: FleetView, cutZones: ReadonlySet<ZoneId>, now: Milliseconds) => void;
+	choose: (query: SpillQuery) => SpillChoice;
 	/** Fills a load that is not known with what its zone's summary says of its like. */
-	fill: (entry: ServerEntry, load: ServerLoad, view: FleetView, now: Milliseconds) => ServerLoad;
+	fillUnknownLoad: (entry: ServerEntry, load: ServerLoad, view: FleetView, now: Milliseconds) => ServerLoad;
 	/** A request goes to a server; counts if that is in another zone. */
 	noteSent: (server: ServerEntry, now: Milliseconds) => void;
 };
 
-type Presence = {isThere: boolean; returnedAt: Milliseconds};
+type Presence = {isPresent: boolean; returnedAt: Milliseconds};
 
 const defaultStaleAfterMs = 20_000;
 
@@ -72,14 +72,14 @@
  * ```ts
  * const spills = createSpillChooser({zone: 'dvorana-a'});
  * spills.look(view, new Set(), now);
- * spills.choose(inquiry); // => {kind: 'zone', zone: 'dvorana-b', isFar: false}
+ * spills.choose(query); // => {kind: 'zone', zone: 'dvorana-b', isFar: false}
  * ```
  */
 export function createSpillChooser({zone: ownZone, staleAfterMs = defaultStaleAfterMs, ...ramp}: SpillChooserOptions): SpillChooser {
 	const sentAt = new Map<string, Milliseconds[]>();
 	const presences = new Map<string, Presence>();
-	let cut: ReadonlySet<ZoneId> = new Set();
-	let seen: {zones: FleetView['zones']; cut: ReadonlySet<ZoneId>} | undefined;
+	let partitionedZones: ReadonlySet<ZoneId> = new Set();
+	let lastSeen: {zones: FleetView['zones']; cut: ReadonlySet<ZoneId>} | undefined;
 
 	const isFresh = (summary: ZoneSummary | undefined, now: Milliseconds): boolean => summary !== undefined && now - summary.at < staleAfterMs;
 
@@ -91,16 +91,16 @@
 			return;
 		}
 
-		const isThere = row !== undefined && row.servers > 0 && isFresh(summary, now) && !cut.has(zone);
-		const isBack = isThere && prev?.isThere === false;
-		presences.set(key, {isThere, returnedAt: isBack ? now : prev?.returnedAt ?? -Infinity});
+		const isPresent = row !== undefined && row.servers > 0 && isFresh(summary, now) && !partitionedZones.has(zone);
+		const isBack = isPresent && prev?.isPresent === false;
+		presences.set(key, {isPresent, returnedAt: isBack ? now : prev?.returnedAt ?? -Infinity});
 	}
 
 	function countSince(pool: string, zone: ZoneId, at: Milliseconds): number {
 		return sentAt.get(toKey(pool, zone))?.filter(time => time > at).length ?? 0;
 	}
 
-	function toSpillZone({zone, distance}: {zone: ZoneId; distance: number}, {pool, view}: SpillInquiry, neighbours: number): SpillZone {
+	function toSpillZone({zone, distance}: {zone: ZoneId; distance: number}, {pool, view}: SpillQuery, neighbours: number): SpillZone {
 		const summary = view.zones?.get(zone);
 		const at = summary?.at ?? -Infinity;
 		const decode = findRow(summary, pool, 'decode');
@@ -108,7 +108,7 @@
 		return {
 			zone,
 			distance,
-			isReachable: !cut.has(zone),
+			isReachable: !partitionedZones.has(zone),
 			free: (decode ?? prefill)?.free ?? 0,
 			spilled: countSince(pool, zone, at) * neighbours,
 			waitMs: prefill?.waitMs ?? 0,
@@ -118,13 +118,13 @@
 	}
 
 	return {
-		look(view, cutZones, now) {
-			cut = cutZones;
-			if (seen?.zones === view.zones && seen?.cut === cutZones) {
+		update(view, cutZones, now) {
+			partitionedZones = cutZones;
+			if (lastSeen?.zones === view.zones && lastSeen?.cut === cutZones) {
 				return;
 			}
 
-			seen = {zones: view.zones, cut: cutZones};
+			lastSeen = {zones: view.zones, cut: cutZones};
 			const config = view.zones?.size ? view.accepted?.config : undefined;
 			for (const {name} of config?.pools ?? []) {
 				for (const {id} of config?.zones ?? []) {
@@ -132,22 +132,22 @@
 				}
 			}
 		},
-		choose(inquiry) {
-			const {view, now, random, waitLimitMs} = inquiry;
-			const inReach = inquiry.zones.filter(({zone}) => !cut.has(zone));
+		choose(query) {
+			const {view, now, random, waitLimitMs} = query;
+			const inReach = query.zones.filter(({zone}) => !partitionedZones.has(zone));
 			if (!inReach.some(({zone}) => isFresh(view.zones?.get(zone), now))) {
 				return {kind: 'blind'};
 			}
 
 			const neighbours = countNeighbours(view, ownZone);
-			const candidates = inReach.filter(({zone}) => !inquiry.except?.has(zone));
-			const zone = pickSpillZone(candidates.map(candidate => toSpillZone(candidate, inquiry, neighbours)), now, random, {
+			const candidates = inReach.filter(({zone}) => !query.excluded?.has(zone));
+			const zone = pickSpillZone(candidates.map(candidate => toSpillZone(candidate, query, neighbours)), now, random, {
 				...ramp, staleAfterMs, waitLimitMs,
 			});
 			const found = candidates.find(candidate => candidate.zone === zone);
 			return found ? {kind: 'zone', zone: found.zone, isFar: found.distance > 0} : {kind: 'none'};
 		},
-		fill(entry, load, view, now) {
+		fillUnknownLoad(entry, load, view, now) {
 			const summary = entry.zone === ownZone || !load.isUnknown ? undefined : view.zones?.get(entry.zone);
 			const row = entry.role === 'plain' ? undefined : findRow(summary, entry.pool, entry.role);
 			if (!row || !isFresh(summary, now)) {
--- a/src/domain/create-spill-chooser/test.ts
+++ b/src/domain/create-spill-chooser/test.ts
@@ -38,7 +38,7 @@
 	const counts = new Map<string, number>();
 	for (let i = 0; i < 2000; i++) {
 		const choice = chooser.choose({
-			pool: 'main', zones: [{zone: 'b', distance: 0}, {zone: 'c', distance: 0}, {zone: 'far', distance: 1}], view, now, random, waitLimitMs: 1000, except: new Set(except),
+			pool: 'main', zones: [{zone: 'b', distance: 0}, {zone: 'c', distance: 0}, {zone: 'far', distance: 1}], view, now, random, waitLimitMs: 1000, excluded: new Set(except),
 		});
 		const name = choice.kind === 'zone' ? choice.zone : choice.kind;
 		counts.set(name, (counts.get(name) ?? 0) + 1);
@@ -65,7 +65,7 @@
 	it('chooses nothing over a cut, nor what has just failed', () => {
 		const chooser = createSpillChooser({zone: 'a'});
 		const view = toSummarised({b: {free: 900}, c: {}});
-		chooser.look(view, new Set(['b']), 0);
+		chooser.update(view, new Set(['b']), 0);
 		assert.deepEqual(toShares(chooser, view, 0), {c: 1});
 		assert.deepEqual(toShares(chooser, view, 0, ['c']), {none: 1});
 	});
@@ -89,14 +89,14 @@
 	for (const [name, lost, cut] of losses) {
 		it(`returns little by little to a zone that ${name}`, () => {
 			const chooser = createSpillChooser({zone: 'a'});
-			chooser.look(toSummarised({b: {}, c: {}}), noCut, 0);
+			chooser.update(toSummarised({b: {}, c: {}}), noCut, 0);
 			assert.deepEqual(toShares(chooser, toSummarised({b: {}, c: {}}), 0), {b: 0.5, c: 0.5}, 'what it has never seen away is not held back');
-			chooser.look(lost, cut, 1000);
+			chooser.update(lost, cut, 1000);
 			const back = toSummarised({b: {at: 1900}, c: {at: 1900}});
-			chooser.look(back, noCut, 2000);
+			chooser.update(back, noCut, 2000);
 			assert.deepEqual(toShares(chooser, back, 2000), {b: 0.1, c: 0.9});
 			const later = toSummarised({b: {at: 12_000}, c: {at: 12_000}});
-			chooser.look(later, noCut, 12_000);
+			chooser.update(later, noCut, 12_000);
 			assert.deepEqual(toShares(chooser, later, 12_000), {b: 0.5, c: 0.5});
 		});
 	}
@@ -107,10 +107,10 @@
 			slotsTotal: 20, slotsUsed: 1, backlogTokens: 0, tokensPerSecond: 8000, linkBytesPerSecond: 1, transfers: 0, own: 1, ownPromptTokens: 0, isUnknown: true,
 		};
 		const view = toSummarised({a: {free: 50}, b: {free: 50, waitMs: 500}, c: {free: 50, at: -50_000}});
-		assert.equal(chooser.fill(ofB!, load, view, 0).slotsUsed, 15);
-		assert.equal(chooser.fill({...ofB!, role: 'prefill'}, load, view, 0).backlogTokens, 4000);
-		assert.equal(chooser.fill(ofB!, {...load, isUnknown: false}, view, 0).slotsUsed, 1);
-		assert.equal(chooser.fill(ofC!, load, view, 0).slotsUsed, 1, 'its summary is stale');
-		assert.equal(chooser.fill(config.servers[0]!, load, view, 0).slotsUsed, 1, 'it is of the own zone');
+		assert.equal(chooser.fillUnknownLoad(ofB!, load, view, 0).slotsUsed, 15);
+		assert.equal(chooser.fillUnknownLoad({...ofB!, role: 'prefill'}, load, view, 0).backlogTokens, 4000);
+		assert.equal(chooser.fillUnknownLoad(ofB!, {...load, isUnknown: false}, view, 0).slotsUsed, 1);
+		assert.equal(chooser.fillUnknownLoad(ofC!, load, view, 0).slotsUsed, 1, 'its summary is stale');
+		assert.equal(chooser.fillUnknownLoad(config.servers[0]!, load, view, 0).slotsUsed, 1, 'it is of the own zone');
 	});
 });
--- a/src/domain/create-split-estimate/index.ts
+++ b/src/domain/create-split-estimate/index.ts
@@ -34,7 +34,7 @@
 const gain = 0.02;
 
 /** Requests seen on each side before the estimate is given; lengths spread by half their mean. */
-const leastSeen = 20;
+const minSamples = 20;
 
 /**
  * Prefill servers get room for so many times their part of the work. A prompt
@@ -45,20 +45,20 @@
  * second best, four: 0.92 for 0.95 with three and 0.86 with five. The fourth is
  * for lost servers: on a day that loses a quarter of them, three served less.
  */
-const promptHeadroom = 1.4;
+const prefillHeadroom = 1.4;
 
-type Mean = {value: number; seen: number};
+type Mean = {value: number; samples: number};
 
-function toNext({value, seen}: Mean, sample: number): Mean {
+function addSample({value, samples}: Mean, sample: number): Mean {
 	// The plain mean of the first ones: the very first alone would stand for the next fifty.
-	const weight = Math.max(gain, 1 / (seen + 1));
-	return {value: value + (weight * (sample - value)), seen: seen + 1};
+	const weight = Math.max(gain, 1 / (samples + 1));
+	return {value: value + (weight * (sample - value)), samples: samples + 1};
 }
 
-type Costs = {promptMs: Mean; slotMs: Mean; tokenMs: Mean};
+type Costs = {prefillMs: Mean; slotMs: Mean; tokenMs: Mean};
 
-const nothing: Mean = {value: 0, seen: 0};
-const noCosts: Costs = {promptMs: nothing, slotMs: nothing, tokenMs: nothing};
+const emptyMean: Mean = {value: 0, samples: 0};
+const noCosts: Costs = {prefillMs: emptyMean, slotMs: emptyMean, tokenMs: emptyMean};
 
 /**
  * Creates the estimate of one host. Its own requests are a sample of all, and
@@ -80,21 +80,21 @@
 	return {
 		notePrefill(pool, tookMs) {
 			const known = read(pool);
-			costs.set(pool, {...known, promptMs: toNext(known.promptMs, tookMs)});
+			costs.set(pool, {...known, prefillMs: addSample(known.prefillMs, tookMs)});
 		},
 		noteReservation(pool, {tokens, heldMs}) {
 			const known = read(pool);
-			costs.set(pool, {...known, slotMs: toNext(known.slotMs, heldMs), tokenMs: toNext(known.tokenMs, tokens * heldMs)});
+			costs.set(pool, {...known, slotMs: addSample(known.slotMs, heldMs), tokenMs: addSample(known.tokenMs, tokens * heldMs)});
 		},
 		toPrefillShare(pool, {slots, memoryTokens}) {
-			const {promptMs, slotMs, tokenMs} = read(pool);
-			if (promptMs.seen < leastSeen || slotMs.seen < leastSeen) {
+			const {prefillMs, slotMs, tokenMs} = read(pool);
+			if (prefillMs.samples < minSamples || slotMs.samples < minSamples) {
 				return undefined;
 			}
 
 			// Time of a whole decode server that one answer takes: by its slots or its memory, whichever is shorter.
 			const answerMs = Math.max(slotMs.value / slots, memoryTokens === undefined ? 0 : tokenMs.value / memoryTokens);
-			const neededMs = promptHeadroom * promptMs.value;
+			const neededMs = prefillHeadroom * prefillMs.value;
 			return neededMs / (neededMs + answerMs);
 		},
 		keepOnly(pools) {
--- a/src/domain/create-transfer-timeouts/index.ts
+++ b/src/domain/create-transfer-timeouts/index.ts
@@ -24,7 +24,7 @@
 const graceMs = 250;
 
 /** Transfers that share the link make one this many times as slow without any fault. */
-const paceFactor = 4;
+const rateFactor = 4;
 
 /** Weight of one transfer in the pace. */
 const gain = 0.05;
@@ -34,12 +34,12 @@
  * without a large step up a link that has become slow for all would have every
  * transfer given up, and every prefill wasted.
  */
-const givenUpGain = 0.25;
+const timedOutGain = 0.25;
 
 /** Transfers of a link that must have ended before it is trusted. */
 const minSamples = 5;
 
-type Pace = {msPerByte: number; samples: number};
+type LinkRate = {msPerByte: number; samples: number};
 
 const toKey = ({from, to}: TransferLink): string => JSON.stringify([from, to]);
 
@@ -58,19 +58,19 @@
  * limits.toLimitMs(link, 1e8); // 410
  */
 export function createTransferTimeouts(): TransferTimeouts {
-	const paces = new Map<string, Pace>();
+	const rates = new Map<string, LinkRate>();
 
 	function add(link: TransferLink, msPerByte: number, weight: number): void {
 		const key = toKey(link);
-		const {msPerByte: mean, samples} = paces.get(key) ?? {msPerByte: 0, samples: 0};
+		const {msPerByte: mean, samples} = rates.get(key) ?? {msPerByte: 0, samples: 0};
 		const step = Math.max(weight, 1 / (samples + 1));
-		paces.set(key, {msPerByte: mean + ((msPerByte - mean) * step), samples: samples + 1});
+		rates.set(key, {msPerByte: mean + ((msPerByte - mean) * step), samples: samples + 1});
 	}
 
 	return {
 		toTimeoutMs(link, bytes) {
-			const pace = paces.get(toKey(link));
-			return pace === undefined || pace.samples < minSamples ? Infinity : graceMs + (paceFactor * pace.msPerByte * bytes);
+			const rate = rates.get(toKey(link));
+			return rate === undefined || rate.samples < minSamples ? Infinity : graceMs + (rateFactor * rate.msPerByte * bytes);
 		},
 		noteDone(link, bytes, tookMs) {
 			if (bytes > 0) {
@@ -79,7 +79,7 @@
 		},
 		noteTimedOut(link, bytes, afterMs) {
 			if (bytes > 0) {
-				add(link, afterMs / bytes, givenUpGain);
+				add(link, afterMs / bytes, timedOutGain);
 			}
 		},
 	};
--- a/src/domain/pick-role-changes/index.ts
+++ b/src/domain/pick-role-changes/index.ts
@@ -26,10 +26,10 @@
 const changingShare = 0.1;
 
 /** A pool with fewer servers keeps the roles that it has: with one of each, any change takes a role away. */
-const leastServers = 3;
+const minServers = 3;
 
 /** Prefill servers that a pool keeps: with one alone, its loss or a burst has every decode server compute prompts between its tokens. */
-const leastPrefills = 2;
+const minPrefillServers = 2;
 
 function toZoneCounts(servers: readonly ServerEntry[]): ReadonlyMap<ZoneId, number> {
 	const counts = new Map<ZoneId, number>();
@@ -52,16 +52,16 @@
  * back and forth for each, a pool would lose more than it gains, as a change costs
  * six seconds of a server and the wait for its running answers.
  */
-const leastPart = 0.5;
+const minWantedShare = 0.5;
 
 /** Tells which way a pool is off, if at all. */
 function toWantedRole(prefills: number, total: number, share: number): ChangeableRole | undefined {
 	const wanted = total * share;
-	if (prefills === 0 || prefills < wanted * leastPart) {
+	if (prefills === 0 || prefills < wanted * minWantedShare) {
 		return 'prefill';
 	}
 
-	return prefills > leastPrefills && prefills - 1 >= wanted ? 'decode' : undefined;
+	return prefills > minPrefillServers && prefills - 1 >= wanted ? 'decode' : undefined;
 }
 
 /**
@@ -93,7 +93,7 @@
 	const prefills = toCandidates(steady.filter(({role}) => role === 'prefill'));
 	const decodes = toCandidates(steady.filter(({role}) => role === 'decode'));
 	const changes: RoleChange[] = [];
-	while (servers.length >= leastServers && changes.length < room) {
+	while (servers.length >= minServers && changes.length < room) {
 		const role = toWantedRole(prefills.length, servers.length, prefillShare);
 		// The last decode server stays: nothing would be left that answers.
 		const server = role === 'decode' ? prefills.shift() : (role === 'prefill' && decodes.length > 1 ? decodes.shift() : undefined);
--- a/src/domain/to-full-pool-retry-after/index.ts
+++ b/src/domain/to-full-pool-retry-after/index.ts
@@ -5,7 +5,7 @@
 const unknownHoldMs = 3 * msPerSecond;
 
 /** In mean holding times: the least delay, and how far callers are spread behind it. */
-const leastHolds = 1.2;
+const minHolds = 1.2;
 const spreadHolds = 0.5;
 
 /**
@@ -15,7 +15,7 @@
  * @returns Milliseconds; a caller who has waited less was not told to.
  */
 export function toMinFullPoolRetryAfter(holdMs: Milliseconds | undefined): Milliseconds {
-	return (holdMs ?? unknownHoldMs) * leastHolds;
+	return (holdMs ?? unknownHoldMs) * minHolds;
 }
 
 /**
--- a/src/domain/to-pool-capacity/index.ts
+++ b/src/domain/to-pool-capacity/index.ts
@@ -30,7 +30,7 @@
 }
 
 /** Share of the near hosts that may be suspected before the suspicion is doubted. */
-const doubtShare = 0.5;
+const suspectLimitShare = 0.5;
 
 /**
  * Hosts that are taken to send to the servers near this one. Where use is not
@@ -48,8 +48,8 @@
 function countSenders(hosts: readonly HostStatus[], isUseReported: boolean): number {
 	const alive = hosts.filter(({life}) => life === 'alive').length;
 	const suspected = hosts.filter(({life}) => life === 'suspect').length;
-	const isDoubted = suspected > (alive + suspected) * doubtShare;
-	return Math.max(1, isUseReported || isDoubted ? alive + suspected : alive);
+	const areMostSuspected = suspected > (alive + suspected) * suspectLimitShare;
+	return Math.max(1, isUseReported || areMostSuspected ? alive + suspected : alive);
 }
 
 /**
--- a/src/domain/to-reserved-tokens/index.ts
+++ b/src/domain/to-reserved-tokens/index.ts
@@ -6,7 +6,7 @@
  * grow past its place; reserving the longest answer allowed keeps a third of the
  * memory idle where answers are mostly short.
  */
-const guessMargin = 0.25;
+const estimateMargin = 0.25;
 
 /**
  * Works out how much decode memory to reserve for a request.
@@ -20,6 +20,6 @@
  * ```
  */
 export function toReservedTokens({promptTokens, maxTokens, estimatedTokens}: Pick<RequestHints, 'promptTokens' | 'maxTokens' | 'estimatedTokens'>): number {
-	const answer = estimatedTokens === undefined ? maxTokens : Math.ceil(estimatedTokens * (1 + guessMargin));
+	const answer = estimatedTokens === undefined ? maxTokens : Math.ceil(estimatedTokens * (1 + estimateMargin));
 	return promptTokens + Math.min(maxTokens, answer);
 }
--- a/src/domain/to-wait-policy/index.ts
+++ b/src/domain/to-wait-policy/index.ts
@@ -49,7 +49,7 @@
  * took more than half of the new requests for old ones, which were then refused
  * at the first full server in place of waiting for room that came in time.
  */
-function isBack(input: WaitPolicyInput): boolean {
+function isRetry(input: WaitPolicyInput): boolean {
 	return toEarlierWaitMs(input) >= input.minRetryAfterMs;
 }
 
@@ -92,8 +92,8 @@
 		return {class: serviceClass, latestStart: Math.min(deadline, receivedAt + (relay.patienceMs * patienceShare)), isSingleTry: false};
 	}
 
-	const inTime = receivedAt + target.firstTokenMs;
-	return now < inTime && !isBack(input)
-		? {class: serviceClass, latestStart: Math.min(deadline, inTime), isSingleTry: false}
+	const firstTokenDeadline = receivedAt + target.firstTokenMs;
+	return now < firstTokenDeadline && !isRetry(input)
+		? {class: serviceClass, latestStart: Math.min(deadline, firstTokenDeadline), isSingleTry: false}
 		: {class: 'batch', latestStart: deadline, isSingleTry: true};
 }
--- a/src/programs/entry/relay-stream/_lib/create-pace-meter.test.ts
+++ b/src/programs/entry/relay-stream/_lib/create-pace-meter.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
-import {type SeenTokens} from '../../../../domain/create-inter-token-latency/index.js';
+import {type ObservedTokens} from '../../../../domain/create-inter-token-latency/index.js';
 import {createPaceMeter, type PaceMeter} from './create-pace-meter.js';
 
 /** Runs the steps, each at its time, and returns what was noted. */
-function measure(steps: ReadonlyArray<[number, (meter: PaceMeter) => void]>): SeenTokens[] {
-	const noted: SeenTokens[] = [];
+function measure(steps: ReadonlyArray<[number, (meter: PaceMeter) => void]>): ObservedTokens[] {
+	const noted: ObservedTokens[] = [];
 	let now = 0;
 	const meter = createPaceMeter(() => now, seen => noted.push(seen));
 	for (const [at, step] of steps) {
@@ -26,7 +26,7 @@
 
 describe('createPaceMeter', () => {
 	const heldUp: Parameters<typeof measure>[0] = [[0, add(1)], [80, add(1)], [80, stop], [9000, add(40)], [9080, add(1)], [9080, stop]];
-	const rows: Array<[string, Parameters<typeof measure>[0], SeenTokens[]]> = [
+	const rows: Array<[string, Parameters<typeof measure>[0], ObservedTokens[]]> = [
 		['notes nothing of a stream that brought one piece', [[1000, add(5)], [1100, stop]], []],
 		['leaves out the first piece, and the time before it', [[1000, add(1)], [1080, add(1)], [1160, add(2)], [5000, stop]], [{tokens: 3, tookMs: 160}]],
 		['notes while the stream goes on', [[0, add(1)], [300, add(3)], [600, add(3)], [700, add(1)], [700, stop]], [{tokens: 6, tookMs: 600}, {tokens: 1, tookMs: 100}]],
--- a/src/programs/entry/relay-stream/_lib/create-pace-meter.ts
+++ b/src/programs/entry/relay-stream/_lib/create-pace-meter.ts
@@ -1,4 +1,4 @@
-import {type SeenTokens} from '../../../../domain/create-inter-token-latency/index.js';
+import {type ObservedTokens} from '../../../../domain/create-inter-token-latency/index.js';
 import {type Milliseconds} from '../../../../ports/clock.js';
 
 /** How often a stream tells of its tokens, milliseconds: soon enough to turn the next requests away, and seldom against the cost of a token. */
@@ -11,7 +11,7 @@
  * @param note - Gets each sample at its end.
  * @returns Functions to call at each piece, and where the time that passes is not the server's.
  */
-export function createPaceMeter(now: () => Milliseconds, note: (seen: SeenTokens) => void) {
+export function createPaceMeter(now: () => Milliseconds, note: (seen: ObservedTokens) => void) {
 	let startedAt: Milliseconds | undefined;
 	let lastAt = 0;
 	let tokens = 0;
--- a/src/programs/entry/relay-stream/index.ts
+++ b/src/programs/entry/relay-stream/index.ts
@@ -1,7 +1,7 @@
 /**
  * Relays the tokens of one attempt, and resumes its stream where it broke.
  */
-import {type SeenTokens} from '../../../domain/create-inter-token-latency/index.js';
+import {type ObservedTokens} from '../../../domain/create-inter-token-latency/index.js';
 import {
 	type AttemptKey, type DecodeChunk, type Engine, type EngineFailure, type EngineStreamError,
 } from '../../../ports/engine.js';
@@ -121,7 +121,7 @@
 	step: StepSignal;
 	stream: AsyncIterable<DecodeChunk>;
 	/** Gets how the tokens come, while they come. */
-	noteTokens: (seen: SeenTokens) => void;
+	noteTokens: (seen: ObservedTokens) => void;
 };
 
 /**
