--- a/src/domain/create-admission/_lib/create-lane.ts
+++ b/src/domain/create-admission/_lib/create-lane.ts
@@ -1,4 +1,4 @@
-/** One class of a pool: its queue, and what is known of the requests that went through it. */
+/** State of one service class of a pool: its queue, and statistics of its requests. */
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type WorkspaceId} from '../../../ports/ids.js';
 import {createFairQueue, type FairQueue} from '../../create-fair-queue/index.js';
@@ -9,16 +9,18 @@
 export type Lane = {
 	queue: FairQueue<QueuedRequest>;
 	running: number;
-	/** Time for which a request holds its place. */
+	/** Mean time for which a request holds its place, milliseconds. */
 	holdMs: MovingAverage;
-	/** Time from admission to the first token. */
+	/** Mean time from admission to the first token, milliseconds. */
 	firstTokenMs: MovingAverage;
 	retryTimes: RetryTimes;
 };
 
 /**
- * @param settings - the weight of the means and the window of the queue.
- * @returns an empty lane.
+ * Creates the state of a class without requests.
+ *
+ * @param settings - Weight of the means and window of the queue.
+ * @returns An empty lane.
  */
 export function createLane(settings: PoolSettings): Lane {
 	return {
@@ -30,7 +32,7 @@
 	};
 }
 
-/** What of a request the queue needs; its cost is in output tokens. */
+/** Converts a request to an item of the queue; its cost is in output tokens. */
 export function toItem(request: AdmissionRequest, settings: PoolSettings): QueuedRequest {
 	return {
 		id: request.id,
@@ -41,7 +43,7 @@
 	};
 }
 
-/** One workspace may fill only a part of what is left, so that a queue filled by one still takes others. */
+/** Whether the queue has room for a workspace. A workspace may take only a part of the free room, so that one alone cannot fill the queue. */
 export function hasRoom(lane: Lane, workspace: WorkspaceId, limit: number, settings: PoolSettings): boolean {
 	const free = limit - lane.queue.size;
 	return free > 0 && lane.queue.countOf(workspace) < free * settings.maxQueuedPerWorkspace;
--- a/src/domain/create-admission/_lib/create-moving-average.ts
+++ b/src/domain/create-admission/_lib/create-moving-average.ts
@@ -1,4 +1,4 @@
-/** A mean that forgets: each sample moves it by a fixed part of the distance. */
+/** An exponential moving average. */
 export type MovingAverage = {
 	add: (sample: number) => void;
 	/** `undefined` before the first sample. */
@@ -6,8 +6,10 @@
 };
 
 /**
- * @param weight - part of the distance that one sample moves the mean, in (0, 1].
- * @returns the mean. Its first samples count as in a plain average, so that the start does not depend on one sample.
+ * Creates a moving average without samples.
+ *
+ * @param weight - Weight of the newest sample, in (0, 1].
+ * @returns The average. Its first samples count as in an arithmetic mean, so that the start does not depend on one sample.
  */
 export function createMovingAverage(weight: number): MovingAverage {
 	let mean: number | undefined;
--- a/src/domain/create-admission/_lib/create-places.ts
+++ b/src/domain/create-admission/_lib/create-places.ts
@@ -1,7 +1,8 @@
 /**
- * The places of a pool as one process counts them: its own share, what the last
- * report shows free beyond it, and what the servers just said by bouncing a
- * request. The servers' own refusal is the hard limit; this only guesses well.
+ * Estimates how many places of a pool one process may use: its own share, the
+ * free places beyond it in the last report, and less after the servers have
+ * bounced a request. The estimate need not be exact, as the servers enforce the
+ * limit by refusing.
  */
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type PoolCapacity} from './types.js';
@@ -9,37 +10,39 @@
 export type Places = {
 	readonly slots: number;
 	readonly share: number;
-	/** Places that are this process's own, not a whole number. */
+	/** Number of places in this process's own share; not a whole number. */
 	readonly own: number;
-	/** Whether other processes' use is reported, so that places can be borrowed. */
+	/** Whether the use by other processes is reported, so that places can be borrowed. */
 	readonly isUsedKnown: boolean;
-	/** Takes a report; `keptFree` places of the whole pool are not borrowed by batch work. */
+	/** Applies a report; batch requests do not borrow the last `keptFree` free places of the pool. */
 	report: (capacity: PoolCapacity, state: {running: number; keptFree: number; now: Milliseconds}) => void;
-	/** Whether another request may be offered to the servers while `running` are there. */
+	/** Whether another request may be sent to the servers while `running` requests of this process are there. */
 	hasRoom: (running: number) => boolean;
-	/** Whether batch work may start on a place of another process. */
+	/** Whether a batch request may start on a place of another process's share. */
 	canBorrow: () => boolean;
 	noteBorrowed: () => void;
 	noteBounce: (running: number) => void;
-	/** Lets one request be tried after a bounce. */
+	/** Allows one more request after a bounce. */
 	allowProbe: (running: number) => void;
 };
 
-/** Time in which batch work may borrow its share of what is free once, however many reports tell of the same free places. */
+/** Period in which batch requests may borrow their share of the free places once, however many reports show the same free places. */
 const borrowEveryMs = 500;
 
 /**
- * @param borrowShare - part of this process's share of what a report shows free that batch work may take.
- * @returns no places, until a report comes.
+ * Creates the estimate; there are no places until the first report.
+ *
+ * @param borrowShare - Share of the free places due to this process that batch requests may borrow.
+ * @returns See {@link Places}.
  */
 export function createPlaces(borrowShare: number): Places {
 	let capacity: PoolCapacity = {slots: 0, share: 1};
 	let own = 0;
-	/** Running requests when the last report came, to correct the report by what was started since. */
+	/** Running requests at the last report, from which the requests started since are counted. */
 	let runningAtReport = 0;
-	/** Batch requests that may start on borrowed places; grows with each report. */
+	/** Number of batch requests that may start on borrowed places; grows with each report. */
 	let borrowCredit = 0;
-	/** Running requests beyond which the servers have just bounced one. */
+	/** Number of running requests above which the servers have just bounced one. */
 	let bouncedAbove = Infinity;
 	let reportedAt = -Infinity;
 
@@ -77,7 +80,7 @@
 			borrowCredit = Math.max(0, borrowCredit - 1);
 		},
 		noteBounce(running) {
-			// Others took the places that this process counted on: without this it would offer in a loop what bounces.
+			// Other processes use the places that this one counted on; without this limit, bounced requests would be sent again in a loop.
 			bouncedAbove = running;
 		},
 		allowProbe(running) {
--- a/src/domain/create-admission/_lib/create-pool.ts
+++ b/src/domain/create-admission/_lib/create-pool.ts
@@ -1,4 +1,4 @@
-/** The places of one pool, the two queues before them, and what is predicted for those who wait. */
+/** Admission control of one pool: its places, the queues of both classes, and the predicted waits. */
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type RequestId} from '../../../ports/ids.js';
 import {type ServiceClass} from '../../../ports/outcome.js';
@@ -25,10 +25,10 @@
 	status: (now: Milliseconds) => PoolStatus;
 };
 
-/** Time between two looks at all waiting batch work for those that will be late. */
+/** Interval at which all queued batch requests are checked for lateness, milliseconds. */
 const batchReviewMs = 250;
 
-/** Requests of this process under way from which the pace of a pool is told: the error of a smaller count is larger than what it tells. */
+/** Running requests of this process that are needed to estimate the pool's drain rate; with fewer the error exceeds the estimate. */
 const minDrainSamples = 4;
 
 type Running = {
@@ -40,9 +40,9 @@
 /**
  * Creates a pool without places.
  *
- * @param name - the pool's name, for its status.
- * @param settings - shares and bounds.
- * @returns the pool.
+ * @param name - Name of the pool, for its status.
+ * @param settings - Shares and bounds.
+ * @returns The pool.
  */
 export function createPool(name: string, settings: PoolSettings): Pool {
 	const quick = createLane(settings);
@@ -51,17 +51,17 @@
 	const quickRate = createRate(settings.slackMemoryMs);
 	const places = createPlaces(settings.borrowShare);
 	let batchReviewedAt = -Infinity;
-	/** Admissions of quick work since the last one of batch work. */
+	/** Number of quick requests admitted since the last batch request. */
 	let quickInARow = 0;
 
 	const toLane = (serviceClass: ServiceClass): Lane => serviceClass === 'quick' ? quick : batch;
 
 	const guaranteed = (): number => Math.floor(places.own * settings.batchShare);
 
-	/** Places that quick work occupies by its recent rate (Little's law). */
+	/** Mean number of places that quick requests occupy at their recent rate (Little's law). */
 	const quickOccupancy = (now: Milliseconds): number => quickRate.at(now) * (quick.holdMs.value ?? 0);
 
-	/** Places that batch work leaves to quick work: its occupancy, and this process's share of the pool's chance variation around it. */
+	/** Number of places reserved for quick requests: their mean occupancy, plus this process's share of the pool's random variation. */
 	function reservedAt(now: Milliseconds): number {
 		const occupied = quickOccupancy(now);
 		const variation = settings.slackDeviations * Math.sqrt(occupied * places.share);
@@ -73,16 +73,16 @@
 			return false;
 		}
 
-		// Too few places for a share of them: batch gets its share of the turns instead, or it would starve.
+		// With too few places for a share of them, batch gets its share of the admissions instead; otherwise it would starve.
 		return guaranteed() === 0
 			? batch.running === 0 && quickInARow >= 1 / settings.batchShare
 			: batch.running < guaranteed() && quick.running >= places.own - guaranteed();
 	}
 
-	/** Batch work stays on this process's own places, less the reserve, and borrows with care. */
+	/** Batch requests use this process's own places without the reserve, and borrow only within the credit. */
 	function isBatchAdmissible(now: Milliseconds): boolean {
 		const forQuick = Math.max(quick.running, reservedAt(now));
-		// Shares are not whole places: rounding to the nearest keeps the sum over the processes right.
+		// A share is not a whole number of places; rounding to the nearest keeps the sum over all processes right.
 		return batch.running < guaranteed()
 			|| isBatchDue()
 			|| batch.running + forQuick + (1 / 2) <= places.own
@@ -90,7 +90,7 @@
 	}
 
 	function isAdmissible(lane: Lane, now: Milliseconds): boolean {
-		// Any place of the pool will do for quick work: a wrong guess costs one bounced reservation, a missed place costs the target.
+		// Quick requests may use any place of the pool: a wrong guess costs one bounced reservation, an unused place costs a missed target.
 		return places.hasRoom(running.size) && (lane === quick ? !isBatchDue() : isBatchAdmissible(now));
 	}
 
@@ -117,7 +117,7 @@
 		}
 	}
 
-	/** Requests of a lane that leave it in a millisecond, 0 while nothing is known. */
+	/** Drain rate of a lane, requests per millisecond; 0 while it is unknown. */
 	function drainPerMs(lane: Lane, now: Milliseconds): number {
 		if (lane === batch) {
 			const usable = Math.max(places.own - Math.max(quick.running, reservedAt(now)), places.own * settings.batchShare, batch.running);
@@ -125,20 +125,21 @@
 		}
 
 		const guaranteedToBatch = batch.queue.size > 0 ? Math.min(batch.running, places.own * settings.batchShare) : 0;
-		// What quick work of other processes frees counts too, in the proportion of this one's share.
+		// Places freed by quick requests of other processes count too, in proportion to this process's share.
 		const freeing = places.isUsedKnown ? Math.max(quick.running, Math.min(quickOccupancy(now), places.own)) : quick.running;
 		return toRate(freeing, quick.holdMs.value) + toRate(batch.running - guaranteedToBatch, batch.holdMs.value);
 	}
 
-	/** Whether other processes, whose use nobody reports, fill the pool, and what runs here is too little to show its pace. */
+	/** Whether the use by other processes is not reported and too few requests run here to estimate the drain rate. */
 	function isDrainRateUnknown(): boolean {
 		return !places.isUsedKnown && running.size < Math.min(minDrainSamples, places.own);
 	}
 
 	/**
-	 * Time until room for a request is predicted; none where nothing tells. Predicted
-	 * by the one or two requests that a host of a large fleet has under way, a request
-	 * was refused on arrival although hundreds ended elsewhere within its time.
+	 * Predicted wait for a place, milliseconds; 0 where it can't be predicted. In a
+	 * large fleet a host has only one or two running requests; a prediction from these
+	 * refused requests on arrival although hundreds of requests of other hosts ended
+	 * in time.
 	 */
 	function toWaitMs(lane: Lane, ahead: number, now: Milliseconds): Milliseconds {
 		if (isDrainRateUnknown()) {
@@ -146,7 +147,7 @@
 		}
 
 		const drain = drainPerMs(lane, now);
-		// Quick work takes the next place of the whole pool, and of the requests that wait for it this process has its share.
+		// Quick requests take the next free place of the whole pool, for which other processes compete in proportion to their shares.
 		const turns = lane === quick && places.isUsedKnown ? ahead + places.share : ahead + 1;
 		return drain > 0 ? turns / drain * settings.refuseMargin : 0;
 	}
@@ -190,7 +191,7 @@
 		return {kind: 'queued', position};
 	}
 
-	/** Takes a request out, waiting or running. */
+	/** Removes a queued or running request. */
 	function release(id: RequestId): Running | undefined {
 		const entry = running.get(id);
 		if (entry === undefined) {
@@ -213,7 +214,7 @@
 		if (outcome === 'bounced') {
 			places.noteBounce(running.size);
 			if (entry?.lane === quick) {
-				// It comes again, and would count twice in what quick work needs.
+				// The request is offered again and would count twice in the rate of quick requests.
 				quickRate.remove(now);
 			}
 		}
@@ -228,7 +229,7 @@
 
 	function refuseLate(lane: Lane, now: Milliseconds): AdmissionTick['refused'] {
 		const refused: Array<Refusal & {id: RequestId}> = [];
-		// Sorting a long queue of batch work costs more than its far deadlines need: look at it less often.
+		// Sorting a long batch queue is expensive and batch deadlines are far away, so the batch queue is checked less often.
 		if (lane === batch && now - batchReviewedAt < batchReviewMs && places.slots > 0) {
 			return refused;
 		}
@@ -268,7 +269,7 @@
 		finish,
 		cancel,
 		tick(now) {
-			// A place may have been freed by another process.
+			// Another process may have freed a place.
 			places.allowProbe(running.size);
 			const admitted = admitNext(now);
 			return {admitted, refused: [...refuseLate(quick, now), ...refuseLate(batch, now)]};
--- a/src/domain/create-admission/_lib/create-rate.ts
+++ b/src/domain/create-admission/_lib/create-rate.ts
@@ -1,17 +1,19 @@
-/** Events a second of late, in constant memory. */
+/** Measures the recent rate of events in constant memory, with exponential decay. */
 import {type Milliseconds} from '../../../ports/clock.js';
 
 export type Rate = {
 	add: (now: Milliseconds) => void;
-	/** Takes back an event of a moment ago that will be added again. */
+	/** Removes a recent event that will be added again. */
 	remove: (now: Milliseconds) => void;
-	/** Events a millisecond. */
+	/** Rate at `now`, events per millisecond. */
 	at: (now: Milliseconds) => number;
 };
 
 /**
- * @param memoryMs - an event's weight falls to 37 % after this time.
- * @returns the rate, 0 until something was added.
+ * Creates a rate of 0.
+ *
+ * @param memoryMs - Time after which the weight of an event has decayed to 37 %, milliseconds.
+ * @returns See {@link Rate}.
  */
 export function createRate(memoryMs: Milliseconds): Rate {
 	let rate = 0;
--- a/src/domain/create-admission/_lib/create-retry-times.ts
+++ b/src/domain/create-admission/_lib/create-retry-times.ts
@@ -1,6 +1,6 @@
 /**
- * Tells refused callers when to come back, one after the other as the pool
- * drains. With one answer for all, those refused together would come back
+ * Assigns retry delays to refused callers, one after the other as the pool drains.
+ * With the same delay for all, callers that were refused together would retry
  * together and be refused again.
  */
 import {type Milliseconds} from '../../../ports/clock.js';
@@ -8,16 +8,16 @@
 import {toRetryAfter} from '../../to-retry-after/index.js';
 
 export type RetryTimes = {
-	/** Gives one refused caller its delay; `ahead` requests wait already, `drainPerMs` leave in a millisecond. */
+	/** Returns the delay for one refused caller; `ahead` requests are queued, and `drainPerMs` requests leave per millisecond. */
 	next: (ahead: number, drainPerMs: number, now: Milliseconds) => Milliseconds;
 };
 
-/** Callers told to return that count at most, so that a flood of refusals is forgotten when it ends. */
+/** Maximum number of expected retries that are counted, so that a flood of refusals does not affect delays long after it. */
 const maxExpected = 1000;
 
-/** @returns return times in constant memory. */
+/** @returns See {@link RetryTimes}; the state has constant size. */
 export function createRetryTimes(): RetryTimes {
-	/** Callers told to come back for whom the pool has not had the time yet. */
+	/** Callers that were told to retry and whose turn has not come yet. */
 	let expectedRetries = 0;
 	let updatedAt = 0;
 
--- a/src/domain/create-admission/_lib/types.ts
+++ b/src/domain/create-admission/_lib/types.ts
@@ -1,4 +1,4 @@
-/** Types that the parts of the admission share. */
+/** Types shared by the parts of admission control. */
 import {type Milliseconds} from '../../../ports/clock.js';
 import {type RequestId, type WorkspaceId} from '../../../ports/ids.js';
 import {type ServiceClass} from '../../../ports/outcome.js';
@@ -7,16 +7,16 @@
 /**
  * Why a request is refused.
  *
- * - `no-capacity`: no server of the pool is known to serve.
+ * - `no-capacity`: no serving server of the pool is known.
  * - `queue-full`: the rule's queue limit, or the workspace's part of it, is reached.
- * - `too-late`: its predicted finish misses its target, or the target has passed.
- * - `duplicate`: its id is already waiting or admitted.
+ * - `too-late`: the predicted finish misses the target, or the target has passed.
+ * - `duplicate`: a request with the same id is already queued or admitted.
  */
 export type RefusalReason = 'no-capacity' | 'queue-full' | 'too-late' | 'duplicate';
 
 export type Refusal = {
 	reason: RefusalReason;
-	/** Delay after which the caller may come back with a chance; whole seconds. */
+	/** Delay after which a retry is likely to be admitted; whole seconds, in milliseconds. */
 	retryAfterMs: Milliseconds;
 };
 
@@ -25,14 +25,14 @@
 	pool: string;
 	class: ServiceClass;
 	workspace: WorkspaceId;
-	/** Monotonic time by which the whole answer is due. */
+	/** Monotonic time by which the answer must be complete. */
 	deadline: Milliseconds;
-	/** Monotonic time by which the first token is due; equal to `deadline` where there are no tokens. */
+	/** Monotonic time by which the first token must arrive; equal to `deadline` where there are no tokens. */
 	firstTokenDeadline: Milliseconds;
 	promptTokens: number;
-	/** Tokens that the answer may have at most. */
+	/** Maximum number of tokens in the answer. */
 	maxTokens: number;
-	/** Requests of the pool and class that may wait here; from the rule. */
+	/** Maximum number of queued requests of the pool and class, from the rule. */
 	queueLimit: number;
 };
 
@@ -44,47 +44,47 @@
 /**
  * How an admitted request ended.
  *
- * - `completed`: its answer is whole; its time counts in predictions.
- * - `failed`: it broke on the way; its time says nothing about the next one's.
- * - `bounced`: the servers had no room after all. Offer it again to let it wait.
+ * - `completed`: the answer is complete; its duration is used for predictions.
+ * - `failed`: the request failed; its duration is not used.
+ * - `bounced`: the servers had no room after all. Offer the request again to queue it.
  */
 export type FinishOutcome = 'completed' | 'failed' | 'bounced';
 
 export type PoolCapacity = {
-	/** Requests that the pool's serving servers hold at a time. */
+	/** Number of requests that the pool's serving servers hold at a time. */
 	slots: number;
-	/** Part of `slots` that is this process's own, in (0, 1]: one over the live entry hosts that send to them. */
+	/** This process's share of `slots`, in (0, 1]: one over the number of live entry hosts that send to the servers. */
 	share: number;
-	/** Slots in use by all hosts, as last reported; absent means that nothing is borrowed. */
+	/** Slots in use by all hosts in the last report; if absent, nothing is borrowed. */
 	used?: number;
 };
 
 export type AdmissionTick = {
 	admitted: readonly RequestId[];
-	/** Requests that no longer wait: each gets its final answer at once. */
+	/** Requests that were removed from the queue; each must get its final answer at once. */
 	refused: ReadonlyArray<Refusal & {id: RequestId}>;
 };
 
 export type PoolSettings = {
-	/** Part of the places that batch work gets while it waits, whatever quick work arrives. */
+	/** Share of the places that is guaranteed to batch requests while some wait. */
 	batchShare: number;
-	/** Largest part of the places that is kept free of batch work for quick work to come; 0 keeps none. */
+	/** Maximum share of the places that is reserved for future quick requests; 0 reserves none. */
 	slackShare: number;
-	/** Memory of the rate at which quick work comes. */
+	/** Time constant of the arrival rate of quick requests, milliseconds. */
 	slackMemoryMs: Milliseconds;
-	/** Standard deviations of quick work's occupancy that are kept free on top of what its rate occupies. */
+	/** Number of standard deviations reserved on top of the mean occupancy of quick requests. */
 	slackDeviations: number;
-	/** Part of the slots reported free, times this process's share, that it takes beyond its own. */
+	/** Share of the reported free slots due to this process that batch requests may borrow. */
 	borrowShare: number;
-	/** See `createFairQueue`; in units of cost, which is one output token. */
+	/** Window of `createFairQueue`; the unit of cost is one output token. */
 	fairnessWindowCost: number;
-	/** Prompt tokens that cost as much as one output token. */
+	/** Number of prompt tokens that cost as much as one output token. */
 	prefillTokensPerCost: number;
-	/** A workspace may have this many times the free part of a queue waiting in it, so that one alone never fills it. */
+	/** Maximum number of queued requests of a workspace, as a multiple of the free room of the queue, so that one workspace can't fill the queue. */
 	maxQueuedPerWorkspace: number;
-	/** Weight of one sample in the means from which waits are predicted. */
+	/** Weight of one sample in the moving averages from which waits are predicted. */
 	meanWeight: number;
-	/** Part of the predicted wait that has to fit before the target for a request to go on waiting. */
+	/** Share of the predicted wait that must fit before the target; otherwise the request is refused. */
 	refuseMargin: number;
 };
 
@@ -94,9 +94,9 @@
 
 export type PoolStatus = {
 	pool: string;
-	/** Requests that this process may have on the pool's servers now. */
+	/** Number of requests that this process may have on the pool's servers now. */
 	places: number;
-	/** Places kept free of batch work now. */
+	/** Number of places reserved for quick requests now. */
 	reserved: number;
 	running: {quick: number; batch: number};
 	waiting: {quick: number; batch: number};
--- a/src/domain/create-admission/index.ts
+++ b/src/domain/create-admission/index.ts
@@ -1,13 +1,14 @@
 /**
- * Decides, for one entry process, which requests start now, which wait and
- * which are refused at once.
+ * Admission control of one entry process: decides which requests start now, which
+ * are queued and which are refused at once.
  *
- * Each pool has places: requests that this process may have on the pool's
- * servers at a time. Quick work goes first; batch has a guaranteed share of the
- * places while it waits, and never takes the places that quick work is expected
- * to need soon. Inside a class, workspaces take turns by the work they cause,
- * and deadlines order those that are level. A request whose predicted finish
- * misses its target is refused as soon as that is known.
+ * Each pool has places, the number of requests that this process may have on the
+ * pool's servers at a time. Quick requests go first. Batch requests have a
+ * guaranteed share of the places while they wait, and otherwise never take places
+ * that quick requests are expected to need soon. Within a class, workspaces are
+ * served fairly by the work that they cause; among workspaces that have had equal
+ * shares, the earliest deadline goes first. A request is refused as soon as its
+ * predicted finish misses its target.
  */
 import {type Milliseconds} from '../../ports/clock.js';
 import {type RequestId} from '../../ports/ids.js';
@@ -25,28 +26,28 @@
 export type Admission = {
 	/** Decides about a new request. */
 	offer: (request: AdmissionRequest, now: Milliseconds) => AdmissionAnswer;
-	/** Notes the first token of an admitted request; sharpens the prediction. */
+	/** Records the first token of an admitted request, which improves the prediction. */
 	noteFirstToken: (id: RequestId, now: Milliseconds) => void;
 	/** Frees the place of an admitted request and returns the requests that start now. */
 	finish: (id: RequestId, now: Milliseconds, end: {outcome: FinishOutcome}) => readonly RequestId[];
-	/** Forgets a request whose caller is gone, waiting or admitted, and returns the requests that start now. */
+	/** Removes a queued or admitted request whose caller is gone, and returns the requests that start now. */
 	cancel: (id: RequestId, now: Milliseconds) => readonly RequestId[];
-	/** Looks again at all that wait; call it several times a second. */
+	/** Checks all queued requests again; call it several times a second. */
 	tick: (now: Milliseconds) => AdmissionTick;
-	/** Takes a pool's capacity from the view and returns the requests that start now. */
+	/** Sets a pool's capacity from the view and returns the requests that start now. */
 	setCapacity: (pool: string, capacity: PoolCapacity, now: Milliseconds) => readonly RequestId[];
-	/** Forgets the pools that are not named, once nothing of them runs; what waits for them is refused with the next tick. */
+	/** Removes the pools that are not named, once none of their requests runs; their queued requests are refused with the next tick. */
 	keepPools: (names: ReadonlySet<string>, now: Milliseconds) => void;
-	/** Mean time for which requests of a pool keep their places; `undefined` while none has ended. */
+	/** Mean time for which requests of a pool hold their places; `undefined` until one has ended. */
 	meanHoldMs: (pool: string) => Milliseconds | undefined;
 	/** Numbers for metrics and the status document. */
 	status: (now: Milliseconds) => PoolStatus[];
 };
 
-/** A pool without a known server may get one with the next report or two. */
+/** Retry delay for a pool without a known server; the next report or two may bring one. */
 const noCapacityRetryMs = 5000;
 
-/** The id's first request is still here; soon it may not be. */
+/** Retry delay for a duplicate id, whose first request may end soon. */
 const duplicateRetryMs = 1000;
 
 const defaults: PoolSettings = {
@@ -63,11 +64,12 @@
 };
 
 /**
- * Creates the admission of one entry process. It knows no pool until
- * `setCapacity` names one, and refuses with `no-capacity` until then.
+ * Creates the admission control of one entry process. A pool is unknown until
+ * `setCapacity` is called for it; until then its requests are refused with
+ * `no-capacity`.
  *
- * @param options - shares and bounds; each has a default that `docs/design/005-admission.md` explains.
- * @returns functions that decide; `now` is monotonic milliseconds.
+ * @param options - Shares and bounds; `docs/design/005-admission.md` explains the defaults.
+ * @returns See {@link Admission}; `now` is monotonic milliseconds.
  * @example
  * const admission = createAdmission();
  * admission.setCapacity('desk', {slots: 40, share: 0.5}, 0);
--- a/src/domain/create-admission/shared-memory.test.ts
+++ b/src/domain/create-admission/shared-memory.test.ts
@@ -1,33 +1,33 @@
 /*
- * Callers are refused some milliseconds after they came, though they have most of a
- * second and room comes within it. A burst fills the memory of servers that hundreds
- * of hosts share and none reports on; the first offer bounces. With one request of its
- * own under way, a host took that one's end for the only thing that could make room.
- * Proof: the same burst, through few hosts and through many, serves as many in time.
+ * Guards against refusals on arrival although room becomes free in time. A burst
+ * fills the memory of servers that hundreds of hosts share without load reports, and
+ * the first offer bounces. A host with a single running request predicted room only
+ * for the end of that request. The test sends the same burst through few and through
+ * many hosts; both must serve about as many requests in time.
  */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
 import {type Milliseconds} from '../../ports/clock.js';
 import {createAdmission, type Admission, type AdmissionRequest} from './index.js';
 
-/** Requests that the servers hold at a time, whichever host sent them. */
+/** Number of requests that the servers hold at a time, from all hosts. */
 const room = 600;
 const holdMs: Milliseconds = 1000;
 const firstTokenMs: Milliseconds = 200;
 const targetMs: Milliseconds = 900;
 const tickMs: Milliseconds = 20;
 
-/** Requests of all callers in a tick: a burst of 1.5 s, a third above what the servers can do, between quieter times. */
+/** Requests of all callers per tick: a burst of 1.5 s, a third above the servers' throughput, between quieter periods. */
 const perTick = (now: Milliseconds): number => now >= 4000 && now < 5500 ? 16 : 9;
 const endMs: Milliseconds = 10_000;
 
 type Sim = {
 	admissions: readonly Admission[];
-	/** Requests that hold room now. */
+	/** Number of requests on the servers now. */
 	held: number;
 	inTime: number;
 	refused: number;
-	/** What happens at its time. */
+	/** Scheduled events by time. */
 	agenda: Map<Milliseconds, Array<() => void>>;
 };
 
@@ -73,7 +73,7 @@
 	}
 }
 
-/** Plays the burst through so many hosts; callers come to them in turn. */
+/** Simulates the burst with the given number of hosts; callers are distributed over them in turn. */
 function play(hosts: number): Sim {
 	const sim: Sim = {
 		admissions: Array.from({length: hosts}, () => createAdmission()), held: 0, inTime: 0, refused: 0, agenda: new Map(),
@@ -88,7 +88,7 @@
 			act();
 		}
 
-		// No host is always the first to ask.
+		// The first host differs in each tick.
 		const first = (now * 31) % hosts;
 		for (const host of [...sim.admissions.slice(first), ...sim.admissions.slice(0, first)]) {
 			const {admitted, refused} = host.tick(now);
@@ -107,8 +107,8 @@
 	return sim;
 }
 
-describe('a burst on memory that hundreds of hosts share', () => {
-	// Without a common queue some of the latest of hundreds of hosts find room a little too late.
+describe('a burst on servers that hundreds of hosts share', () => {
+	// Without a common queue, a few of the last requests of hundreds of hosts find room slightly too late.
 	for (const {hosts, least} of [{hosts: 40, least: 1}, {hosts: 200, least: 1}, {hosts: 400, least: 0.98}]) {
 		it(`serves as many in time through ${hosts} hosts as through eight`, t => {
 			const few = play(8);
--- a/src/domain/create-admission/test.ts
+++ b/src/domain/create-admission/test.ts
@@ -19,7 +19,7 @@
 const quick = (id: string, changes: Partial<AdmissionRequest> = {}): AdmissionRequest => request(id, {class: 'quick', ...changes});
 
 describe('createAdmission', () => {
-	it('refuses what goes to a pool without capacity, and takes it once there is some', () => {
+	it('refuses requests for a pool without capacity, and admits them once there is some', () => {
 		const admission = createAdmission();
 		const refusal = admission.offer(request('a'), 0);
 		assert.equal(refusal.kind === 'refused' && refusal.reason, 'no-capacity');
@@ -35,10 +35,10 @@
 		]);
 		assert.deepEqual(admission.cancel('c', 1), []);
 		assert.deepEqual(admission.finish('a', 2, {outcome: 'completed'}), ['d']);
-		assert.deepEqual(admission.finish('a', 3, {outcome: 'completed'}), [], 'a second end frees nothing');
+		assert.deepEqual(admission.finish('a', 3, {outcome: 'completed'}), [], 'a second finish frees nothing');
 	});
 
-	it('refuses what waits for a pool that is gone with the next tick, and forgets the pool when nothing of it runs', () => {
+	it('refuses the queued requests of a removed pool with the next tick, and removes the pool when none of its requests runs', () => {
 		const admission = createAdmission();
 		admission.setCapacity('p', {slots: 1, share: 1}, 0);
 		admission.offer(request('a'), 0);
@@ -51,7 +51,7 @@
 		assert.equal(admission.status(4).length, 0);
 	});
 
-	it('serves quick work before batch work', () => {
+	it('admits quick requests before batch requests', () => {
 		const admission = createAdmission({batchShare: 0});
 		admission.setCapacity('p', {slots: 1, share: 1}, 0);
 		admission.offer(request('running'), 0);
@@ -61,7 +61,7 @@
 	});
 
 	for (const places of [1, 2, 5, 40]) {
-		it(`lets batch work through under endless quick work with ${places} places`, () => {
+		it(`admits batch requests under endless quick requests with ${places} places`, () => {
 			const admission = createAdmission();
 			admission.setCapacity('p', {slots: places, share: 1}, 0);
 			const running: string[] = [];
@@ -84,11 +84,11 @@
 				offerQuick(rounds);
 			}
 
-			assert.ok(running.includes('batch'), 'batch work starved');
+			assert.ok(running.includes('batch'), 'the batch request starved');
 		});
 	}
 
-	it('keeps places free for quick work at its recent rate, and gives them back when it stays away', () => {
+	it('reserves places for quick requests by their recent rate, and releases them when quick requests stop', () => {
 		const admission = createAdmission({slackDeviations: 0});
 		admission.setCapacity('p', {slots: 6, share: 1}, 0);
 		for (let now = 0; now < 20_000; now += 50) {
@@ -98,15 +98,15 @@
 
 		const offered = Array.from({length: 6}, (_, index) => `b${index}`);
 		const kinds = offered.map(id => admission.offer(request(id), 20_000).kind);
-		assert.equal(kinds.filter(kind => kind === 'admitted').length, 4, 'quick work holds two of six places on average');
-		assert.equal(admission.offer(quick('next', {deadline: 1e9, firstTokenDeadline: 1e9}), 20_000).kind, 'queued', 'its own two run already');
+		assert.equal(kinds.filter(kind => kind === 'admitted').length, 4, 'quick requests hold two of six places on average');
+		assert.equal(admission.offer(quick('next', {deadline: 1e9, firstTokenDeadline: 1e9}), 20_000).kind, 'queued', 'the two reserved places are already in use');
 		assert.deepEqual(admission.finish('q19950', 20_001, {outcome: 'completed'}), ['next']);
 		admission.finish('q19900', 20_002, {outcome: 'completed'});
 		admission.finish('next', 20_002, {outcome: 'completed'});
 		assert.deepEqual(admission.tick(60_000).admitted, ['b4', 'b5']);
 	});
 
-	it('keeps most of the room for quick work through a lull that chance makes, so that batch work does not settle in it', () => {
+	it('keeps most of the reserve for quick requests through a random lull, so that batch requests don\'t fill it', () => {
 		const admission = createAdmission({slackDeviations: 0});
 		admission.setCapacity('p', {slots: 20, share: 1}, 0);
 		for (let now = 0; now < 60_000; now += 500) {
@@ -115,11 +115,11 @@
 		}
 
 		const [before, after] = [59_500, 61_500].map(now => admission.status(now)[0]!.reserved) as [number, number];
-		assert.ok(before > 1.5, `${before} places kept for the two that quick work occupies`);
-		assert.ok(after > before / 2, `${after} of ${before} places kept after a lull of 2 s`);
+		assert.ok(before > 1.5, `${before} places reserved for the two that quick requests occupy`);
+		assert.ok(after > before / 2, `${after} of ${before} places reserved after a lull of 2 s`);
 	});
 
-	it('refuses at once what the predicted wait makes late, with the time to come back', () => {
+	it('refuses at once a request that the predicted wait would make late, with a retry delay', () => {
 		const admission = createAdmission();
 		admission.setCapacity('p', {slots: 1, share: 1}, 0);
 		admission.offer(request('a'), 0);
@@ -130,7 +130,7 @@
 		assert.deepEqual(admission.tick(10_000).refused.map(each => [each.id, each.reason]), [['d', 'too-late']]);
 	});
 
-	it('tells callers refused together to come back one after the other, at the rate at which the pool drains', () => {
+	it('gives callers that are refused together successive retry delays, at the rate at which the pool drains', () => {
 		const admission = createAdmission();
 		admission.setCapacity('p', {slots: 1, share: 1}, 0);
 		admission.offer(request('a'), 0);
@@ -143,7 +143,7 @@
 		assert.deepEqual(delays, [2000, 4000, 6000]);
 	});
 
-	it('refuses a deadline that has passed and an id that is already here', () => {
+	it('refuses a request whose deadline has passed, and a duplicate id', () => {
 		const admission = createAdmission();
 		admission.setCapacity('p', {slots: 9, share: 1}, 0);
 		const late = admission.offer(request('a', {deadline: 5}), 5);
@@ -153,7 +153,7 @@
 		assert.equal(twice.kind === 'refused' && twice.reason, 'duplicate');
 	});
 
-	it('leaves room in a queue that one workspace fills', () => {
+	it('leaves room in the queue for others when one workspace sends many requests', () => {
 		const admission = createAdmission();
 		admission.setCapacity('p', {slots: 1, share: 1}, 0);
 		admission.offer(request('running'), 0);
@@ -165,13 +165,13 @@
 
 	const borrowing = [
 		{
-			name: 'stays on its own places while the pool is full', class: 'batch' as const, used: 40, admitted: 10,
+			name: 'uses only its own places while the pool is full', class: 'batch' as const, used: 40, admitted: 10,
 		},
 		{
-			name: 'lets batch work borrow its share of what is free', class: 'batch' as const, used: 20, admitted: 15,
+			name: 'lets batch requests borrow their share of the free places', class: 'batch' as const, used: 20, admitted: 15,
 		},
 		{
-			name: 'lets quick work use all that is free', class: 'quick' as const, used: 20, admitted: 20,
+			name: 'lets quick requests use all free places', class: 'quick' as const, used: 20, admitted: 20,
 		},
 	];
 	for (const each of borrowing) {
@@ -183,7 +183,7 @@
 		});
 	}
 
-	it('does not borrow more because the same report comes again and again', () => {
+	it('does not borrow more when the same report is repeated', () => {
 		const admission = createAdmission();
 		for (let now = 0; now < 50; now++) {
 			admission.setCapacity('p', {slots: 40, share: 0.25, used: 20}, now);
@@ -193,7 +193,7 @@
 		assert.equal(kinds.filter(kind => kind === 'admitted').length, 15);
 	});
 
-	it('offers one at a time after the servers bounced a request, and as before with the next report', () => {
+	it('admits one request at a time after the servers bounced a request, and as before after the next report', () => {
 		const admission = createAdmission();
 		admission.setCapacity('p', {slots: 8, share: 0.5}, 0);
 		for (const id of ['a', 'b', 'c', 'd']) {
@@ -207,7 +207,7 @@
 		assert.deepEqual(admission.setCapacity('p', {slots: 8, share: 0.5}, 60), ['d']);
 	});
 
-	it('does not keep more free for quick work because the servers bounce it', () => {
+	it('does not reserve more places for quick requests when the servers bounce them', () => {
 		const reserved = [false, true].map(isBounced => {
 			const admission = createAdmission();
 			admission.setCapacity('p', {slots: 40, share: 1}, 0);
@@ -227,7 +227,7 @@
 		assert.ok(Math.abs(reserved[0]! - reserved[1]!) < 0.5, `${reserved.join(' and ')} places`);
 	});
 
-	it('never has more running than places, loses none, and holds no state at the end', () => {
+	it('tracks running and queued requests exactly, loses none, and keeps within the queue limit (property)', () => {
 		const step = fc.record({
 			kind: fc.constantFrom('offer', 'offer', 'offer', 'finish', 'cancel', 'tick', 'capacity'),
 			pick: fc.nat(50),
@@ -243,7 +243,7 @@
 			const waiting = new Set<string>();
 			const admit = (ids: readonly string[]): void => {
 				for (const id of ids) {
-					assert.ok(waiting.delete(id), 'admitted what did not wait');
+					assert.ok(waiting.delete(id), 'admitted a request that was not queued');
 					running.add(id);
 				}
 			};
@@ -278,7 +278,7 @@
 					case 'tick': {
 						const {admitted, refused} = admission.tick(now);
 						admit(admitted);
-						assert.ok(refused.every(({id}) => waiting.delete(id)), 'refused what did not wait');
+						assert.ok(refused.every(({id}) => waiting.delete(id)), 'refused a request that was not queued');
 						break;
 					}
 
--- a/src/domain/create-crash-suspects/index.ts
+++ b/src/domain/create-crash-suspects/index.ts
@@ -1,8 +1,9 @@
 /**
- * Which requests crash the servers that run them. A host can't see why a server
- * ended, so each request that ran there is suspected; one under which several
- * servers ended is quarantined. Its victims, which broke with it, are rarely at as
- * many crashes, and are cleared once they are answered whole.
+ * Finds requests that crash the servers that run them. A host can't see why a server
+ * ended, so every request that ran there is a suspect; a request that was running when
+ * several servers ended is quarantined. Requests that failed only because they ran
+ * beside it are rarely present at as many crashes, and are cleared once one of their
+ * attempts completes.
  */
 import {type Milliseconds} from '../../ports/clock.js';
 import {type CrashReport} from '../../ports/crash-reports.js';
@@ -10,37 +11,37 @@
 import {msPerMinute, msPerSecond} from '../../ports/units.js';
 
 export type CrashSuspectsOptions = {
-	/** Servers that must have ended under a request before it is quarantined. */
+	/** Number of servers that must have ended while they ran a request before it is quarantined. */
 	crashesToQuarantine?: number;
-	/** Time after which a request that was not seen again is forgotten, milliseconds. */
+	/** Time after which a request that has not recurred is forgotten, milliseconds. */
 	forgetMs?: Milliseconds;
-	/** Requests that are remembered; beyond, those that are not quarantined go first, the longest unseen before the others. */
+	/** Maximum number of suspects; when it is exceeded, suspects that are not quarantined are evicted first, least recently seen first. */
 	maxSuspects?: number;
 };
 
 export type CrashSuspects = {
-	/** The server closed the connection on which it had the request. Tells whether the request is quarantined from now on, and was not before. */
+	/** Records that the server closed the connection on which it was running the request; returns whether this puts the request in quarantine. */
 	noteBroken: (fingerprint: Fingerprint, server: ServerId, now: Milliseconds) => boolean;
-	/** The server answered a call that was begun at this time: what broke there before was no crash. */
+	/** Records that the server answered a call that started at this time; connections that broke before were not crashes. */
 	noteAnswered: (server: ServerId, calledAt: Milliseconds) => void;
-	/** The request was answered whole: earlier crashes were not its doing. */
+	/** Records that the request completed; it did not cause earlier crashes. */
 	noteCompleted: (fingerprint: Fingerprint, now: Milliseconds) => void;
-	/** The request came again and was refused. */
+	/** Records that the request was received again and refused. */
 	noteRefused: (fingerprint: Fingerprint, now: Milliseconds) => void;
-	/** Takes what another host tells. Gives the requests that are quarantined by it and were not before. */
+	/** Merges reports of another host; returns the requests that are newly quarantined. */
 	mergeReports: (reports: readonly CrashReport[], now: Milliseconds) => readonly Fingerprint[];
 	isQuarantined: (fingerprint: Fingerprint, now: Milliseconds) => boolean;
-	/** Servers that ended under the request. */
+	/** Servers that ended while they ran the request. */
 	crashedServers: (fingerprint: Fingerprint, now: Milliseconds) => readonly ServerId[];
-	/** What others have to know in any case: requests with several crashes, and fresh ones with at least so many; others each time where there are more. */
+	/** Reports for other hosts: all requests with repeated crashes, and requests with recent crashes of at least `leastFresh` servers; rotates through them if there are more than `limit`. */
 	toReports: (now: Milliseconds, options: {leastFresh: number; limit: number}) => readonly CrashReport[];
-	/** What has changed since it was taken last. */
+	/** Reports of the requests that have changed since they were last taken. */
 	takeChanged: (now: Milliseconds, limit: number) => readonly CrashReport[];
 	count: (now: Milliseconds) => {suspects: number; quarantined: number};
 };
 
 type Suspect = {
-	/** When each server ended under it. */
+	/** Time at which each server ended while it ran the request. */
 	crashes: Map<ServerId, Milliseconds>;
 	seenAt: Milliseconds;
 	clearedAt: Milliseconds;
@@ -50,23 +51,23 @@
 const defaultForgetMs: Milliseconds = 60 * msPerMinute;
 const defaultMaxSuspects = 2048;
 
-/** Crashes that are kept of one request; some may turn out to be none. */
+/** Maximum number of crashes kept per request, above the quarantine threshold as some may turn out not to be crashes. */
 const maxCrashesOfSuspect = 8;
 
-/** Servers of which it is kept that they answered; a day's restarts must not fill the memory. */
+/** Maximum number of servers whose latest answer is kept, so that restarts under new names can't fill the memory. */
 const maxAnsweringServers = 8192;
 
-/** Time for which a request's first crash is told of: until then it has come to all hosts, or was a victim. */
+/** Time for which a request's first crash is reported; after it, all hosts have received the report or the request was not the cause. */
 const freshCrashMs: Milliseconds = 5 * msPerSecond;
 
-/** Crashes from which on a request is told of for as long as it is remembered. */
+/** Number of crashes from which a request is reported for as long as it is a suspect. */
 const minCrashesToRepeat = 2;
 
 /**
- * Creates the memory of a host that has seen nothing yet.
+ * Creates the record of one host.
  *
  * @param options - When a request is quarantined, and how much is remembered.
- * @returns Functions that note and tell; `now` is monotonic milliseconds.
+ * @returns See {@link CrashSuspects}; `now` is monotonic milliseconds.
  *
  * @example
  * ```ts
@@ -78,9 +79,9 @@
  */
 export function createCrashSuspects(options: CrashSuspectsOptions = {}): CrashSuspects {
 	const {crashesToQuarantine = defaultCrashesToQuarantine, forgetMs = defaultForgetMs, maxSuspects = defaultMaxSuspects} = options;
-	/** In the order in which they were seen last. */
+	/** Suspects by time of last occurrence, oldest first. */
 	const suspects = new Map<Fingerprint, Suspect>();
-	/** Start of the latest call that each server answered. */
+	/** Start time of the latest call that each server answered. */
 	const answeredAt = new Map<ServerId, Milliseconds>();
 	const changed = new Set<Fingerprint>();
 	let reportOffset = 0;
@@ -117,7 +118,7 @@
 		forget(evicted!);
 	}
 
-	/** Puts the request behind all others that were seen before. */
+	/** Moves the request to the end, as the most recently seen suspect. */
 	function touch(fingerprint: Fingerprint, seenAt: Milliseconds, now: Milliseconds): Suspect {
 		const known = find(fingerprint, now);
 		if (known === undefined) {
@@ -131,7 +132,7 @@
 		return suspect;
 	}
 
-	/** Adds a crash unless it is known, or is none. */
+	/** Adds a crash unless it is known or is not a crash; returns whether it was added. */
 	function addCrash(suspect: Suspect, server: ServerId, at: Milliseconds): boolean {
 		const known = suspect.crashes.get(server);
 		const isKnown = known !== undefined && isCrash(suspect, server, known);
@@ -151,7 +152,7 @@
 		return hasRoom;
 	}
 
-	/** Whether the change makes the request a quarantined one. */
+	/** Adds crashes of a request; returns whether they put the request in quarantine. */
 	function noteCrashes(fingerprint: Fingerprint, {seenAt, crashes}: {seenAt: Milliseconds; crashes: ReadonlyArray<[ServerId, Milliseconds]>}, now: Milliseconds): boolean {
 		const suspect = touch(fingerprint, seenAt, now);
 		const hadEnoughCrashes = hasEnoughCrashes(suspect);
--- a/src/domain/create-fair-queue/index.ts
+++ b/src/domain/create-fair-queue/index.ts
@@ -1,12 +1,12 @@
 /**
- * A queue that is fair between workspaces and keeps deadline order among those
- * that are level.
+ * A queue that is fair between workspaces, with deadline order among workspaces
+ * that have been served equally.
  *
- * Start-time fair queueing: each workspace has a virtual start time that grows
- * by the cost of what it was served; the workspace that has got least goes
- * first. Workspaces within `windowCost` of the least served count as level, and
- * among them the earliest deadline goes first. State exists only for workspaces
- * that wait or were served a moment ago.
+ * Implements start-time fair queueing: each workspace has a virtual start time
+ * that grows by the cost of its served items, and the workspace with the lowest
+ * start time is served first. Workspaces within `windowCost` of the lowest start
+ * time count as equal; among them the earliest deadline goes first. State is kept
+ * only for workspaces that have queued items or were served recently.
  */
 import {type Milliseconds} from '../../ports/clock.js';
 import {type RequestId, type WorkspaceId} from '../../ports/ids.js';
@@ -15,29 +15,29 @@
 	id: RequestId;
 	workspace: WorkspaceId;
 	deadline: Milliseconds;
-	/** Work that serving the item takes, in any unit that all items share; above 0. */
+	/** Cost of serving the item, in the same unit for all items; above 0. */
 	cost: number;
 };
 
 export type FairQueueOptions = {
-	/** Cost by which a workspace may be ahead of the least served one and still be picked by deadline. 0 is strict fairness, `Infinity` strict deadline order. */
+	/** Cost by which a workspace may be ahead of the least served one and still be picked by deadline; 0 gives strict fairness, `Infinity` strict deadline order. */
 	windowCost?: number;
 };
 
 export type FairQueue<Item extends FairQueueItem> = {
 	push: (item: Item) => void;
-	/** Takes the next item, or `undefined` when the queue is empty. */
+	/** Removes and returns the next item; `undefined` when the queue is empty. */
 	shift: () => Item | undefined;
-	/** Takes an item out by its id, without charging its workspace. */
+	/** Removes an item by its id without charging its workspace. */
 	remove: (id: RequestId) => Item | undefined;
-	/** Items in about the order in which they would be served: round by round over the workspaces. */
+	/** Items in approximate service order, round-robin over the workspaces. */
 	list: () => Item[];
-	/** Items that would be served before a new one, without adding it. */
+	/** Number of items that would be served before a new one, which is not added. */
 	countBefore: (item: Item) => number;
-	/** Items that wait for one workspace. */
+	/** Number of queued items of one workspace. */
 	countOf: (workspace: WorkspaceId) => number;
 	readonly size: number;
-	/** Workspaces of which state is kept. */
+	/** Number of workspaces with state. */
 	readonly workspaces: number;
 };
 
@@ -52,7 +52,7 @@
  * Creates an empty queue.
  *
  * @param options - `windowCost`, 0 by default.
- * @returns the queue.
+ * @returns The queue.
  * @example
  * const queue = createFairQueue();
  * queue.push({id: 'a1', workspace: 'a', deadline: 10, cost: 1});
@@ -63,7 +63,7 @@
 export function createFairQueue<Item extends FairQueueItem>(options: FairQueueOptions = {}): FairQueue<Item> {
 	const windowCost = options.windowCost ?? 0;
 	const waiting = new Map<WorkspaceId, WorkspaceState<Item>>();
-	/** Where workspaces that were just emptied had got to, so that coming back does not forgive what they took. */
+	/** Virtual start times of workspaces whose last item has just left, so that a workspace that returns is still charged for its served items. */
 	const idleStarts = new Map<WorkspaceId, number>();
 	const workspaceOf = new Map<RequestId, WorkspaceId>();
 	let virtualTime = 0;
@@ -115,7 +115,7 @@
 
 		waiting.delete(workspace);
 		if (waiting.size === 0) {
-			// Nobody waits: nobody is owed anything, and no state needs to be kept.
+			// With an empty queue there is nothing to share, so no state is needed.
 			idleStarts.clear();
 			virtualTime = 0;
 			return;
@@ -202,7 +202,7 @@
 	return sum;
 }
 
-/** Items of a workspace whose virtual start comes before the given one, by deadline where level. */
+/** Counts the items of a workspace whose virtual start is before the given one; equal starts are ordered by deadline. */
 function countStarts<Item extends FairQueueItem>(state: WorkspaceState<Item>, before: number, deadline: Milliseconds): number {
 	let {start} = state;
 	let count = 0;
--- a/src/domain/create-fair-queue/test.ts
+++ b/src/domain/create-fair-queue/test.ts
@@ -23,21 +23,21 @@
 };
 
 describe('createFairQueue', () => {
-	it('lets workspaces take turns, and keeps deadline order inside one', () => {
+	it('alternates between workspaces, and keeps deadline order within one', () => {
 		const queue = createFairQueue();
 		pushAll(queue, [item('a2', 'a', 20), item('a1', 'a', 10), item('a3', 'a', 30), item('b1', 'b', 99)]);
 
 		assert.deepEqual(drain(queue), ['a1', 'b1', 'a2', 'a3']);
 	});
 
-	it('goes by deadline alone when the window is unbounded', () => {
+	it('uses only deadlines when the window is unbounded', () => {
 		const queue = createFairQueue({windowCost: Infinity});
 		pushAll(queue, [item('a1', 'a', 10), item('a2', 'a', 20), item('b1', 'b', 15)]);
 
 		assert.deepEqual(drain(queue), ['a1', 'b1', 'a2']);
 	});
 
-	it('does not forgive what a workspace took when it comes back while others still wait', () => {
+	it('still charges a workspace for its served items when it returns while others wait', () => {
 		const queue = createFairQueue();
 		pushAll(queue, [item('b1', 'b', 50), item('a1', 'a', 10, 10)]);
 		assert.equal(queue.shift()?.id, 'a1');
@@ -45,7 +45,7 @@
 		assert.deepEqual(drain(queue), ['b1', 'b2', 'a2']);
 	});
 
-	it('serves each item once, counts what comes before, and keeps no state when empty', () => {
+	it('serves each item once, counts the items before a new one, and keeps no state when empty (property)', () => {
 		const arbitraryItems = fc.array(fc.record({
 			workspace: fc.constantFrom('a', 'b', 'c'), deadline: fc.nat(20), cost: fc.integer({min: 1, max: 9}), isRemoved: fc.boolean(),
 		}), {maxLength: 40});
@@ -70,7 +70,7 @@
 		}));
 	});
 
-	it('gives two workspaces that always wait the same work, within one item', () => {
+	it('serves two workspaces that always have items equally, to within one item (property)', () => {
 		fc.assert(fc.property(fc.array(fc.integer({min: 1, max: 20}), {minLength: 4, maxLength: 60}), costs => {
 			const queue = createFairQueue();
 			for (const [index, cost] of costs.entries()) {
--- a/src/domain/create-inter-token-latency/index.ts
+++ b/src/domain/create-inter-token-latency/index.ts
@@ -39,7 +39,7 @@
  * @returns Functions that note tokens and tell the time expected between two.
  *
  * @example
- * const pace = createTokenPace();
+ * const pace = createInterTokenLatency();
  * pace.note('d1', {tokens: 100, tookMs: 8000}, 0);
  * pace.read('d1', 20, 0); // 68
  * pace.read('d1', 20, 60_000); // 23
--- a/src/domain/create-inter-token-latency/test.ts
+++ b/src/domain/create-inter-token-latency/test.ts
@@ -10,7 +10,7 @@
 	}
 };
 
-describe('createTokenPace', () => {
+describe('createInterTokenLatency', () => {
 	it('believes the report of a server that it has seen nothing of', () => {
 		assert.equal(createInterTokenLatency().read('d1', 20, 0), 20);
 	});
--- a/src/domain/create-leaving-overrides/index.ts
+++ b/src/domain/create-leaving-overrides/index.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps a refusal as leaving in force while the server's own load reports go on
- * saying `serving`. Kept by the host that polls the server, whose reports all
- * others hear.
+ * Overrides the state in a server's load reports with `leaving` after the server has
+ * refused work as leaving. The host that polls the server keeps the overrides, as all
+ * other hosts receive its reports.
  */
 import {type Milliseconds} from '../../ports/clock.js';
 import {type LoadReport} from '../../ports/engine.js';
@@ -9,72 +9,75 @@
 import {msPerMinute, msPerSecond} from '../../ports/units.js';
 
 export type LeavingOverridesOptions = {
-	/** Time from the refusal to the first probe; doubled with each that fails. */
+	/** Time from the refusal to the first probe, milliseconds; doubled with each failed probe. */
 	firstProbeMs?: Milliseconds;
 	maxProbeMs?: Milliseconds;
 };
 
 export type ReportContext = {
-	/** What was believed of the server before this report. */
+	/** Whether the server was considered leaving before this report. */
 	wasLeaving: boolean;
-	/** State of the report before, as the one who polled it then gave it. */
+	/** State in the previous report, as published by the host that polled the server then. */
 	previousState: LoadReport['state'] | undefined;
-	/** Whether the platform's list has the server as leaving. */
+	/** Whether the platform lists the server as leaving. */
 	isListedLeaving: () => boolean;
 };
 
 export type LeavingOverrides = {
-	/** Somebody was refused work because the server is leaving. */
+	/** Records that the server refused some host's work as leaving. */
 	noteRefusal: (server: ServerId, now: Milliseconds) => void;
-	/** Takes a report that this host polled; returns it with the state that counts. */
+	/** Returns a report that this host polled with the effective state. */
 	toEffectiveReport: (load: LoadReport, now: Milliseconds, context: ReportContext) => LoadReport;
-	/** A poll did not reach the server: it may be a new process that answers next. */
+	/** Records that a poll did not reach the server; the next answer may come from a new process. */
 	noteUnreachable: (server: ServerId, now: Milliseconds) => void;
-	/** Whether to ask the server now, by one small piece of work, whether it serves; `true` once for each probe. */
+	/** Whether to probe the server now with a small piece of work; `true` once per probe. */
 	takeProbe: (server: ServerId, now: Milliseconds) => boolean;
-	/** How the probe ended. */
+	/** Records the result of a probe. */
 	noteProbeResult: (server: ServerId, isAccepted: boolean, now: Milliseconds) => void;
-	/** This host no longer polls the server. */
+	/** Drops the state of a server that this host no longer polls. */
 	forget: (server: ServerId) => void;
 };
 
 type Override = {
 	probeAt: Milliseconds;
-	/** Probes refused, and holds that began again soon after a probe was accepted. */
+	/** Number of refused probes, plus the number of overrides that started again soon after an accepted probe. */
 	failures: number;
-	/** Whether the server said so itself, or the list, since; the end of that ends the override. */
+	/** Whether the server itself has reported `leaving` since the refusal; the override then ends when it reports `serving`. */
 	hasReportedLeaving: boolean;
+	/** Whether the platform has listed the server as leaving since the refusal; the override then ends when it no longer does. */
 	wasListedLeaving: boolean;
 };
 
 const defaultFirstProbeMs = 5 * msPerSecond;
 const defaultMaxProbeMs = 5 * msPerMinute;
 
-/** A override that begins so soon after an accepted probe ended the last goes on with its delay. */
+/** If a new override starts within this time after an accepted probe ended the previous one, the probe delay continues to double instead of starting anew. */
 const repeatWindowMs = msPerMinute;
 
 /**
- * Creates it. A server that refuses work as leaving and reports `serving` would
- * be offered work again with each report: its callers lose a try each time. A
- * refusal therefore stands until there is better evidence than that report:
+ * Creates the overrides of one host. A server that refuses work as leaving but
+ * reports `serving` would be sent work again after each report, and each time a
+ * caller would lose an attempt. A refusal is therefore in force until there is better
+ * evidence than such a report:
  *
- * - the server's own report said `leaving` since, and says `serving` now;
- * - the platform's list had it as leaving since, and no longer does. That the
- *   list goes on calling it live is no evidence, as it is published late and
- *   anew with each change of any server;
- * - it accepts a probe, a single small piece of work that the polling host asks
- *   for 5 s after the refusal, then after twice the time, up to 5 min.
+ * - the server itself has reported `leaving` since the refusal, and now reports
+ *   `serving`;
+ * - the platform has listed the server as leaving since the refusal, and no longer
+ *   does. A list that never showed the server as leaving is no evidence, as the list
+ *   is published late and again with each change of any server;
+ * - the server accepts a probe, a single small piece of work that the polling host
+ *   sends 5 s after the refusal, then after twice the time, up to 5 min.
  *
- * The probe brings a healthy server back after one wrong refusal. A server that
- * was not reached meanwhile may be a new process and is probed at once.
+ * The probe brings a healthy server back after a mistaken refusal. A server that was
+ * unreachable since the refusal may be a new process and is probed at once.
  *
- * @param options - Delays of probes.
+ * @param options - Probe delays.
  * @returns See {@link LeavingOverrides}.
  *
  * @example
- * const override = createLeaveHold();
- * override.noteRefusal('d1', now);
- * override.judge(report, now, context).state; // 'leaving'
+ * const overrides = createLeavingOverrides();
+ * overrides.noteRefusal('d1', now);
+ * overrides.toEffectiveReport(report, now, context).state; // 'leaving'
  */
 export function createLeavingOverrides({firstProbeMs = defaultFirstProbeMs, maxProbeMs = defaultMaxProbeMs}: LeavingOverridesOptions = {}): LeavingOverrides {
 	const overrides = new Map<ServerId, Override>();
@@ -93,7 +96,7 @@
 		return override;
 	}
 
-	/** The override that counts for a report; one that others ended, or began, while they polled the server, is taken as they left it. */
+	/** Finds the override that applies to a report. For the first report after another host polled the server, the override is started or ended as that host left it. */
 	function findOverride({server, state}: LoadReport, now: Milliseconds, {wasLeaving, previousState: stateBefore}: ReportContext): Override | undefined {
 		const isFirst = !polled.has(server);
 		polled.add(server);
@@ -138,7 +141,7 @@
 		},
 		takeProbe(server, now) {
 			const override = overrides.get(server);
-			// A server that says itself that it leaves, or is listed so, needs no asking.
+			// If the server has reported leaving itself, or was listed as leaving, the end of that ends the override without a probe.
 			if (override === undefined || override.hasReportedLeaving || override.wasListedLeaving || now < override.probeAt) {
 				return false;
 			}
--- a/src/domain/create-load-broadcast/index.ts
+++ b/src/domain/create-load-broadcast/index.ts
@@ -49,7 +49,7 @@
  *
  * @example
  * ```ts
- * const spread = createLoadSpread();
+ * const spread = createLoadBroadcast();
  * spread.notePolled(report, now);
  * spread.take(8, now)?.length; // => 15
  * ```
--- a/src/domain/create-load-broadcast/test.ts
+++ b/src/domain/create-load-broadcast/test.ts
@@ -13,7 +13,7 @@
 };
 const findServer = (hash: number) => hash === toHash32('s1') ? 's1' : undefined;
 
-describe('createLoadSpread', () => {
+describe('createLoadBroadcast', () => {
 	it('sends what changed, at once when it may, and the unchanged seldom', () => {
 		const spread = createLoadBroadcast({bytesPerSecond: 1000});
 		assert.equal(spread.takeDue(4, 0), undefined, 'nothing is polled');
@@ -44,7 +44,7 @@
 	});
 });
 
-describe('readLoads', () => {
+describe('decodeLoads', () => {
 	function receive(known: LoadReport | undefined) {
 		const spread = createLoadBroadcast();
 		spread.notePolled(load, 1000);
--- a/src/domain/create-prefill-throughput/index.ts
+++ b/src/domain/create-prefill-throughput/index.ts
@@ -30,7 +30,7 @@
  *
  * @example
  * ```ts
- * const pace = createPromptPace();
+ * const pace = createPrefillThroughput();
  * pace.note('p1', 3000, 100);
  * pace.read('p1'); // => 30
  * ```
--- a/src/domain/create-prefill-throughput/test.ts
+++ b/src/domain/create-prefill-throughput/test.ts
@@ -2,7 +2,7 @@
 import {describe, it} from 'node:test';
 import {createPrefillThroughput} from './index.js';
 
-describe('createPromptPace', () => {
+describe('createPrefillThroughput', () => {
 	it('knows each server by itself, and a new one by the others', () => {
 		const pace = createPrefillThroughput();
 		const guess = pace.read('p1');
--- a/src/domain/create-retry-budget/index.ts
+++ b/src/domain/create-retry-budget/index.ts
@@ -1,9 +1,9 @@
 /**
- * Decides whether an attempt that failed is made again.
+ * Decides whether a failed attempt is retried.
  *
- * Retries are paid from a bucket that finished requests fill, so that a pool
- * that fails gets at most a fixed part of its ordinary load on top, however
- * many requests fail at once.
+ * Retries are paid from a token bucket that successful requests fill, so that a
+ * failing pool gets at most a fixed share of its usual load on top, however many
+ * requests fail at once.
  */
 import {type Milliseconds, type Random} from '../../ports/clock.js';
 import {type ServerId, type ZoneId} from '../../ports/ids.js';
@@ -12,40 +12,40 @@
 import {toBackoff, type BackoffOptions} from '../to-backoff/index.js';
 
 export type RetryBudgetOptions = BackoffOptions & {
-	/** Retries that one successful request pays for. */
+	/** Retries earned by one successful request. */
 	perSuccess?: number;
-	/** Retries a second that are allowed without any success, so that a pool with little traffic can retry at all. */
+	/** Retries earned per second without any success, so that a pool with little traffic can retry at all. */
 	perSecond?: number;
-	/** Retries that can be saved up. */
+	/** Maximum number of retries in the bucket. */
 	capacity?: number;
-	/** The same where it changes, for example with the number of hosts that share it. */
+	/** Replaces `capacity` where it changes, for example with the number of hosts that share the budget. */
 	toCapacity?: () => number;
-	/** Attempts of one request, the first included. */
+	/** Maximum number of attempts of one request, including the first. */
 	maxAttempts?: number;
-	/** Cost of a retry of which the server said that it started nothing; such a one repeats no work. */
+	/** Cost of a retry after the server answered that it had not started the request; such a retry repeats no work. */
 	notRunCost?: number;
-	/** Cost of a retry after a call of which no byte was offered: no server saw it. */
+	/** Cost of a retry after a call of which no byte was sent, so that no server saw it. */
 	notOfferedCost?: number;
-	/** Whether only what successes paid for may be spent, as what was saved up before may be spent already; never by default. */
+	/** Whether only retries earned since the start may be spent, because a previous process may already have spent the initial balance; `false` by default. */
 	isEarnedOnly?: (now: Milliseconds) => boolean;
 };
 
 export type FailedAttempt = {
-	/** Whether the rule lets the request run again. */
+	/** Whether the rule allows the request to run more than once. */
 	repeatable: boolean;
-	/** Bytes of the request that were offered to the server in this attempt. */
+	/** Bytes of the request that were sent to the server in this attempt. */
 	bytesOffered: number;
-	/** What is known of the attempt: `not-run` only when no byte was offered or the server said so. */
+	/** Known outcome of the attempt: `not-run` only if no byte was sent or the server said so. */
 	outcome: Outcome;
-	/** Attempts that this request may have at most, where its rule says so. */
+	/** Maximum number of attempts of this request, if its rule sets one. */
 	maxAttempts?: number;
 	/** Number of the attempt that failed, from 1. */
 	attempt: number;
-	/** Monotonic time by which the answer is due. */
+	/** Monotonic time by which the answer must be complete. */
 	deadline: Milliseconds;
-	/** Time that another attempt is expected to take to be in time. */
+	/** Expected duration of another attempt, milliseconds. */
 	expectedMs: Milliseconds;
-	/** Servers tried so far, and their zones, this attempt's last. */
+	/** Servers tried so far with their zones; the last one is that of this attempt. */
 	tried: ReadonlyArray<{server: ServerId; zone: ZoneId}>;
 };
 
@@ -56,35 +56,35 @@
 	| {
 		kind: 'retry';
 		delayMs: Milliseconds;
-		/** What the budget was charged. */
+		/** Cost charged to the budget. */
 		cost: number;
 		/** Servers that the next attempt must not use. */
 		avoidServers: readonly ServerId[];
-		/** Zones that the next attempt should leave if another one can serve: those in which two attempts failed. */
+		/** Zones in which two attempts failed; the next attempt should use another zone if one can serve. */
 		avoidZones: readonly ZoneId[];
 	}
 	| {kind: 'give-up'; reason: NoRetryReason};
 
 export type RetryBudget = {
-	/** Notes a request that ended well; it pays for a part of a retry. */
+	/** Records a successful request, which earns a part of a retry. */
 	noteSuccess: (now: Milliseconds) => void;
-	/** Why {@link RetryBudget.takeRetry} would not retry, `undefined` if it would; spends nothing. */
+	/** Why {@link RetryBudget.takeRetry} would not retry, or `undefined` if it would; spends nothing. */
 	findNoRetryReason: (failed: FailedAttempt, now: Milliseconds) => NoRetryReason | undefined;
 	/** Decides, and spends from the budget when the answer is `retry`. */
 	takeRetry: (failed: FailedAttempt, now: Milliseconds, random: Random) => RetryAnswer;
-	/** Spends one more, for a further call of an attempt that was granted, where the bucket holds it; tells whether it did. */
+	/** Spends one retry for an additional call of a granted attempt, if the bucket has enough; returns whether it was spent. */
 	takeExtraCall: (now: Milliseconds) => boolean;
-	/** Retries that the bucket holds. */
+	/** Number of retries in the bucket. */
 	available: (now: Milliseconds) => number;
-	/** Retries that the bucket holds when it is full. */
+	/** Number of retries in a full bucket. */
 	capacity: () => number;
 };
 
 /**
  * Creates the retry budget of one pool.
  *
- * @param options - ratios and bounds: 0.1 a success, 0.5 a second, 10 saved up, 3 attempts, 0.25 for work that did not start.
- * @returns functions that decide; `now` is monotonic milliseconds.
+ * @param options - Ratios and bounds; by default 0.1 per success, 0.5 per second, a capacity of 10, 3 attempts, and a cost of 0.25 for work that did not start.
+ * @returns See {@link RetryBudget}; `now` is monotonic milliseconds.
  * @example
  * const budget = createRetryBudget();
  * budget.takeRetry({
@@ -95,9 +95,9 @@
 export function createRetryBudget(options: RetryBudgetOptions = {}): RetryBudget {
 	const {perSuccess = 0.1, perSecond = 0.5, capacity = 10, toCapacity = () => capacity, maxAttempts = 3, notRunCost = 0.25, isEarnedOnly = () => false} = options;
 	const notOfferedCost = options.notOfferedCost ?? notRunCost;
-	/** Retries that were made and not paid for yet: the bucket is full without any, however large it is by then. */
+	/** Retries spent and not yet earned back. The bucket is full at a debt of 0, so that a changed capacity takes effect at once. */
 	let debt = 0;
-	/** What successes and time have paid for since the start, without what was spent of it. */
+	/** Retries earned since the start by successes and by time, less those spent. */
 	let earned = 0;
 	let filledAt: Milliseconds | undefined;
 
@@ -183,13 +183,13 @@
 	};
 }
 
-/** What bars another attempt for good, whatever the budget. */
+/** Finds a reason that rules out any further attempt, whatever the budget. */
 function findPermanentReason(failed: FailedAttempt): NoRetryReason | undefined {
 	if (failed.outcome === 'ran') {
 		return 'ran';
 	}
 
-	// Work that may run once only must not be offered again while its fate is open: it would be billed, or delivered, twice.
+	// Work that may run only once must not be sent again while its outcome is unknown: it could be billed or delivered twice.
 	return failed.outcome === 'may-have-run' && !failed.repeatable ? 'not-repeatable' : undefined;
 }
 
--- a/src/domain/create-retry-budget/test.ts
+++ b/src/domain/create-retry-budget/test.ts
@@ -20,8 +20,8 @@
 	const cases: Array<{name: string; failed: FailedAttempt; now?: number; expected: string}> = [
 		{name: 'repeatable work', failed: failure(), expected: 'retry'},
 		{name: 'work that did not start, though not repeatable', failed: failure({repeatable: false, outcome: 'not-run'}), expected: 'retry'},
-		{name: 'work of which no byte was offered', failed: failure({repeatable: false, bytesOffered: 0, outcome: 'not-run'}), expected: 'retry'},
-		{name: 'unrepeatable work of unknown fate', failed: failure({repeatable: false}), expected: 'not-repeatable'},
+		{name: 'work of which no byte was sent', failed: failure({repeatable: false, bytesOffered: 0, outcome: 'not-run'}), expected: 'retry'},
+		{name: 'unrepeatable work of unknown outcome', failed: failure({repeatable: false}), expected: 'not-repeatable'},
 		{name: 'work that ran', failed: failure({outcome: 'ran'}), expected: 'ran'},
 		{name: 'a third failure', failed: failure({attempt: 3}), expected: 'attempts'},
 		{
@@ -40,27 +40,27 @@
 		});
 	}
 
-	it('names the servers tried, and zones in which two attempts failed', () => {
+	it('returns the servers tried, and the zones in which two attempts failed', () => {
 		const tried = [{server: 's1', zone: 'z1'}, {server: 's2', zone: 'z1'}];
 		assert.deepEqual(createRetryBudget().takeRetry(failure({attempt: 2, tried}), 0, half), {
 			kind: 'retry', cost: 1, delayMs: 25, avoidServers: ['s1', 's2'], avoidZones: ['z1'],
 		});
 	});
 
-	it('leaves no zone in which one attempt failed', () => {
+	it('does not avoid a zone in which one attempt failed', () => {
 		const tried = [{server: 's1', zone: 'z1'}, {server: 's2', zone: 'z2'}, {server: 's3', zone: 'z2'}];
 		const answer = createRetryBudget({maxAttempts: 4}).takeRetry(failure({attempt: 3, tried}), 0, half);
 		assert.deepEqual(answer.kind === 'retry' && answer.avoidZones, ['z2']);
 	});
 
-	/* Guards against attempts of several calls that are charged as one. */
-	it('takes another only while the bucket holds it', () => {
+	/* Guards against attempts with several calls that are charged as one. */
+	it('grants an extra call only while the bucket has enough', () => {
 		const budget = createRetryBudget({capacity: 2, perSecond: 0});
 		assert.deepEqual([budget.takeExtraCall(0), budget.takeExtraCall(0), budget.takeExtraCall(0)], [true, true, false]);
 		assert.equal(budget.available(0), 0);
 	});
 
-	it('gives up for want of budget, and saves up by time and by success', () => {
+	it('gives up when the budget is spent, and earns by time and by success', () => {
 		const budget = createRetryBudget({capacity: 2, perSecond: 0.5, perSuccess: 0.25});
 		assert.equal(budget.available(0), 2);
 		assert.equal(budget.takeRetry(failure({deadline: 1e9}), 0, half).kind, 'retry');
@@ -75,22 +75,22 @@
 	});
 
 	for (const {name, options, cost} of [
-		{name: 'as much as other work that did not start', options: {notRunCost: 0.5}, cost: 0.5},
+		{name: 'the cost of other work that did not start', options: {notRunCost: 0.5}, cost: 0.5},
 		{name: 'its own cost', options: {notRunCost: 0.5, notOfferedCost: 0}, cost: 0},
 	]) {
-		it(`takes ${name} for a call of which nothing was offered`, () => {
+		it(`charges ${name} for a call of which nothing was sent`, () => {
 			const budget = createRetryBudget(options);
 			const answer = budget.takeRetry(failure({bytesOffered: 0, outcome: 'not-run'}), 0, half);
 			assert.equal(answer.kind === 'retry' && answer.cost, cost);
 		});
 	}
 
-	it('takes the cost of work that did not start for a call that a server refused', () => {
+	it('charges the cost of work that did not start for a call that a server refused', () => {
 		const answer = createRetryBudget({notRunCost: 0.5, notOfferedCost: 0}).takeRetry(failure({outcome: 'not-run'}), 0, half);
 		assert.equal(answer.kind === 'retry' && answer.cost, 0.5);
 	});
 
-	it('stops a storm: when everything fails, retries are few however many requests fail', () => {
+	it('prevents retry storms: when everything fails, retries are few however many requests fail', () => {
 		const budget = createRetryBudget({capacity: 10, perSecond: 1});
 		let retries = 0;
 		for (let i = 0; i < 10_000; i++) {
@@ -100,7 +100,7 @@
 		assert.ok(retries <= 20, `${retries} retries`);
 	});
 
-	it('never retries unrepeatable work of unknown fate, nor past the deadline, nor beyond what was paid in', () => {
+	it('never retries unrepeatable work of unknown outcome, past the deadline, or beyond what was earned (property)', () => {
 		const step = fc.record({
 			isSuccess: fc.boolean(), repeatable: fc.boolean(), outcome: fc.constantFrom('not-run' as const, 'may-have-run' as const, 'ran' as const),
 			attempt: fc.integer({min: 1, max: 4}), elapsed: fc.nat(50), patience: fc.nat(600),
@@ -130,8 +130,8 @@
 		}));
 	});
 
-	/* Guards against a budget that spends what the process before it may have spent already. */
-	describe('while only what was earned may be spent', () => {
+	/* Guards against a budget that spends retries which the previous process may already have spent. */
+	describe('while only earned retries may be spent', () => {
 		const heldUntil = 1000;
 		const isEarnedOnly = (now: number): boolean => now < heldUntil;
 		const late = failure({deadline: 10_000});
@@ -142,7 +142,7 @@
 			}
 		}
 
-		it('holds what successes paid for, less what was spent, and its capacity at most', () => {
+		it('has the retries earned by successes, less those spent, up to its capacity', () => {
 			const budget = createRetryBudget({
 				capacity: 3, perSuccess: 0.5, perSecond: 0, isEarnedOnly,
 			});
@@ -157,13 +157,13 @@
 			assert.equal(budget.available(0), 3);
 		});
 
-		it('holds what time paid for', () => {
+		it('has the retries earned by time', () => {
 			const budget = createRetryBudget({capacity: 3, perSecond: 2, isEarnedOnly});
 			assert.equal(budget.available(0), 0);
 			assert.equal(budget.available(500), 1);
 		});
 
-		it('holds no more than a capacity that shrank', () => {
+		it('has no more than a capacity that has shrunk', () => {
 			let capacity = 3;
 			const budget = createRetryBudget({
 				toCapacity: () => capacity, perSuccess: 0.5, perSecond: 0, isEarnedOnly,
@@ -173,7 +173,7 @@
 			assert.equal(budget.available(0), 1);
 		});
 
-		it('holds its capacity once that has passed, less what was spent meanwhile', () => {
+		it('has its full capacity after that time, less the retries spent in the meantime', () => {
 			const budget = createRetryBudget({
 				capacity: 3, perSuccess: 0.5, perSecond: 0, isEarnedOnly,
 			});
--- a/src/domain/create-server-cooldowns/index.ts
+++ b/src/domain/create-server-cooldowns/index.ts
@@ -1,25 +1,26 @@
 /**
- * Servers, and zones, that this host does better not to try first: soft, unlike
- * the ejection of single servers, whose caps give up where most of a pool looks
- * bad. Behind a cut most of a pool is bad, for this host: each request would find
- * that out anew, one silent server after the other.
+ * Cooldowns of servers and zones after failures: during a cooldown this host uses a
+ * server only if no better one is left. Unlike the ejection of single servers, whose
+ * caps disable it when most of a pool looks bad, cooldowns also work during a network
+ * partition, when most of a pool is unreachable for this host. Without them each
+ * request would wait for one unresponsive server after another.
  */
 import {type Milliseconds} from '../../ports/clock.js';
 import {type ServerEntry} from '../../ports/config.js';
 import {type ServerId, type ZoneId} from '../../ports/ids.js';
 import {msPerSecond} from '../../ports/units.js';
 
-/** Doubt after the first failure; it doubles with each that follows, and one success ends it. */
+/** Cooldown after the first failure, milliseconds; each further failure doubles it, and one success ends it. */
 const firstCooldownMs = msPerSecond;
 const maxCooldownMs = 8 * msPerSecond;
 
-/** Servers of a zone that must be in doubt for the way to the zone to be: one may have failed by itself. */
+/** Number of servers in cooldown that puts their whole zone in cooldown; a single server may have failed by itself. */
 const minServersForZone = 2;
 
 export type ServerCooldownsOptions = {
-	/** Zone of the host, to which the way is never in doubt. */
+	/** Zone of the host, which is never in cooldown as a whole. */
 	zone: ZoneId;
-	/** Whether the hosts of a zone, which spoke before, have fallen silent. */
+	/** Whether the hosts of a zone have stopped sending messages. */
 	isZoneSilent?: (zone: ZoneId, now: Milliseconds) => boolean;
 };
 
@@ -27,27 +28,27 @@
 
 export type ServerCooldowns = {
 	noteFailure: (server: ServerEntry, now: Milliseconds) => void;
-	/** It answered, and takes no work: a doubt of the server, and none of the way to its zone. */
+	/** Records that the server answered but refused work: a cooldown of the server, but no sign against its zone. */
 	noteRefusal: (server: ServerEntry, now: Milliseconds) => void;
 	noteSuccess: (server: ServerEntry, now: Milliseconds) => void;
-	/** 0 for a server that nothing speaks against, 1 in a zone in doubt, 2 in doubt itself. */
+	/** Level of a server: 0 normally, 1 if its zone is in cooldown, 2 if the server itself is. */
 	toLevel: (server: ServerEntry, now: Milliseconds) => 0 | 1 | 2;
-	/** Drops what is known of servers that are no longer published. */
+	/** Drops the state of servers that are no longer published. */
 	keepOnly: (servers: {has: (id: ServerId) => boolean}) => void;
 };
 
 /**
  * Creates the record of one host.
  *
- * @param options - Zone of the host, and what is heard of others.
- * @returns Functions that note and tell; `now` is monotonic milliseconds.
+ * @param options - Zone of the host, and whether hosts of other zones are silent.
+ * @returns See {@link ServerCooldowns}; `now` is monotonic milliseconds.
  *
  * @example
  * ```ts
- * const doubts = createDoubts({zone: 'dvorana-a'});
- * doubts.noteFailure(server, 0);
- * doubts.toLevel(server, 500); // => 2
- * doubts.toLevel(server, 1500); // => 0
+ * const cooldowns = createServerCooldowns({zone: 'dvorana-a'});
+ * cooldowns.noteFailure(server, 0);
+ * cooldowns.toLevel(server, 500); // => 2
+ * cooldowns.toLevel(server, 1500); // => 0
  * ```
  */
 export function createServerCooldowns({zone, isZoneSilent = () => false}: ServerCooldownsOptions): ServerCooldowns {
@@ -56,11 +57,12 @@
 	const succeededAt = new Map<ZoneId, Milliseconds>();
 
 	/**
-	 * Behind a cut neither hosts nor servers of the zone answer. Silent hosts alone
-	 * may have been killed while the servers serve, and a server that failed may
-	 * have crashed by itself; both together hold until either is heard again. With
-	 * doubts of servers alone, which end after a second, the hosts of a zone that
-	 * was cut off for six tried what lay behind the cut a hundred times, 300 ms each.
+	 * Whether a zone is partitioned from this host: neither its hosts nor its servers
+	 * answer. Silent hosts alone may have been killed while the servers still serve,
+	 * and a failed server may have crashed by itself; if both are the case, the zone
+	 * counts as partitioned until a host or a server answers again. With cooldowns of
+	 * servers alone, which end after a second, hosts called partitioned servers a
+	 * hundred times during a partition of six seconds, at 300 ms each.
 	 */
 	function isPartitioned(other: ZoneId, now: Milliseconds): boolean {
 		return (failedAt.get(other) ?? -Infinity) > (succeededAt.get(other) ?? -Infinity) && isZoneSilent(other, now);
--- a/src/domain/create-server-health/index.ts
+++ b/src/domain/create-server-health/index.ts
@@ -1,42 +1,43 @@
 /**
- * Passive health: which backend servers this host leaves out for a while,
- * judged by its own requests alone.
+ * Passive health checks: decides which backend servers this host ejects for a
+ * while, from the outcomes of its own requests.
  *
  * Three safeguards keep a bad signal (a broken link of this host, a bad rule, a
- * faulty adapter) from emptying a pool. At most `maxOutShare` of a group is out
- * at a time, the first judged bad being out first. When more than `panicShare`
- * looks bad, the signal is not believed and nobody is out. And a server comes
- * back by itself when its time is over, with a share of its requests that grows.
+ * faulty adapter) from emptying a pool. At most `maxEjectedShare` of a group is
+ * ejected at a time, in the order in which the servers were found bad. When more
+ * than `panicShare` of the group looks bad, the signal is ignored and no server is
+ * ejected. And an ejected server returns automatically after a timeout, with a
+ * gradually growing share of its requests.
  */
 import {type Milliseconds} from '../../ports/clock.js';
 import {type ServerId} from '../../ports/ids.js';
 import {msPerMinute, msPerSecond} from '../../ports/units.js';
 
 export type ServerHealthOptions = {
-	/** Failure score at which a server is left out; a failure adds 1 (1.5 when no connection was made), a success takes 0.5. */
+	/** Failure score at which a server is ejected; a failure adds 1 (1.5 if the server was unreachable), a success subtracts 0.5. */
 	failuresToEject?: number;
-	/** Time out after the first ejection, doubled for each that follows soon; milliseconds. */
+	/** Duration of the first ejection, doubled for each ejection that follows soon; milliseconds. */
 	ejectMs?: Milliseconds;
 	maxEjectMs?: Milliseconds;
-	/** Largest share of a group that may be out. */
+	/** Maximum share of a group that may be ejected at a time. */
 	maxEjectedShare?: number;
-	/** Share of a group that may look bad before the signal is not believed. */
+	/** Share of bad servers in a group above which the signal is ignored. */
 	panicShare?: number;
-	/** Slowness against the median of the group at which a server counts as bad. */
+	/** Slowness, relative to the median of the group, at which a server counts as bad. */
 	slowRatio?: number;
-	/** Answers a server must have given before it can be called slow. */
+	/** Number of answers needed before a server can count as slow. */
 	minSlowSamples?: number;
-	/** Time in which a returning server's share grows from `rampFrom` to 1, milliseconds. */
+	/** Time over which a returning server's share grows from `rampFrom` to 1, milliseconds. */
 	rampMs?: Milliseconds;
 	rampFrom?: number;
 };
 
-/** A server and the servers it is judged among. */
+/** A server, and the group with which it is compared. */
 export type HealthSubject = {
 	server: ServerId;
 	/** Name of the group, for example pool and role. */
 	group: string;
-	/** Servers in the group, those never used included. */
+	/** Number of servers in the group, including servers that were never used. */
 	groupSize: number;
 };
 
@@ -46,7 +47,7 @@
 	scoreAt: Milliseconds;
 	slowness: number;
 	samples: number;
-	/** End of the time in which the server is taken for bad. */
+	/** Time until which the server counts as bad. */
 	badUntil: Milliseconds;
 	isEjected: boolean;
 	ejections: number;
@@ -71,16 +72,16 @@
 const successCredit = 0.5;
 const unreachableWeight = 1.5;
 
-/** A returning server starts this far below ejection: one failure soon after its return puts it out again. */
+/** A returning server's score starts this far below the threshold, so that one failure soon after the return ejects it again. */
 const probationMargin = 0.5;
 
-/** A failure score falls by 1 in this time, so that rare failures never add up. */
+/** Time in which a failure score decays by 1, so that rare failures don't add up. */
 const scoreDecayMs = 10 * msPerSecond;
 
 /** Weight of the newest answer in the moving average of slowness. */
 const slownessGain = 0.1;
 
-/** Fewest peers with samples among which a server can be called slow. */
+/** Minimum number of servers with samples, the server itself included, for a server to count as slow. */
 const minSlowPeers = 3;
 
 const createTrack = (group: string): Track => ({
@@ -92,7 +93,7 @@
 	return sorted[Math.floor((sorted.length - 1) / 2)] ?? 1;
 };
 
-/** Servers of a group that may be out: never all, and one of two or three. */
+/** Maximum number of ejected servers in a group: never all, and one in groups of two or three. */
 const toEjectionLimit = (size: number, share: number): number =>
 	size < 2 ? 0 : Math.min(size - 1, Math.max(1, Math.floor(size * share)));
 
@@ -100,7 +101,7 @@
  * Creates the health record of this host.
  *
  * @param options - Thresholds; see {@link ServerHealthOptions}.
- * @returns Functions that note answers and failures, and tell a server's share.
+ * @returns Functions that record answers and failures, and that read a server's share.
  *
  * @example
  * const health = createServerHealth({failuresToEject: 1});
@@ -136,7 +137,7 @@
 		track.scoreAt = now;
 	};
 
-	/** Ends the bad time of every member of the group whose time is over. */
+	/** Clears the bad state of all members of the group whose time is over. */
 	const expire = (group: Group, now: Milliseconds): void => {
 		for (const server of group.bad) {
 			const track = tracks.get(server);
@@ -186,9 +187,9 @@
 	};
 
 	/**
-	 * @param server - The server asked about.
+	 * @param server - The server.
 	 * @param now - Monotonic milliseconds.
-	 * @returns Share of its usual requests that the server should get: 0 while it is out, 1 normally.
+	 * @returns Share of its usual requests that the server should get: 0 while it is ejected, 1 normally.
 	 */
 	const toShare = (server: ServerId, now: Milliseconds): number => {
 		const track = tracks.get(server);
@@ -217,7 +218,7 @@
 			decayScore(track, now);
 			track.score = Math.max(0, track.score - successCredit);
 		},
-		/** @param kind - `unreachable` weighs more: the server, or the way to it, is surely gone. */
+		/** @param kind - `unreachable` weighs more, as the server or the link to it is certainly down. */
 		noteFailure(subject: HealthSubject, kind: 'unreachable' | 'broken' | 'invalid', now: Milliseconds): void {
 			const track = toTrack(subject);
 			if (now < track.badUntil) {
@@ -230,7 +231,7 @@
 				eject(subject, track, now);
 			}
 		},
-		/** @param slowness - Time taken over time predicted. A moving average is compared with the group's median, so a wrong prediction for all ejects nobody. */
+		/** @param slowness - Ratio of actual to predicted time. The moving average is compared with the group's median, so that a prediction that is wrong for all servers ejects none. */
 		noteSlowness(subject: HealthSubject, slowness: number, now: Milliseconds): void {
 			const track = toTrack(subject);
 			if (now < track.badUntil) {
@@ -244,8 +245,8 @@
 			}
 		},
 		/**
-		 * Starts a gradual return. Without it, a zone that comes back looks empty
-		 * to every host at once and is flooded by all of them.
+		 * Starts a gradual return. Without it, a zone that comes back would look
+		 * empty to all hosts at once and be flooded by them.
 		 */
 		noteReturn(subject: HealthSubject, now: Milliseconds): void {
 			toTrack(subject).returnAt = now;
--- a/src/domain/create-server-health/test.ts
+++ b/src/domain/create-server-health/test.ts
@@ -7,7 +7,7 @@
 
 const toNames = (count: number) => Array.from({length: count}, (_, i) => `s${i}`);
 
-/** Fails a server until a healthy judge would leave it out. */
+/** Records enough failures to eject a server. */
 const breakServer = (health: ReturnType<typeof createServerHealth>, server: string, groupSize: number, now: number) => {
 	for (let i = 0; i < 5; i++) {
 		health.noteFailure(toSubject(server, groupSize), 'broken', now);
@@ -15,11 +15,11 @@
 };
 
 describe('createServerHealth', () => {
-	it('gives a server it knows nothing of its full share', () => {
+	it('gives an unknown server its full share', () => {
 		assert.equal(createServerHealth().toShare('s0', 0), 1);
 	});
 
-	it('leaves out a server after failures, and lets it return little by little', () => {
+	it('ejects a server after failures, and lets it return gradually', () => {
 		const health = createServerHealth({ejectMs: 5000, rampMs: 10_000, rampFrom: 0.1});
 		breakServer(health, 's0', 6, 0);
 		assert.equal(health.toShare('s0', 1), 0);
@@ -30,7 +30,7 @@
 		assert.equal(shares[3], 1);
 	});
 
-	it('leaves a server out for longer each time it fails again at its return', () => {
+	it('ejects a server for longer each time it fails just after its return', () => {
 		const health = createServerHealth({ejectMs: 1000, maxEjectMs: 60_000});
 		breakServer(health, 's0', 6, 0);
 		health.noteFailure(toSubject('s0'), 'broken', 1001);
@@ -38,7 +38,7 @@
 		assert.ok(health.toShare('s0', 3100) > 0);
 	});
 
-	it('does not leave out a server for rare failures among successes', () => {
+	it('does not eject a server for rare failures among successes', () => {
 		const health = createServerHealth();
 		for (let i = 0; i < 1000; i++) {
 			health.noteSuccess(toSubject('s0'), i * 10);
@@ -51,7 +51,7 @@
 		}
 	});
 
-	it('leaves out a server much slower than its peers, and nobody when all are slow', () => {
+	it('ejects a server much slower than its peers, and none when all are slow', () => {
 		const health = createServerHealth();
 		for (let i = 0; i < 100; i++) {
 			for (const server of toNames(6)) {
@@ -69,7 +69,7 @@
 		}
 	});
 
-	it('leaves out no more than its cap, the first judged bad, below the panic share', () => {
+	it('ejects at most its cap, the first bad servers, below the panic share', () => {
 		const health = createServerHealth({maxEjectedShare: 0.34});
 		for (const [i, server] of toNames(3).entries()) {
 			breakServer(health, server, 6, i);
@@ -78,7 +78,7 @@
 		assert.deepEqual(toNames(3).map(server => health.toShare(server, 10)), [0, 0, 1]);
 	});
 
-	it('believes nothing once more than half of the group looks bad', () => {
+	it('ejects no server once more than half of the group looks bad', () => {
 		const health = createServerHealth();
 		for (const [i, server] of toNames(6).entries()) {
 			breakServer(health, server, 6, i);
@@ -94,7 +94,7 @@
 		assert.equal(health.toShare('s0', 10_000), 1);
 	});
 
-	it('never has more out than its cap allows, whatever happens (property)', () => {
+	it('never ejects more servers than its cap allows, whatever happens (property)', () => {
 		const event = fc.record({server: fc.nat(11), kind: fc.constantFrom('broken' as const, 'unreachable' as const, 'ok' as const, 'slow' as const), afterMs: fc.nat(200)});
 		fc.assert(fc.property(fc.integer({min: 1, max: 12}), fc.array(event, {minLength: 20, maxLength: 200, size: 'max'}), (size, events) => {
 			const health = createServerHealth({maxEjectedShare: 0.34, minSlowSamples: 2});
@@ -112,8 +112,8 @@
 
 				const at = now;
 				const out = toNames(size).filter(name => health.toShare(name, at) === 0).length;
-				assert.ok(out < size, `all ${size} out`);
-				assert.ok(out <= Math.max(1, Math.floor(size * 0.34)), `${out} of ${size} out`);
+				assert.ok(out < size, `all ${size} ejected`);
+				assert.ok(out <= Math.max(1, Math.floor(size * 0.34)), `${out} of ${size} ejected`);
 			}
 		}));
 	});
--- a/src/domain/create-transfer-timeouts/index.ts
+++ b/src/domain/create-transfer-timeouts/index.ts
@@ -1,10 +1,10 @@
 /**
- * How long a transfer of a KV cache may take before it is given up and the work
- * tried again elsewhere. A prefill's result lives under a second, so a transfer
- * that stalls has nothing left to wait for; and one token target is short
- * enough that what a second try takes matters.
+ * Timeouts for KV cache transfers, after which the request is retried elsewhere. The
+ * result of a prefill lives less than a second, so waiting for a stalled transfer is
+ * useless; and the first-token target is so short that the time for a second attempt
+ * matters.
  *
- * Each pair of zones has its own pace, learnt from the transfers between them.
+ * The timeout of each pair of zones is learned from the transfers between them.
  */
 import {type Milliseconds} from '../../ports/clock.js';
 import {type ZoneId} from '../../ports/ids.js';
@@ -12,31 +12,31 @@
 export type TransferLink = {from: ZoneId; to: ZoneId};
 
 export type TransferTimeouts = {
-	/** Time that a transfer may take; `Infinity` while nothing is known of the link. */
+	/** Timeout of a transfer, milliseconds; `Infinity` while too few transfers of the link have ended. */
 	toTimeoutMs: (link: TransferLink, bytes: number) => Milliseconds;
-	/** A transfer came to its end. */
+	/** Records a completed transfer. */
 	noteDone: (link: TransferLink, bytes: number, tookMs: Milliseconds) => void;
-	/** A transfer was given up after this time. */
+	/** Records a transfer that was aborted after this time. */
 	noteTimedOut: (link: TransferLink, bytes: number, afterMs: Milliseconds) => void;
 };
 
-/** Allowed beyond the pace: a pause of a process or a lost packet or two is no stall. */
+/** Constant part of the timeout, so that a short process pause or a few lost packets don't count as a stall. */
 const graceMs = 250;
 
-/** Transfers that share the link make one this many times as slow without any fault. */
+/** Factor by which other transfers on the same link may slow a transfer down without any fault. */
 const rateFactor = 4;
 
-/** Weight of one transfer in the pace. */
+/** Weight of one completed transfer in the moving average. */
 const gain = 0.05;
 
 /**
- * Weight of one that was given up. The time it would have taken is not known;
- * without a large step up a link that has become slow for all would have every
- * transfer given up, and every prefill wasted.
+ * Weight of an aborted transfer, whose full duration is unknown. Without a large step
+ * up, all transfers would be aborted and their prefills wasted after a link has
+ * become slow for every transfer.
  */
 const timedOutGain = 0.25;
 
-/** Transfers of a link that must have ended before it is trusted. */
+/** Number of transfers of a link that must have ended before it has a timeout. */
 const minSamples = 5;
 
 type LinkRate = {msPerByte: number; samples: number};
@@ -44,18 +44,18 @@
 const toKey = ({from, to}: TransferLink): string => JSON.stringify([from, to]);
 
 /**
- * Creates the limits of one entry process.
+ * Creates the timeouts of one entry process.
  *
- * @returns functions that tell a limit and that learn; they keep a few numbers for each pair of zones.
+ * @returns Functions that compute a timeout and that record transfers; they keep two numbers per pair of zones.
  * @example
- * const limits = createTransferLimits();
+ * const timeouts = createTransferTimeouts();
  * const link = {from: 'dvorana-a', to: 'dvorana-a'};
- * limits.toLimitMs(link, 1e8); // Infinity
+ * timeouts.toTimeoutMs(link, 1e8); // Infinity
  * for (let i = 0; i < 5; i++) {
- * 	limits.noteDone(link, 1e8, 40);
+ * 	timeouts.noteDone(link, 1e8, 40);
  * }
  *
- * limits.toLimitMs(link, 1e8); // 410
+ * timeouts.toTimeoutMs(link, 1e8); // 410
  */
 export function createTransferTimeouts(): TransferTimeouts {
 	const rates = new Map<string, LinkRate>();
--- a/src/domain/to-backoff/index.ts
+++ b/src/domain/to-backoff/index.ts
@@ -1,21 +1,22 @@
-/** How long to wait before an attempt is made again. */
+/** Computes the delay before a retry. */
 import {type Milliseconds, type Random} from '../../ports/clock.js';
 
 export type BackoffOptions = {
-	/** Upper end of the first delay. */
+	/** Upper bound of the first delay, milliseconds. */
 	baseMs?: Milliseconds;
-	/** Upper end of any delay. */
+	/** Upper bound of all delays, milliseconds. */
 	maxMs?: Milliseconds;
 };
 
 /**
- * Draws a delay between nothing and a bound that doubles with each attempt
- * (full jitter), so that those who failed together don't come back together.
+ * Draws an exponential backoff with full jitter: a random delay between 0 and a bound
+ * that doubles with each attempt, so that requests that failed together are not
+ * retried together.
  *
- * @param attempt - number of the attempt that failed, from 1.
- * @param random - source of chance in [0, 1).
- * @param options - bounds, 25 ms and 2 s by default.
- * @returns milliseconds.
+ * @param attempt - Number of the attempt that failed, from 1.
+ * @param random - Numbers in [0, 1).
+ * @param options - Bounds, 25 ms and 2 s by default.
+ * @returns Milliseconds.
  * @example
  * toBackoff(3, () => 0.5); // 50
  */
--- a/src/domain/to-backoff/test.ts
+++ b/src/domain/to-backoff/test.ts
@@ -4,7 +4,7 @@
 import {toBackoff} from './index.js';
 
 describe('toBackoff', () => {
-	it('stays between nothing and the bound, also for absurd attempts', () => {
+	it('stays between 0 and the bound, even for huge attempt numbers (property)', () => {
 		fc.assert(fc.property(fc.integer({min: 0, max: 5000}), fc.double({min: 0, max: 0.999, noNaN: true}), (attempt, chance) => {
 			const delayMs = toBackoff(attempt, () => chance, {baseMs: 10, maxMs: 100});
 			assert.ok(delayMs >= 0 && delayMs <= 100);
--- a/src/domain/to-full-pool-retry-after/index.ts
+++ b/src/domain/to-full-pool-retry-after/index.ts
@@ -1,39 +1,39 @@
 import {type Milliseconds, type Random} from '../../ports/clock.js';
 import {msPerSecond} from '../../ports/units.js';
 
-/** Mean time for which a running request keeps its memory, until one has ended here. */
+/** Assumed mean time for which a request holds its memory, until one has ended on this host. */
 const unknownHoldMs = 3 * msPerSecond;
 
-/** In mean holding times: the least delay, and how far callers are spread behind it. */
+/** Minimum delay, and width of the random spread on top of it, in multiples of the mean holding time. */
 const minHolds = 1.2;
 const spreadHolds = 0.5;
 
 /**
- * Gives the least delay that a caller is told.
+ * Computes the minimum retry delay that a caller is told.
  *
  * @param holdMs - Mean time for which the pool's requests keep their memory; `undefined` while none has ended.
- * @returns Milliseconds; a caller who has waited less was not told to.
+ * @returns Milliseconds; a caller who has waited less has not been refused before.
  */
 export function toMinFullPoolRetryAfter(holdMs: Milliseconds | undefined): Milliseconds {
 	return (holdMs ?? unknownHoldMs) * minHolds;
 }
 
 /**
- * Gives the delay after which a caller may come back to a pool whose memory is
- * full. Of what fills the servers now, most has ended after the mean time for
- * which a request keeps its memory; a burst shorter than that is over too.
- * Callers who come back earlier meet the same burst and take room from those
- * who could still be in time: with 1 to 3 s in place of 3.5 to 5 s, on a day
- * with twice the usual load for 4 s in 10, a quarter fewer new requests were
- * served in time. The spread keeps those refused together from returning together.
+ * Computes the delay after which a caller may retry at a pool whose memory is full.
+ * After the mean holding time most of the current requests have ended, and so has
+ * any shorter burst. Callers that retry earlier meet the same burst and take room
+ * from requests that could still be in time: with 1 to 3 s instead of 3.5 to 5 s, a
+ * quarter fewer new requests were served in time under twice the usual load for 4 s
+ * in every 10 s. The random spread keeps callers that were refused together from
+ * retrying together.
  *
  * @param holdMs - Mean time for which the pool's requests keep their memory; `undefined` while none has ended.
- * @param random - Source of chance.
+ * @param random - Numbers in [0, 1).
  * @returns Milliseconds.
  *
  * @example
  * ```ts
- * toReturnDelay(3000, () => 0); // => 3600
+ * toFullPoolRetryAfter(3000, () => 0); // => 3600
  * ```
  */
 export function toFullPoolRetryAfter(holdMs: Milliseconds | undefined, random: Random): Milliseconds {
--- a/src/domain/to-full-pool-retry-after/test.ts
+++ b/src/domain/to-full-pool-retry-after/test.ts
@@ -4,12 +4,12 @@
 import {toMinFullPoolRetryAfter, toFullPoolRetryAfter} from './index.js';
 
 /*
- * A burst of four seconds fills the decode memory. Callers who come back while it
- * goes on are refused a second time and take room from those who could be in
- * time; callers who come back together make a burst of their own.
+ * Guards against retries during a burst. A burst of four seconds fills the decode
+ * memory; callers that retry while it lasts are refused again or take room from
+ * requests that could be in time, and callers that retry together form a new burst.
  */
-describe('toReturnDelay', () => {
-	it('lies between 1.2 and 1.7 mean holding times', () => {
+describe('toFullPoolRetryAfter', () => {
+	it('is between 1.2 and 1.7 mean holding times (property)', () => {
 		fc.assert(fc.property(fc.integer({min: 1, max: 60_000}), fc.double({
 			min: 0, max: 1, maxExcluded: true, noNaN: true,
 		}), (holdMs, chance) => {
@@ -19,7 +19,7 @@
 		}));
 	});
 
-	it('takes three seconds for the holding time while none is known', () => {
+	it('assumes a holding time of three seconds while none is known', () => {
 		assert.equal(Math.round(toFullPoolRetryAfter(undefined, () => 0)), 3600);
 	});
 });
--- a/src/domain/to-retry-after/index.ts
+++ b/src/domain/to-retry-after/index.ts
@@ -1,27 +1,27 @@
-/** When a refused caller should come back, from how fast the work ahead drains. */
+/** Computes retry delays for refused callers from the drain rate of the queue. */
 import {type Milliseconds} from '../../ports/clock.js';
 import {msPerSecond} from '../../ports/units.js';
 
 export type RetryAfterInput = {
 	/** Requests that must be served before there is room. */
 	ahead: number;
-	/** Requests that leave in a second; 0 when nothing drains or nothing has been measured. */
+	/** Requests that leave per second; 0 if nothing drains or no rate has been measured. */
 	drainPerSecond: number;
 };
 
 export type RetryAfterOptions = {
 	minMs?: Milliseconds;
 	maxMs?: Milliseconds;
-	/** Given when nothing drains or nothing has been measured. */
+	/** Delay used if nothing drains or no rate has been measured. */
 	unknownMs?: Milliseconds;
 };
 
 /**
- * Gives the delay after which a caller may come back with a chance.
+ * Computes the delay after which a retry is likely to succeed.
  *
- * @param input - what is ahead and how fast it drains.
- * @param options - bounds, 1 s and 60 s by default, and 5 s while no drain is known.
- * @returns milliseconds, a whole number of seconds as `Retry-After` needs.
+ * @param input - Number of requests ahead, and the drain rate.
+ * @param options - Bounds, 1 s and 60 s by default, and the delay without a known rate, 5 s by default.
+ * @returns Milliseconds, rounded up to whole seconds as `Retry-After` requires.
  * @example
  * toRetryAfter({ahead: 30, drainPerSecond: 10}); // 3000
  */
--- a/src/domain/to-retry-share/index.ts
+++ b/src/domain/to-retry-share/index.ts
@@ -1,14 +1,14 @@
-/** What one of many hosts may spend of the retries that all may make together. */
+/** Computes one host's share of the retries that all hosts together may make. */
 import {type Milliseconds} from '../../ports/clock.js';
 import {type RetryBudgetOptions} from '../create-retry-budget/index.js';
 
-/** What all hosts together may make. */
+/** Limits of the retries of all hosts together. */
 export type RetryLimits = {
-	/** Retries for each request. */
+	/** Retries per request. */
 	retryRatio: number;
-	/** Retries on top of that. */
+	/** Retries in addition to the ratio. */
 	retrySlack: number;
-	/** Time over which both are counted. */
+	/** Window over which both are counted, milliseconds. */
 	retryWindow: Milliseconds;
 };
 
@@ -19,33 +19,33 @@
 	startedAt?: Milliseconds;
 };
 
-/** Hosts among which the retries on top of the ratio are shared at least; a host may not know of all others. */
+/** Minimum number of hosts among which the slack is divided, as a host may not know all others. */
 const assumedHosts = 20;
 
-/** Part of the ratio that is used: what one host counts as a request another may count a moment later. */
+/** Share of the ratio that is used; the service may count a request in a later window than the host does. */
 const ratioMargin = 0.8;
 
 /**
- * Works out a host's part of the retries that all hosts together may make.
+ * Computes a host's share of the retries that all hosts together may make.
  *
- * The ratio needs no agreement: each host's part is its ratio of its own
- * requests, and the parts add up whatever hosts come, go or are cut off. What it
- * may make ahead of that is its part of the slack among the hosts that it knows,
- * and one while it may not know most of them: hundreds that start at one moment
- * would each take the part of one among twenty. A process that just started
- * waits with its part of the slack for as long as the slack is counted: the one
- * that it replaces may have spent all of it a moment ago. A call that a server
- * refused counts like any other; one that reached none costs nothing there, and
- * the tries of each request bound it.
+ * The ratio needs no coordination: each host applies the ratio to its own
+ * requests, and the sum is right whichever hosts join, leave or are partitioned.
+ * The slack is divided among the hosts that this host knows. While it may not know
+ * most of them, its share of the slack is one retry: with the share of one in
+ * twenty each, hundreds of hosts that start at the same moment would exceed the
+ * slack. A process that has just started does not use its share of the slack until
+ * one window has passed, because the process that it replaces may just have spent
+ * all of it. A call that a server refused costs as much as any other. A call that
+ * reached no server costs nothing; the attempts of each request limit such calls.
  *
- * @param limits - What all hosts may make.
- * @param toHosts - Hosts that are known to live, with this one; `undefined` while that is not clear.
+ * @param limits - Limits for all hosts together.
+ * @param toHosts - Number of hosts known to be alive, including this one; `undefined` while the number is unknown.
  * @param options - When this process started; long ago by default.
- * @returns The bounds of this host's budget.
+ * @returns Options for this host's retry budget.
  *
  * @example
  * ```ts
- * const {toCapacity} = toRetryPart({retryRatio: 0.2, retrySlack: 188, retryWindow: 10_000}, () => 74);
+ * const {toCapacity} = toRetryShare({retryRatio: 0.2, retrySlack: 188, retryWindow: 10_000}, () => 74);
  * toCapacity(); // => 2
  * ```
  */
--- a/src/domain/to-retry-share/test.ts
+++ b/src/domain/to-retry-share/test.ts
@@ -9,13 +9,13 @@
 };
 
 /*
- * A service fails every call. Each host sends its requests once more as long as
- * its part of the budget lasts; no host knows of the others, which come, go and
- * are cut off. More calls than all hosts together may make would bring down what
- * is left of the service.
+ * Guards against a retry storm of all hosts together. A service fails every call,
+ * and each host retries as long as its share of the budget lasts, without knowing of
+ * the other hosts, which join, leave and are partitioned. More retries than the limit
+ * would bring down the rest of the service.
  */
-describe('toRetryPart', () => {
-	it('adds up to no more than the ratio and the slack of all hosts, however the requests fall', () => {
+describe('toRetryShare', () => {
+	it('sums up to at most the ratio plus the slack over all hosts, however requests are distributed (property)', () => {
 		fc.assert(fc.property(fc.array(fc.integer({min: 0, max: 300}), {minLength: 1, maxLength: 20}), requests => {
 			const limits = {retryRatio: 0.2, retrySlack: 54, retryWindow: 10_000};
 			let retries = 0;
@@ -33,17 +33,17 @@
 	});
 
 	/*
-	 * Hundreds of hosts restart at one moment beside a service that fails everything:
-	 * none knows yet how many there are, and a part for twenty, taken by each, is ten
-	 * times what all may make.
+	 * Guards against hundreds of hosts that restart at the same moment while a service
+	 * fails every call. None knows yet how many hosts there are; if each took the share
+	 * of one in twenty, they would make ten times the allowed retries.
 	 */
 	for (const hosts of [20, 195, 402]) {
-		it(`adds up to no more at ${hosts} hosts that just started, nor when they know each other`, () => {
+		it(`stays within the limit with ${hosts} hosts that have just started, and when they know each other`, () => {
 			const limits = {retryRatio: 0.2, retrySlack: 430, retryWindow: 10_000};
 			for (const known of [undefined, hosts]) {
 				const budgets = Array.from({length: hosts}, () => createRetryBudget(toRetryShare(limits, () => known)));
 				let requests = 0;
-				// Served for some seconds, hosts save up; then all calls fail.
+				// Hosts that know each other have earned retries for some seconds before all calls fail.
 				for (const budget of known === undefined ? [] : budgets) {
 					for (let i = 0; i < 200; i++) {
 						budget.noteSuccess(0);
@@ -65,7 +65,7 @@
 		});
 	}
 
-	/* Guards against hosts that spend all of the ratio, though the service counts a request in another window than they do. */
+	/* Guards against hosts that use the whole ratio although the service may count a request in another window. */
 	it('leaves a fifth of the ratio unused', () => {
 		const budget = createRetryBudget(toRetryShare({retryRatio: 0.2, retrySlack: 40, retryWindow: 10_000}, () => 20));
 		const requests = 1000;
@@ -80,8 +80,8 @@
 		assert.ok(retries >= requests * 0.2 * 0.8, `${retries} retries: too careful`);
 	});
 
-	/* Guards against refused calls that cost less than they are: the service counts each call that reaches it. */
-	it('takes as much for a call that a server refused as for one that broke', () => {
+	/* Guards against refused calls that are charged too little: the service counts each call that reaches it. */
+	it('charges as much for a call that a server refused as for one that failed', () => {
 		const budget = createRetryBudget(toRetryShare({retryRatio: 0, retrySlack: 100, retryWindow: 10_000}, () => 20));
 		const refused: FailedAttempt = {...failed, outcome: 'not-run'};
 		const kinds = Array.from({length: 7}, (_, i) => budget.takeRetry(i % 2 === 0 ? refused : failed, 0, () => 0).kind);
@@ -101,8 +101,8 @@
 			return granted;
 		};
 
-		/* Guards against processes that are killed together and each make the part again that the ones before them have just made. */
-		it('has none of the slack until the window of the one before it has passed, and then all of it', () => {
+		/* Guards against processes that are killed together and spend again the share that their predecessors have just spent. */
+		it('has no share of the slack until the window of its predecessor has passed, and then its whole share', () => {
 			for (const [now, granted] of [[5000, 0], [14_999, 0], [15_000, part], [60_000, part]] as const) {
 				assert.equal(spendAll(createRetryBudget(toRetryShare(limits, () => 20, {startedAt})), now), granted, `at ${now}`);
 			}
@@ -111,7 +111,7 @@
 			assert.deepEqual([5000, 14_999, 15_000, 15_001].map(now => spendAll(budget, now)), [0, 0, part, 0]);
 		});
 
-		it('may make what its own successes pay for meanwhile, and no more than its part of them at once', () => {
+		it('may spend the retries that its own successes earn in the meantime, up to its share at once', () => {
 			const budget = createRetryBudget(toRetryShare(limits, () => 20, {startedAt}));
 			const spent = Array.from({length: 25}, () => {
 				budget.noteSuccess(6000);
@@ -126,7 +126,7 @@
 			assert.equal(spendAll(budget, 15_000), 0);
 		});
 
-		it('is charged for the further call of an attempt as well', () => {
+		it('is charged for an extra call of an attempt as well', () => {
 			const budget = createRetryBudget(toRetryShare(limits, () => 20, {startedAt}));
 			assert.equal(budget.takeExtraCall(6000), false);
 			for (let i = 0; i < 7; i++) {
@@ -136,7 +136,7 @@
 			assert.deepEqual([budget.takeExtraCall(6000), budget.takeExtraCall(6000)], [true, false]);
 		});
 
-		it('spends one after the other as any process may once the window has passed', () => {
+		it('stays within its share and ratio at any time (property)', () => {
 			fc.assert(fc.property(fc.array(fc.record({isSuccess: fc.boolean(), afterMs: fc.nat({max: 3000})}), {maxLength: 200}), steps => {
 				const budget = createRetryBudget(toRetryShare(limits, () => 20, {startedAt: 0}));
 				let now = 0;
@@ -160,7 +160,7 @@
 		});
 	});
 
-	it('takes nothing for a call that reached no server', () => {
+	it('charges nothing for a call that reached no server', () => {
 		const budget = createRetryBudget(toRetryShare({retryRatio: 0, retrySlack: 0, retryWindow: 10_000}, () => 0));
 		const unreached: FailedAttempt = {...failed, bytesOffered: 0, outcome: 'not-run'};
 		assert.deepEqual(Array.from({length: 5}, () => budget.takeRetry(unreached, 0, () => 0).kind), Array.from({length: 5}, () => 'retry'));
--- a/src/domain/to-wait-policy/index.ts
+++ b/src/domain/to-wait-policy/index.ts
@@ -71,7 +71,7 @@
  *
  * @example
  * ```ts
- * toWait({then, poolKind: 'model', receivedAt: 0, deadline: 14_000, waitsMs: 14_000, leastReturnMs: 3600, hasBegun: false}, 0).latestStart; // => then.target.firstTokenMs
+ * toWaitPolicy({then, poolKind: 'model', receivedAt: 0, deadline: 14_000, waitsMs: 14_000, leastReturnMs: 3600, hasBegun: false}, 0).latestStart; // => then.target.firstTokenMs
  * ```
  */
 export function toWaitPolicy(input: WaitPolicyInput, now: Milliseconds): WaitPolicy {
--- a/src/domain/to-wait-policy/test.ts
+++ b/src/domain/to-wait-policy/test.ts
@@ -25,7 +25,7 @@
  * as their callers do are all served late, those of the burst and those behind
  * it; so a request waits while it can be in time, and no longer.
  */
-describe('toWait', () => {
+describe('toWaitPolicy', () => {
 	const {relay: _, ...ownThen} = then;
 	const cases: ReadonlyArray<{name: string; over: Partial<WaitPolicyInput>; now: number; expected: ReturnType<typeof toWaitPolicy>}> = [
 		{
@@ -63,7 +63,7 @@
 	}
 });
 
-describe('toAge', () => {
+describe('toEarlierWaitMs', () => {
 	it('is what a caller has used up of its rule\'s time, and never below nothing', () => {
 		assert.deepEqual([14_000, 11_500, 20_000, undefined].map(waitsMs => toEarlierWaitMs({then, callerTimeoutMs: waitsMs})), [0, 2500, 0, 0]);
 	});
