--- a/src/domain/create-inter-token-latency/index.ts
+++ b/src/domain/create-inter-token-latency/index.ts
@@ -1,20 +1,20 @@
 /**
- * The time between tokens that one host expects of each decode server: what it
- * saw itself in its streams, which wears off, and what the server reports.
+ * Estimates the time between tokens of each decode server, from this host's own
+ * streams, whose weight decays, and from the server's reports.
  */
 import {type Milliseconds} from '../../ports/clock.js';
 import {type ServerId} from '../../ports/ids.js';
 import {msPerSecond} from '../../ports/units.js';
 
 export type InterTokenLatencyOptions = {
-	/** Time in which half of what was seen is forgotten, milliseconds. */
+	/** Half-life of the weight of observations, milliseconds. */
 	halfLifeMs?: Milliseconds;
 };
 
-/** Tokens of one stream that came one after the other. */
+/** Consecutive tokens of one stream. */
 export type ObservedTokens = {
 	tokens: number;
-	/** Time from the token before the first of them to the last. */
+	/** Time from the token before the first of them to the last, milliseconds. */
 	tookMs: Milliseconds;
 };
 
@@ -22,27 +22,27 @@
 
 const defaultHalfLifeMs = 10 * msPerSecond;
 
-/** Time of one stream that weighs as much as a server's report, milliseconds. */
+/** Observed time of one stream that has the same weight as a server's report, milliseconds. */
 const msPerWeight = 500;
 
-/** Most that is remembered of a server, against 1 for its report: more would hold up the news. */
+/** Maximum weight of observations, relative to 1 for a report; a higher weight would delay the reaction to changes. */
 const maxWeight = 4;
 
 /**
- * Creates the record of one host. A server that was slow is expected to be
- * slow for as long as its streams show it. Then, with no more streams to show
- * anything, what was seen wears off and the report counts again, so that the
- * server gets work back little by little, short answers first; if it is
- * still slow, the first of them tell within a second.
+ * Creates the record of one host. A slow server is expected to stay slow as long as
+ * its streams show it. When the host avoids the server and has no more streams there,
+ * the weight of the observations decays and the report counts again, so that the
+ * server gets work back gradually, short answers first. If the server is still slow,
+ * the first of these streams show it within a second.
  *
  * @param options - See {@link InterTokenLatencyOptions}.
- * @returns Functions that note tokens and tell the time expected between two.
+ * @returns Functions that record tokens, and that read the expected time between two tokens.
  *
  * @example
- * const pace = createInterTokenLatency();
- * pace.note('d1', {tokens: 100, tookMs: 8000}, 0);
- * pace.read('d1', 20, 0); // 68
- * pace.read('d1', 20, 60_000); // 23
+ * const latency = createInterTokenLatency();
+ * latency.note('d1', {tokens: 100, tookMs: 8000}, 0);
+ * latency.read('d1', 20, 0); // 68
+ * latency.read('d1', 20, 60_000); // 23
  */
 export const createInterTokenLatency = ({halfLifeMs = defaultHalfLifeMs}: InterTokenLatencyOptions = {}) => {
 	const tracks = new Map<ServerId, Track>();
@@ -58,7 +58,7 @@
 			const stepMs = Math.max(0, tookMs) / tokens;
 			const weight = Math.min(maxWeight, Math.max(1, tookMs) / msPerWeight);
 			const track = tracks.get(server);
-			// What is new counts whole; of what is old, as much as leaves room for it.
+			// New observations have their full weight; older ones are reduced so that the sum stays within the maximum.
 			const kept = track === undefined ? 0 : Math.min(toWeight(track, now), maxWeight - weight);
 			tracks.set(server, {
 				stepMs: ((kept * (track?.stepMs ?? 0)) + (weight * stepMs)) / (kept + weight), weight: kept + weight, at: now,
@@ -66,7 +66,7 @@
 		},
 		/**
 		 * @param server - The server.
-		 * @param reportedMs - Time between two tokens by its last report, or what is assumed without one.
+		 * @param reportedMs - Time between two tokens in its last report, or the assumed time without a report.
 		 * @param now - Monotonic milliseconds.
 		 * @returns Expected milliseconds between two tokens of one stream.
 		 */
@@ -79,7 +79,7 @@
 			const weight = toWeight(track, now);
 			return ((weight * track.stepMs) + reportedMs) / (weight + 1);
 		},
-		/** Drops what is known of a server that is no longer published. */
+		/** Drops the state of a server that is no longer published. */
 		forget(server: ServerId): void {
 			tracks.delete(server);
 		},
--- a/src/domain/create-load-broadcast/_lib/pack.ts
+++ b/src/domain/create-load-broadcast/_lib/pack.ts
@@ -1,14 +1,14 @@
-/** Fifteen bytes for what changes in a load report. */
+/** Encodes the changing part of a load report in fifteen bytes. */
 import {type LoadReport} from '../../../ports/engine.js';
 import {type Milliseconds} from '../../../ports/clock.js';
 import {toHash32} from '../../../_lib/to-hash32/index.js';
 import {fromLogStep, toLogStep} from '../../../_lib/to-log-step/index.js';
 
-/** The changing part of a load report, with values rounded as the bytes round them. */
+/** The changing part of a load report; decoded values are rounded by the encoding. */
 export type LoadDelta = {
 	/** Hash of the server's name. */
 	server: number;
-	/** Hash of the part that seldom changes; a receiver that has another one asks for the whole report. */
+	/** Hash of the part that rarely changes; a receiver with another hash requests the full report. */
 	staticHash: number;
 	state: LoadReport['state'] | 'unreachable';
 	slotsUsed: number;
@@ -24,12 +24,12 @@
 const states = ['serving', 'loading', 'leaving', 'unreachable'] as const;
 const ageUnitMs = 50;
 
-/** Hash of the part of a report that seldom changes. */
+/** Computes the hash of the part of a report that rarely changes. */
 export function toStaticHash({role, model, version, adapters, slotsTotal, fence}: LoadReport): number {
 	return toHash32([role, model, version, ...adapters, slotsTotal, fence].join('\n')) % (2 ** 16);
 }
 
-/** Packs deltas one after the other. */
+/** Packs deltas into consecutive bytes. */
 export function packDeltas(deltas: readonly LoadDelta[]): Uint8Array {
 	const bytes = new Uint8Array(deltas.length * deltaBytes);
 	const view = new DataView(bytes.buffer);
@@ -49,7 +49,7 @@
 	return bytes;
 }
 
-/** Reads packed deltas; an incomplete last one, or one of an unknown state, is left out. */
+/** Unpacks deltas; skips an incomplete last delta and deltas with an unknown state. */
 export function unpackDeltas(bytes: Uint8Array): LoadDelta[] {
 	const view = new DataView(bytes.buffer, bytes.byteOffset, bytes.byteLength);
 	return Array.from({length: Math.floor(bytes.length / deltaBytes)}, (_, i) => i * deltaBytes)
--- a/src/domain/create-load-broadcast/index.ts
+++ b/src/domain/create-load-broadcast/index.ts
@@ -1,7 +1,7 @@
 /**
- * Passes the loads of polled servers on to other agents, inside a budget of
- * bytes: the poller of a server sends what changed, in fifteen bytes a server,
- * and as often as the number of receivers lets it.
+ * Sends the loads of polled servers to other agents within a bandwidth budget. The
+ * host that polls a server sends its changes, fifteen bytes per server, as often as
+ * the budget allows for the number of receivers.
  */
 import {toHash32} from '../../_lib/to-hash32/index.js';
 import {type Milliseconds} from '../../ports/clock.js';
@@ -11,31 +11,31 @@
 	packDeltas, toStaticHash, unpackDeltas, type LoadDelta,
 } from './_lib/pack.js';
 
-/** What one message costs besides its deltas: frame (36), IP and TCP headers, and the acknowledgement (104). */
+/** Overhead of one message in bytes: frame (36), and IP and TCP headers with the acknowledgement (104). */
 const messageBytes = 140;
 const defaultBytesPerSecond = 3000;
 const minIntervalMs = 250;
 
-/** An unchanged server is sent this often, so that the age of its numbers stays small. */
+/** Interval at which unchanged servers are sent again, so that their reports stay recent; milliseconds. */
 const refreshMs = 2500;
 
 export type LoadBroadcast = {
-	/** A server that this host polls has reported. */
+	/** Records a report of a server that this host polls. */
 	notePolled: (load: LoadReport, loadAt: Milliseconds) => void;
-	/** A server that this host polls was not reached by polls that began at this time. */
+	/** Records that polls that started at this time did not reach a server. */
 	noteUnreachable: (server: ServerId, askedAt: Milliseconds) => void;
-	/** This host no longer polls the server. */
+	/** Drops the state of a server that this host no longer polls. */
 	forget: (server: ServerId) => void;
-	/** The bytes to send to each receiver now; `undefined` when nothing is due. */
+	/** Returns the bytes to send to each receiver now; `undefined` when nothing is due. */
 	takeDue: (receivers: number, now: Milliseconds) => Uint8Array | undefined;
-	/** Whole reports of polled servers, for a receiver that lacks them. */
+	/** Full reports of polled servers, for a receiver that does not have them. */
 	reports: (servers: readonly number[], now: Milliseconds) => LoadReport[];
 };
 
 type Polled = {
 	load: LoadReport | undefined;
 	loadAt: Milliseconds;
-	/** Start of the polls that did not reach it; `undefined` while it is reached. */
+	/** Start of the first poll that did not reach the server; `undefined` while the server is reachable. */
 	unreachableSince: Milliseconds | undefined;
 	sent: string;
 	sentAt: Milliseconds;
@@ -44,14 +44,14 @@
 /**
  * Creates the sending side.
  *
- * @param options - `bytesPerSecond`: what it may send, headers included.
+ * @param options - `bytesPerSecond`: bandwidth budget, headers included.
  * @returns See {@link LoadBroadcast}.
  *
  * @example
  * ```ts
- * const spread = createLoadBroadcast();
- * spread.notePolled(report, now);
- * spread.take(8, now)?.length; // => 15
+ * const broadcast = createLoadBroadcast();
+ * broadcast.notePolled(report, now);
+ * broadcast.takeDue(8, now)?.length; // => 15
  * ```
  */
 export function createLoadBroadcast({bytesPerSecond = defaultBytesPerSecond}: {bytesPerSecond?: number} = {}): LoadBroadcast {
@@ -121,23 +121,23 @@
 	};
 }
 
-/** What a receiver does with deltas. */
+/** Decoded deltas, as a receiver has to process them. */
 export type ReceivedLoads = {
-	/** Reports with their age at the sending. */
+	/** Reports with their age when they were sent. */
 	loads: readonly LoadReport[];
-	/** Servers that the sender did not reach, with the time since its polls began. */
+	/** Servers that the sender did not reach, with the time since its unsuccessful polls started. */
 	unreachable: ReadonlyArray<{server: ServerId; ageMs: Milliseconds}>;
-	/** Hashes of servers of which this host lacks the whole report. */
+	/** Hashes of servers whose full report this host does not have. */
 	wanted: readonly number[];
 };
 
 /**
- * Reads what a poller has sent.
+ * Decodes a message of {@link LoadBroadcast.takeDue}.
  *
- * @param bytes - The bytes.
- * @param findServer - The published server with a name's hash.
- * @param findLoad - The last whole report known of a server.
- * @returns Reports to take over, servers that were not reached, and those to ask for.
+ * @param bytes - The message.
+ * @param findServer - Finds the published server by the hash of its name.
+ * @param findLoad - Finds the last full report of a server.
+ * @returns Reports to apply, servers that were not reached, and servers whose full report to request.
  */
 export function decodeLoads(bytes: Uint8Array, findServer: (hash: number) => ServerId | undefined, findLoad: (server: ServerId) => LoadReport | undefined): ReceivedLoads {
 	const loads: LoadReport[] = [];
--- a/src/domain/create-load-estimate/index.ts
+++ b/src/domain/create-load-estimate/index.ts
@@ -1,7 +1,7 @@
 /**
- * What one host believes about the load of each backend server now: the last
- * load report, which lags, corrected by what this host itself has sent to and
- * got back from the server since the report's numbers were true.
+ * Estimates the current load of each backend server: the last load report, which
+ * lags, corrected by the requests that this host has sent to the server or finished
+ * there since the report was taken.
  */
 import {type Milliseconds} from '../../ports/clock.js';
 import {type ServerEntry} from '../../ports/config.js';
@@ -11,39 +11,39 @@
 import {type ServerStatus} from '../../ports/view.js';
 
 export type LoadEstimateOptions = {
-	/** Age beyond which a report is not believed any more, milliseconds. */
+	/** Age above which a report is stale, milliseconds. */
 	staleAfterMs?: Milliseconds;
-	/** Prompt tokens a second assumed of a prefill server that never reported. */
+	/** Prompt tokens per second assumed for a prefill server that has never reported. */
 	tokensPerSecond?: number;
-	/** Tokens a second of one stream assumed of a decode server that never reported. */
+	/** Tokens per second of one stream assumed for a decode server that has never reported. */
 	streamTokensPerSecond?: number;
-	/** Bytes a second assumed of a link that was never reported. */
+	/** Bytes per second assumed for a link that was never reported. */
 	linkBytesPerSecond?: number;
 };
 
 export type ServerLoad = {
 	slotsTotal: number;
-	/** Slots thought to be taken now; may exceed `slotsTotal`. */
+	/** Estimated number of slots in use; may exceed `slotsTotal`. */
 	slotsUsed: number;
-	/** Prompt tokens thought to be waiting or in work now. */
+	/** Estimated number of prompt tokens that are queued or being computed. */
 	backlogTokens: number;
-	/** Prompt tokens a second (prefill), or tokens a second of one stream (decode). */
+	/** Prompt tokens per second (prefill), or tokens per second of one stream (decode). */
 	tokensPerSecond: number;
 	linkBytesPerSecond: number;
-	/** KV transfers of this host that use the server's link now. */
+	/** Number of this host's KV transfers on the server's link. */
 	transfers: number;
-	/** Requests of this host on the server now. */
+	/** Number of this host's requests on the server. */
 	own: number;
-	/** Prompt tokens of this host that were sent there and are not computed yet. */
+	/** Prompt tokens that this host has sent to the server and that are not computed yet. */
 	ownPromptTokens: number;
-	/** No report, or one too old to believe: the numbers are this host's own alone. */
+	/** Whether there is no report or a stale one, so that the numbers count only this host's requests. */
 	isUnknown: boolean;
 };
 
 type Change = {at: Milliseconds; slots: number; tokens: number};
 
 type Track = {
-	/** Own changes that the last report cannot contain, oldest first. */
+	/** This host's changes since the last report, oldest first. */
 	changes: Change[];
 	reportAt: Milliseconds;
 	/** Sum of `slots` over `changes`. */
@@ -55,24 +55,24 @@
 	ownPrefills: number;
 	transfers: number;
 	fullAt: Milliseconds;
-	/** Tokens a second by which the backlog shrinks, as read last. */
+	/** Rate at which the backlog drains, as last read; tokens per second. */
 	drainPerSecond: number;
 };
 
 const defaultStaleAfterMs = 5000;
 
 /**
- * Time for which a server that never reported counts as full after it said so.
- * No report will take it back, and its queue moves on within the time of a few
- * calls: left out for as long as a report counts, one refusal in a burst would
- * take the server away for seconds.
+ * Time for which a server without reports counts as full after a refusal,
+ * milliseconds. No report can correct the state, and the server's queue moves on
+ * within a few calls; with the stale age of reports instead, one refusal in a burst
+ * would exclude the server for seconds.
  */
 const fullWithoutReportMs = 50;
 const defaultTokensPerSecond = 8000;
 const defaultStreamTokensPerSecond = 50;
 const defaultLinkBytesPerSecond = 1_000_000_000;
 
-/** Changes kept for one server; with more, the oldest are taken to be in the report. */
+/** Maximum number of changes kept per server; older ones are assumed to be in the report. */
 const maxChanges = 512;
 
 const createTrack = (drainPerSecond: number): Track => ({
@@ -95,19 +95,19 @@
 };
 
 /**
- * Prompt tokens of this host that are surely not done: all it sent and got no
- * result of, less half a request for the one in work. It holds when the
- * server is slower than its report says and the drained backlog reads zero.
+ * Lower bound of the backlog: the prompt tokens of this host without a result yet,
+ * less half a request for the one being computed. The bound matters when the server
+ * is slower than its report says, so that the estimated backlog has drained to zero.
  */
 const toOwnBacklog = (track: Track): number =>
 	track.ownPrefills === 0 ? 0 : track.ownTokens * (1 - (0.5 / track.ownPrefills));
 
 /**
- * Creates the estimate. State grows with the servers this host has used and is
- * bounded for each; {@link LoadEstimate.forget} drops a server.
+ * Creates the estimate of one host. It keeps bounded state for each server that the
+ * host has used; {@link LoadEstimate.forget} drops a server.
  *
- * @param options - When reports go stale, and what is assumed without one.
- * @returns Functions that note what this host does and read a server's load.
+ * @param options - Stale age of reports, and assumptions without a report.
+ * @returns Functions that record this host's requests, and that read a server's load.
  *
  * @example
  * const loads = createLoadEstimate();
@@ -132,7 +132,7 @@
 		return track;
 	};
 
-	/** Adds to the backlog as it stands then; it never falls below nothing. */
+	/** Adds tokens to the backlog that is left at the time of the change; the result is never negative. */
 	const addTokens = (track: Track, {at, tokens}: Change): void => {
 		if (tokens !== 0) {
 			track.backlogTokens = Math.max(0, toRemainingBacklog(track, at) + tokens);
@@ -140,7 +140,7 @@
 		}
 	};
 
-	/** Starts again from a new report and replays the own changes that came after it. */
+	/** Starts from a new report and replays this host's later changes. */
 	const applyReport = (track: Track, status: ServerStatus): void => {
 		track.reportAt = status.loadAt;
 		track.changes = track.changes.filter(change => change.at > status.loadAt);
@@ -163,10 +163,10 @@
 	};
 
 	/**
-	 * @param entry - The server as published.
-	 * @param status - What the view says of it, if anything.
+	 * @param entry - The published server.
+	 * @param status - Its status in the view, if any.
 	 * @param now - Monotonic milliseconds, on the clock of `status.loadAt`.
-	 * @returns The load as believed at `now`.
+	 * @returns The estimated load at `now`.
 	 */
 	const read = (entry: ServerEntry, status: ServerStatus | undefined, now: Milliseconds): ServerLoad => {
 		const track = toTrack(entry.id);
@@ -204,15 +204,15 @@
 
 	return {
 		read,
-		/** Counts requests of this host that come to (positive) or leave (negative) the server. */
+		/** Counts requests of this host that start (positive) or end (negative) on the server. */
 		addSlots(server: ServerId, slots: number, now: Milliseconds): void {
 			const track = toTrack(server);
 			track.own = Math.max(0, track.own + slots);
 			addChange(track, {at: now, slots, tokens: 0});
 		},
-		/** Whether the server itself said that it is full, later than `since`. */
+		/** Whether the server has refused as full after `since`. */
 		isFullSince: (server: ServerId, since: Milliseconds): boolean => (tracks.get(server)?.fullAt ?? -Infinity) > since,
-		/** A request that held a slot there has ended, so a server that was full is not any more. */
+		/** Records that a request that held a slot has ended, so that the server no longer counts as full. */
 		noteFreed(server: ServerId): void {
 			toTrack(server).fullAt = -Infinity;
 		},
@@ -225,15 +225,15 @@
 			track.ownPrefills++;
 			addChange(track, change);
 		},
-		/** Takes back a prompt whose prefill is done. */
+		/** Removes a prompt whose prefill is done. */
 		removePrefill,
 		/**
-		 * Takes back a prompt whose prefill ended before it was done: its caller
-		 * left, or the server refused or lost it. The last report may count it for
-		 * a second more, and the next prompts would be refused for a queue that is
-		 * gone. All of it is taken back, since reports count a prompt whole until
-		 * it is done; where a part was computed, the backlog is believed that
-		 * much too short, until the next report.
+		 * Removes a prompt whose prefill ended early, because the caller left or the
+		 * server refused or lost the prompt. The last report may still include the
+		 * prompt for up to a second; without this correction the next prompts would be
+		 * refused for a queue that no longer exists. The whole prompt is subtracted,
+		 * since reports count a prompt in full until it is done; if part of it was
+		 * already computed, the estimate is too low by that part until the next report.
 		 */
 		dropPrefill(server: ServerId, tokens: number, now: Milliseconds): void {
 			const change = {at: now, slots: 0, tokens: -tokens};
@@ -241,26 +241,26 @@
 			addTokens(toTrack(server), change);
 			addChange(toTrack(server), change);
 		},
-		/** Counts KV transfers of this host over the server's link. */
+		/** Counts KV transfers of this host that start (positive) or end (negative) on the server's link. */
 		addTransfers(server: ServerId, transfers: number): void {
 			const track = toTrack(server);
 			track.transfers = Math.max(0, track.transfers + transfers);
 		},
 		/**
-		 * The server itself said that it is full. Without this, every request
-		 * until the next report would offer itself there first and be refused.
-		 * A later report, or {@link LoadEstimate.noteFreed}, ends it.
+		 * Records that the server refused as full. Without this, every request until
+		 * the next report would try the server first and be refused. The state ends
+		 * with a later report or with {@link LoadEstimate.noteFreed}.
 		 */
 		noteFull(server: ServerId, now: Milliseconds): void {
 			toTrack(server).fullAt = now;
 		},
-		/** Drops what is known of a server that is no longer published. */
+		/** Drops the state of a server that is no longer published. */
 		forget(server: ServerId): void {
 			tracks.delete(server);
 		},
-		/** Prompt tokens of this host that were sent to the server and are not computed yet. */
+		/** Prompt tokens that this host has sent to the server and that are not computed yet. */
 		ownPromptTokens: (server: ServerId): number => tracks.get(server)?.ownTokens ?? 0,
-		/** What this host has under way at each server where it has anything. */
+		/** In-flight load of this host at each server where it has any. */
 		ownLoads: (): HostLoad[] => [...tracks]
 			.filter(([, {own, ownTokens}]) => own > 0 || ownTokens > 0)
 			.map(([server, {own, ownTokens}]) => ({server, requests: own, promptTokens: ownTokens})),
--- a/src/domain/create-load-estimate/test.ts
+++ b/src/domain/create-load-estimate/test.ts
@@ -8,7 +8,7 @@
 const prefill = toServer('p1', 'prefill');
 
 describe('createLoadEstimate', () => {
-	it('adds to a report only what this host did after its numbers were true', () => {
+	it('adds to a report only the changes that this host made after the report was taken', () => {
 		const loads = createLoadEstimate();
 		loads.addSlots('d1', 1, 900);
 		loads.addSlots('d1', 1, 1100);
@@ -16,19 +16,19 @@
 		assert.equal(loads.read(decode, toStatus(decode, 1150, {slotsUsed: 8}), 1200).slotsUsed, 8);
 	});
 
-	it('never believes less than what this host has there itself', () => {
+	it('never estimates less than this host\'s own requests', () => {
 		const loads = createLoadEstimate();
 		loads.addSlots('d1', 5, 900);
 		assert.equal(loads.read(decode, toStatus(decode, 1000, {slotsUsed: 2}), 1100).slotsUsed, 5);
 	});
 
-	it('assumes of a server that never reported what its role can do', () => {
+	it('assumes the usual rate of its role for a server that has never reported', () => {
 		const loads = createLoadEstimate({tokensPerSecond: 9000, streamTokensPerSecond: 40});
 		assert.equal(loads.read(prefill, undefined, 0).tokensPerSecond, 9000);
 		assert.equal(loads.read(decode, undefined, 0).tokensPerSecond, 40);
 	});
 
-	it('drains the backlog at the reported rate and replays later prompts over it', () => {
+	it('drains the backlog at the reported rate and replays later prompts on top of it', () => {
 		const loads = createLoadEstimate();
 		const status = toStatus(prefill, 1000, {queuedTokens: 4000, tokensPerSecond: 8000});
 		assert.equal(loads.read(prefill, status, 1250).backlogTokens, 2000);
@@ -37,7 +37,7 @@
 		assert.equal(loads.read(prefill, toStatus(prefill, 1200, {queuedTokens: 800}), 1250).backlogTokens, 400 + 1000);
 	});
 
-	it('keeps half of an own prompt in the backlog of a server slower than it says', () => {
+	it('keeps half of an own prompt in the backlog of a server that is slower than reported', () => {
 		const loads = createLoadEstimate();
 		loads.addPrefill('p1', 1000, 0);
 		assert.equal(loads.read(prefill, toStatus(prefill, 0), 60_000).backlogTokens, 500);
@@ -45,7 +45,7 @@
 		assert.equal(loads.read(prefill, toStatus(prefill, 0), 60_000).backlogTokens, 0);
 	});
 
-	it('forgets a prompt that was cancelled, also where a report from before still counts it', () => {
+	it('removes a cancelled prompt, even if an earlier report still counts it', () => {
 		const loads = createLoadEstimate();
 		loads.addPrefill('p1', 27_500, 1000);
 		const counting = toStatus(prefill, 1200, {queuedTokens: 27_500, tokensPerSecond: 8000});
@@ -57,7 +57,7 @@
 		assert.equal(loads.read(prefill, toStatus(prefill, 1260, {queuedTokens: 27_500, tokensPerSecond: 8000}), 1300).backlogTokens, 500);
 	});
 
-	it('holds a server for full after its own refusal, until a later report or the end of a request that held a slot', () => {
+	it('treats a server as full after it refused, until a later report or the end of a request that held a slot', () => {
 		const loads = createLoadEstimate();
 		const status = toStatus(decode, 1000, {slotsUsed: 3});
 		loads.addSlots('d1', 1, 1010);
@@ -71,7 +71,7 @@
 		assert.ok(loads.read(decode, toStatus(decode, 1150, {slotsUsed: 19}), 1500).slotsUsed < 20);
 	});
 
-	it('falls back to its own count once a report is too old', () => {
+	it('falls back to its own count once a report is stale', () => {
 		const loads = createLoadEstimate({staleAfterMs: 5000});
 		loads.addSlots('d1', 2, 0);
 		const load = loads.read(decode, toStatus(decode, 0, {slotsUsed: 20}), 5001);
@@ -79,7 +79,7 @@
 		assert.equal(load.slotsUsed, 2);
 	});
 
-	it('equals the exact count when reports lag but this host is alone (property)', () => {
+	it('equals the exact count with lagging reports when no other host sends requests (property)', () => {
 		const step = fc.record({isArrival: fc.boolean(), lagMs: fc.nat(1500)});
 		fc.assert(fc.property(fc.array(step, {maxLength: 100}), steps => {
 			const loads = createLoadEstimate();
--- a/src/domain/create-prefill-throughput/index.ts
+++ b/src/domain/create-prefill-throughput/index.ts
@@ -1,43 +1,43 @@
-/** How fast prefill servers compute prompts, learnt from those that found their server idle. */
+/** Estimates the throughput of prefill servers, from prompts that were sent to an idle server. */
 import {type ServerId} from '../../ports/ids.js';
 import {type Milliseconds} from '../../ports/clock.js';
 
 export type PrefillThroughput = {
-	/** A prompt was computed by a server that, as far as is known, had nothing else to do. */
+	/** Records a prompt computed by a server that was idle, as far as this host knows. */
 	note: (server: ServerId, promptTokens: number, tookMs: Milliseconds) => void;
-	/** Tokens a millisecond. */
+	/** Estimated throughput, tokens per millisecond. */
 	read: (server: ServerId) => number;
 	forget: (server: ServerId) => void;
 };
 
 /**
- * Tokens a millisecond before any prompt was computed. Too low a guess keeps
- * work off a server that seems busy for longer than it is, too high a one sends
- * a burst to one server; the first few prompts correct either.
+ * Throughput assumed before the first prompt, tokens per millisecond. If it is too
+ * low, servers seem busy for longer than they are and get too little work; if it is
+ * too high, a burst goes to one server. The first few prompts correct both.
  */
 const initialTokensPerMs = 20;
 
-/** Weight of the newest prompt. Hearsay of other hosts is some milliseconds late, so a server thought idle may not have been. */
+/** Weight of the newest prompt. It is low because loads from other hosts arrive some milliseconds late, so that the server may not have been idle. */
 const gain = 0.2;
 
-/** Shorter calls say more of the network than of the server. */
+/** Lower bound of the measured time, milliseconds; shorter calls depend more on the network than on the server. */
 const minCallMs: Milliseconds = 5;
 
 /**
  * Creates the record of one host.
  *
- * @returns Functions that note and tell.
+ * @returns See {@link PrefillThroughput}.
  *
  * @example
  * ```ts
- * const pace = createPrefillThroughput();
- * pace.note('p1', 3000, 100);
- * pace.read('p1'); // => 30
+ * const throughput = createPrefillThroughput();
+ * throughput.note('p1', 3000, 100);
+ * throughput.read('p1'); // => 30
  * ```
  */
 export function createPrefillThroughput(): PrefillThroughput {
 	const throughputs = new Map<ServerId, number>();
-	/** Of all servers, for those that have computed nothing yet. */
+	/** Moving average over all servers, used for servers without prompts. */
 	let overall: number | undefined;
 	return {
 		note(server, promptTokens, tookMs) {
--- a/src/domain/create-prefix-map/index.ts
+++ b/src/domain/create-prefix-map/index.ts
@@ -1,17 +1,17 @@
 /**
- * Which prefix blocks each prefill server probably holds in its cache.
+ * Maps prefix blocks to the prefill servers that probably hold them in their cache.
  *
- * It remembers what this host sent where, and forgets the least recently used
- * block when full. What it remembers is a guess, as engines evict on their own:
- * each server has a trust between 0 and 1 that follows the cached tokens which
- * prefills report.
+ * The map records which blocks this host sent to which server, and evicts the least
+ * recently used block when it is full. As engines evict on their own, an entry is only
+ * a guess: each server has a trust between 0 and 1 that is adjusted by the cached
+ * tokens that prefills report.
  */
 import {type ServerId} from '../../ports/ids.js';
 
 export type PrefixMapOptions = {
-	/** Blocks remembered over all servers. */
+	/** Maximum number of blocks over all servers. */
 	maxBlocks?: number;
-	/** Servers remembered for one block, the latest ones. */
+	/** Maximum number of servers per block; the most recent ones are kept. */
 	maxServersPerBlock?: number;
 };
 
@@ -21,12 +21,14 @@
 /** Weight of the newest feedback in a server's trust. */
 const trustGain = 0.2;
 
-/** Trust in a server nobody has given feedback on. */
+/** Trust in a server without feedback. */
 const initialTrust = 0.8;
 
 /**
- * @param options - Bounds; memory is at most `maxBlocks` × `maxServersPerBlock` names.
- * @returns Functions that note blocks, and that look up a prompt.
+ * Creates an empty map.
+ *
+ * @param options - Bounds; the map holds at most `maxBlocks` × `maxServersPerBlock` names.
+ * @returns Functions that record blocks, and that look up a prompt.
  *
  * @example
  * const prefixes = createPrefixMap();
@@ -36,7 +38,7 @@
 export const createPrefixMap = (options: PrefixMapOptions = {}) => {
 	const maxBlocks = options.maxBlocks ?? defaultMaxBlocks;
 	const maxServers = options.maxServersPerBlock ?? defaultMaxServersPerBlock;
-	/** Insertion order is order of last use. */
+	/** Blocks in the order of their last use, least recent first. */
 	const blocks = new Map<string, readonly ServerId[]>();
 	const trusts = new Map<ServerId, number>();
 
@@ -56,7 +58,7 @@
 		setBlock(block, [server, ...others].slice(0, maxServers));
 	};
 
-	/** Leading blocks of the prompt that each server is remembered to hold. */
+	/** Number of leading blocks of the prompt that each server holds according to the map. */
 	const toDepths = (prefix: readonly string[]): ReadonlyMap<ServerId, number> => {
 		const depths = new Map<ServerId, number>();
 		for (const [i, block] of prefix.entries()) {
@@ -76,16 +78,16 @@
 	};
 
 	return {
-		/** Notes that a server has just computed a prompt with these blocks. */
+		/** Records that a server has just computed a prompt with these blocks. */
 		note(server: ServerId, prefix: readonly string[]): void {
-			// Last block first, so that under pressure the tail, of use to fewer prompts, is forgotten first.
+			// The last block is added first, so that the tail of the prefix, which fewer prompts share, is evicted first.
 			for (const block of prefix.toReversed()) {
 				addHolder(block, server);
 			}
 		},
 		/**
 		 * @param prefix - Hashes of the prompt's blocks, from the first.
-		 * @returns Blocks that each server is expected to have, weighed by its trust; servers without any are absent.
+		 * @returns Expected number of cached blocks per server, weighted by its trust; servers without any are absent.
 		 */
 		toHits(prefix: readonly string[]): ReadonlyMap<ServerId, number> {
 			const hits = new Map<ServerId, number>();
@@ -96,7 +98,7 @@
 			return hits;
 		},
 		/**
-		 * Corrects by what a prefill found in the cache.
+		 * Adjusts the trust in a server by the blocks that a prefill found in its cache.
 		 *
 		 * @param cachedBlocks - Leading blocks of `prefix` that the server had.
 		 */
@@ -108,11 +110,11 @@
 			}
 		},
 		toTrust,
-		/** Drops the trust in a server that is gone; its blocks age out. */
+		/** Drops the trust in a removed server; its blocks are evicted over time. */
 		forget(server: ServerId): void {
 			trusts.delete(server);
 		},
-		/** Blocks remembered now. */
+		/** Number of blocks in the map. */
 		size: (): number => blocks.size,
 	};
 };
--- a/src/domain/create-prefix-map/test.ts
+++ b/src/domain/create-prefix-map/test.ts
@@ -4,7 +4,7 @@
 import {createPrefixMap} from './index.js';
 
 describe('createPrefixMap', () => {
-	it('counts the leading blocks a server was sent, up to the first it was not', () => {
+	it('counts the leading blocks that were sent to a server, up to the first one that was not', () => {
 		const map = createPrefixMap();
 		map.note('p1', ['a', 'b', 'c']);
 		map.note('p2', ['a']);
@@ -14,7 +14,7 @@
 		assert.equal(map.toHits(['x', 'a']).size, 0);
 	});
 
-	it('trusts a server less when its prefills find nothing cached, and more when they do', () => {
+	it('lowers the trust in a server when its prefills find nothing cached, and raises it when they do', () => {
 		const map = createPrefixMap();
 		map.note('p1', ['a', 'b']);
 		const before = map.toTrust('p1');
@@ -25,7 +25,7 @@
 		assert.ok(map.toTrust('p1') > fallen);
 	});
 
-	it('keeps within its bounds and forgets the least recently used (property)', () => {
+	it('stays within its bounds and evicts the least recently used blocks (property)', () => {
 		const name = fc.nat(50).map(i => `b${i}`);
 		fc.assert(fc.property(fc.array(fc.tuple(fc.nat(9), fc.array(name, {maxLength: 8})), {maxLength: 60}), notes => {
 			const map = createPrefixMap({maxBlocks: 10, maxServersPerBlock: 2});
--- a/src/domain/create-split-estimate/index.ts
+++ b/src/domain/create-split-estimate/index.ts
@@ -1,56 +1,57 @@
 /**
- * Learns how a pool's servers are best split between prefill and decode, from
- * what requests cost on either side.
+ * Estimates how a pool's servers are best split between prefill and decode, from the
+ * measured costs of requests on both sides.
  */
 import {type Milliseconds} from '../../ports/clock.js';
 
-/** What a place at a decode server is measured by. */
+/** Capacity of a decode server. */
 export type DecodeCapacity = {
-	/** Requests that a decode server generates at a time. */
+	/** Number of requests that a decode server can run at a time. */
 	slots: number;
-	/** Tokens that its memory holds; `undefined` where only slots are known. */
+	/** Number of tokens that its memory holds; `undefined` where only slots are known. */
 	memoryTokens: number | undefined;
 };
 
 export type HeldReservation = {
-	/** Tokens that were reserved. */
+	/** Number of reserved tokens. */
 	tokens: number;
-	/** Time from the reservation to the end of the answer. */
+	/** Time from the reservation to the end of the answer, milliseconds. */
 	heldMs: Milliseconds;
 };
 
 export type SplitEstimate = {
-	/** A prefill server that had nothing else to do computed a prompt. */
+	/** Records the duration of a prefill on an idle server. */
 	notePrefill: (pool: string, tookMs: Milliseconds) => void;
-	/** An answer ended well, and its place at the decode server is free again. */
+	/** Records the reservation of an answer that completed. */
 	noteReservation: (pool: string, place: HeldReservation) => void;
-	/** Part of the pool's servers that should compute prompts; `undefined` while too little is known. */
+	/** Share of the pool's servers that should do prefill; `undefined` while there are too few samples. */
 	toPrefillShare: (pool: string, bounds: DecodeCapacity) => number | undefined;
-	/** Forgets pools that are no longer published. */
+	/** Drops the state of pools that are no longer published. */
 	keepOnly: (pools: ReadonlySet<string>) => void;
 };
 
-/** Weight of the newest request: the mean reaches back over some fifty, a few seconds of a busy host. */
+/** Weight of the newest request; the moving average covers about fifty requests, a few seconds on a busy host. */
 const gain = 0.02;
 
-/** Requests seen on each side before the estimate is given; lengths spread by half their mean. */
+/** Number of requests needed on each side before there is an estimate; lengths vary by half of their mean. */
 const minSamples = 20;
 
 /**
- * Prefill servers get room for so many times their part of the work. A prompt
- * waits for the ones before it at its server, and with it the first event, which
- * is owed within a second; decode memory that is short for a moment makes a few
- * wait. In the model of the bench `split-pool` 1.4 gives six servers the best
- * split, 0.91 in time for 0.77 with one prefill server more, and thirteen the
- * second best, four: 0.92 for 0.95 with three and 0.86 with five. The fourth is
- * for lost servers: on a day that loses a quarter of them, three served less.
+ * Factor by which prefill capacity exceeds the measured prefill work. A prompt waits
+ * for the prompts before it on its server, and delays the first event, which must
+ * arrive within a second; a brief shortage of decode memory delays only a few
+ * requests. In the model of the bench `split-pool`, a factor of 1.4 gives six servers
+ * the best split, with 0.91 of the requests in time (0.77 with one more prefill
+ * server), and thirteen servers the second best, four prefill servers: 0.92 in time
+ * (0.95 with three, 0.86 with five). The fourth covers lost servers: when a quarter of
+ * the servers was lost, three prefill servers served less.
  */
 const prefillHeadroom = 1.4;
 
 type Mean = {value: number; samples: number};
 
 function addSample({value, samples}: Mean, sample: number): Mean {
-	// The plain mean of the first ones: the very first alone would stand for the next fifty.
+	// The first samples form an arithmetic mean; otherwise the first one would dominate the next fifty.
 	const weight = Math.max(gain, 1 / (samples + 1));
 	return {value: value + (weight * (sample - value)), samples: samples + 1};
 }
@@ -61,16 +62,15 @@
 const noCosts: Costs = {prefillMs: emptyMean, slotMs: emptyMean, tokenMs: emptyMean};
 
 /**
- * Creates the estimate of one host. Its own requests are a sample of all, and
- * only the proportion of the two costs counts, so nothing need be told between
- * hosts.
+ * Creates the estimate of one host. The host's requests are a sample of all requests,
+ * and only the ratio of the two costs matters, so hosts need not exchange anything.
  *
- * @returns Functions that note what requests cost and tell the share.
+ * @returns See {@link SplitEstimate}.
  *
  * @example
  * ```ts
  * const split = createSplitEstimate();
- * // After twenty prompts of 96 ms, and twenty places of 4,000 tokens held for 3,300 ms:
+ * // After twenty prompts of 96 ms, and twenty reservations of 4,000 tokens held for 3,300 ms:
  * split.toPrefillShare('model', {slots: 12, memoryTokens: 33_466}); // => 0.25
  * ```
  */
@@ -92,7 +92,7 @@
 				return undefined;
 			}
 
-			// Time of a whole decode server that one answer takes: by its slots or its memory, whichever is shorter.
+			// Share of a decode server's time that one answer takes, by slots or by memory, whichever is scarcer.
 			const answerMs = Math.max(slotMs.value / slots, memoryTokens === undefined ? 0 : tokenMs.value / memoryTokens);
 			const neededMs = prefillHeadroom * prefillMs.value;
 			return neededMs / (neededMs + answerMs);
--- a/src/domain/create-split-estimate/test.ts
+++ b/src/domain/create-split-estimate/test.ts
@@ -11,12 +11,13 @@
 }
 
 /*
- * The load it answers: prompts of 3,200 tokens that take 96 ms, answers of 800
- * tokens that hold a place for 3.3 s. In a pool of thirteen servers five prefill
- * servers stand idle while bursts find decode memory full; two make prompts queue.
+ * The tests use prompts of 3,200 tokens that take 96 ms, and answers of 800 tokens
+ * that hold their reservation for 3.3 s. In a pool of thirteen servers, five prefill
+ * servers would be partly idle while bursts find decode memory full; with two, prompts
+ * would queue.
  */
 describe('createSplitEstimate', () => {
-	it('says nothing before it has seen enough of both sides', () => {
+	it('gives no estimate before it has enough samples of both sides', () => {
 		const split = createSplitEstimate();
 		see(split, 19, {promptMs: 96, tokens: 4000, heldMs: 3300});
 		assert.equal(split.toPrefillShare('p', {slots: 12, memoryTokens: 33_466}), undefined);
@@ -24,14 +25,14 @@
 		assert.ok(split.toPrefillShare('p', {slots: 12, memoryTokens: 33_466}) !== undefined);
 	});
 
-	it('gives four of thirteen servers to prompts where memory binds, and two of six with more memory', () => {
+	it('assigns four of thirteen servers to prefill where memory is the bottleneck, and two of six with more memory', () => {
 		const split = createSplitEstimate();
 		see(split, 100, {promptMs: 96, tokens: 4000, heldMs: 3300});
 		assert.equal(Math.ceil(13 * split.toPrefillShare('p', {slots: 12, memoryTokens: 33_466})!), 4);
 		assert.equal(Math.ceil(6 * split.toPrefillShare('p', {slots: 128, memoryTokens: 42_606})!), 2);
 	});
 
-	it('goes by slots where they bind before memory does', () => {
+	it('uses slots where they are scarcer than memory', () => {
 		const split = createSplitEstimate();
 		see(split, 100, {promptMs: 96, tokens: 4000, heldMs: 3300});
 		const byMemory = split.toPrefillShare('p', {slots: 100, memoryTokens: 40_000})!;
@@ -40,7 +41,7 @@
 		assert.equal(split.toPrefillShare('p', {slots: 10, memoryTokens: undefined}), split.toPrefillShare('p', {slots: 10, memoryTokens: 40_000}));
 	});
 
-	it('follows a change of the load within a few hundred requests', () => {
+	it('adapts to a changed load within a few hundred requests', () => {
 		const split = createSplitEstimate();
 		see(split, 200, {promptMs: 96, tokens: 4000, heldMs: 3300});
 		see(split, 300, {promptMs: 200, tokens: 7000, heldMs: 1000});
@@ -49,7 +50,7 @@
 		assert.ok(Math.abs(split.toPrefillShare('p', {slots: 12, memoryTokens: 33_466})! - fresh.toPrefillShare('p', {slots: 12, memoryTokens: 33_466})!) < 0.01);
 	});
 
-	it('grows with prompts and falls with answers, and stays between none and all (property)', () => {
+	it('grows with the cost of prompts, falls with the cost of answers, and stays between 0 and 1 (property)', () => {
 		const ms = fc.integer({min: 1, max: 100_000});
 		fc.assert(fc.property(ms, ms, fc.integer({min: 1, max: 100_000}), (promptMs, heldMs, tokens) => {
 			const toShare = (prompt: number, held: number): number => {
--- a/src/domain/to-prefix-blocks/index.ts
+++ b/src/domain/to-prefix-blocks/index.ts
@@ -1,13 +1,13 @@
 import {createHash} from 'node:crypto';
 
-/** Characters (UTF-16 units) of a cache block, as engines count them. */
+/** Number of characters (UTF-16 code units) in a cache block, as engines count them. */
 export const charactersPerBlock = 64;
 
-/** Estimated tokens of a cache block. */
+/** Estimated number of tokens in a cache block. */
 export const tokensPerBlock = 16;
 
 const nameDigits = 16;
-/** Bytes that a surrogate without its partner becomes in UTF-8. */
+/** UTF-8 encoding of a lone surrogate: the replacement character. */
 const replacementBytes = Buffer.from('\uFFFD');
 
 function isHighSurrogate(unit: number): boolean {
@@ -15,14 +15,14 @@
 }
 
 /**
- * Names the blocks of a prompt as engines name them in their cache events, so
- * that a request finds the server that has its beginning already. Only whole
- * blocks have a name, and only the first ones are worked out: that bounds the
- * work, and what prompts share is at their beginning.
+ * Computes the names of a prompt's blocks as engines name them in their cache events,
+ * so that a request can be sent to a server that has its prefix in the cache. Only
+ * full blocks have a name. Only the first `maxBlocks` names are computed, which bounds
+ * the work; prompts share their beginnings.
  *
  * @param prompt - The prompt as text.
  * @param options - `maxBlocks`, 64 by default.
- * @returns Names in order; each covers the prompt from its start.
+ * @returns Names in order; each is a hash of the prompt from its start to the end of the block.
  *
  * @example
  * ```ts
@@ -36,8 +36,8 @@
 	let hashed = 0;
 	for (let block = 1; block <= count; block++) {
 		const end = block * charactersPerBlock;
-		// A pair of surrogates across the border belongs whole to the next block; here its first half stands alone.
-		const isCut = isHighSurrogate(prompt.charCodeAt(end - 1)); // eslint-disable-line unicorn/prefer-code-point -- half a pair is what is looked for
+		// If a surrogate pair crosses the border, this block's name covers its first half as a lone surrogate, and the next block's name the whole pair.
+		const isCut = isHighSurrogate(prompt.charCodeAt(end - 1)); // eslint-disable-line unicorn/prefer-code-point -- the check is for one half of a surrogate pair
 		const whole = isCut ? end - 1 : end;
 		hash.update(prompt.slice(hashed, whole));
 		hashed = whole;
--- a/src/domain/to-prefix-blocks/test.ts
+++ b/src/domain/to-prefix-blocks/test.ts
@@ -5,7 +5,7 @@
 import {charactersPerBlock, toPrefixBlocks} from './index.js';
 
 describe('toPrefixBlocks', () => {
-	it('names each block by the digest of the prompt up to its end, pairs cut by a border included', () => {
+	it('names each block by the digest of the prompt up to its end, even if a border splits a surrogate pair (property)', () => {
 		const text = fc.array(fc.constantFrom('a', 'č', '😀'), {minLength: 0, maxLength: 200}).map(parts => parts.join(''));
 		fc.assert(fc.property(text, prompt => {
 			const expected = Array.from({length: Math.floor(prompt.length / charactersPerBlock)}, (_, i) =>
@@ -14,7 +14,7 @@
 		}));
 	});
 
-	it('stops at the bound', () => {
+	it('computes at most maxBlocks names', () => {
 		assert.equal(toPrefixBlocks('x'.repeat(10_000), {maxBlocks: 3}).length, 3);
 	});
 });
--- a/src/domain/to-reserved-tokens/index.ts
+++ b/src/domain/to-reserved-tokens/index.ts
@@ -1,17 +1,17 @@
 import {type RequestHints} from '../../ports/server-calls.js';
 
 /**
- * Part of the guessed answer that is reserved on top of the guess. Guesses are
- * right at the median, so reserving just the guess leaves every second answer to
- * grow past its place; reserving the longest answer allowed keeps a third of the
- * memory idle where answers are mostly short.
+ * Share of the estimated answer that is reserved in addition to the estimate.
+ * Estimates are right at the median, so without a margin every second answer would
+ * exceed its reservation; with the maximum length reserved instead, a third of the
+ * memory would be idle where most answers are short.
  */
 const estimateMargin = 0.25;
 
 /**
- * Works out how much decode memory to reserve for a request.
+ * Computes how much decode memory to reserve for a request.
  *
- * @param work - Tokens of the prompt, of the longest answer, and the caller's guess.
+ * @param work - Tokens of the prompt, maximum tokens of the answer, and the caller's estimate.
  * @returns Tokens.
  *
  * @example
