--- a/src/domain/create-admission/_lib/create-rate.ts
+++ b/src/domain/create-admission/_lib/create-rate.ts
@@ -1,38 +1,40 @@
-/** Events a second of late, in constant memory. */
+/** Measures the recent rate of events in constant memory, with exponential decay. */
 import {type Milliseconds} from '../../../ports/clock.js';
 
 export type Rate = {
 	add: (now: Milliseconds) => void;
-	/** Takes back an event of a moment ago that will be added again. */
-	takeBack: (now: Milliseconds) => void;
-	/** Events a millisecond. */
+	/** Removes a recent event that will be added again. */
+	remove: (now: Milliseconds) => void;
+	/** Rate at `now`, events per millisecond. */
 	at: (now: Milliseconds) => number;
 };
 
 /**
- * @param memoryMs - an event's weight falls to 37 % after this time.
- * @returns the rate, 0 until something was added.
+ * Creates a rate of 0.
+ *
+ * @param memoryMs - Time after which the weight of an event has decayed to 37 %, milliseconds.
+ * @returns See {@link Rate}.
  */
 export function createRate(memoryMs: Milliseconds): Rate {
 	let rate = 0;
 	let updatedAt = 0;
 
-	function fade(now: Milliseconds): void {
+	function decay(now: Milliseconds): void {
 		rate *= Math.exp(-Math.max(0, now - updatedAt) / memoryMs);
 		updatedAt = now;
 	}
 
 	return {
 		add(now) {
-			fade(now);
+			decay(now);
 			rate += 1 / memoryMs;
 		},
-		takeBack(now) {
-			fade(now);
+		remove(now) {
+			decay(now);
 			rate = Math.max(0, rate - (1 / memoryMs));
 		},
 		at(now) {
-			fade(now);
+			decay(now);
 			return rate;
 		},
 	};
--- a/src/domain/create-load-broadcast/index.ts
+++ b/src/domain/create-load-broadcast/index.ts
@@ -1,42 +1,42 @@
 /**
- * Passes the loads of polled servers on to other agents, inside a budget of
- * bytes: the poller of a server sends what changed, in fifteen bytes a server,
- * and as often as the number of receivers lets it.
+ * Sends the loads of polled servers to other agents within a bandwidth budget. The
+ * host that polls a server sends its changes, fifteen bytes per server, as often as
+ * the budget allows for the number of receivers.
  */
 import {toHash32} from '../../_lib/to-hash32/index.js';
 import {type Milliseconds} from '../../ports/clock.js';
 import {type LoadReport} from '../../ports/engine.js';
 import {type ServerId} from '../../ports/ids.js';
 import {
-	packDeltas, toRest, unpackDeltas, type LoadDelta,
+	packDeltas, toStaticHash, unpackDeltas, type LoadDelta,
 } from './_lib/pack.js';
 
-/** What one message costs besides its deltas: frame (36), IP and TCP headers, and the acknowledgement (104). */
+/** Overhead of one message in bytes: frame (36), and IP and TCP headers with the acknowledgement (104). */
 const messageBytes = 140;
 const defaultBytesPerSecond = 3000;
 const minIntervalMs = 250;
 
-/** An unchanged server is sent this often, so that the age of its numbers stays small. */
+/** Interval at which unchanged servers are sent again, so that their reports stay recent; milliseconds. */
 const refreshMs = 2500;
 
 export type LoadBroadcast = {
-	/** A server that this host polls has reported. */
+	/** Records a report of a server that this host polls. */
 	notePolled: (load: LoadReport, loadAt: Milliseconds) => void;
-	/** A server that this host polls was not reached by polls that began at this time. */
+	/** Records that polls that started at this time did not reach a server. */
 	noteUnreachable: (server: ServerId, askedAt: Milliseconds) => void;
-	/** This host no longer polls the server. */
+	/** Drops the state of a server that this host no longer polls. */
 	forget: (server: ServerId) => void;
-	/** The bytes to send to each receiver now; `undefined` when nothing is due. */
+	/** Returns the bytes to send to each receiver now; `undefined` when nothing is due. */
 	takeDue: (receivers: number, now: Milliseconds) => Uint8Array | undefined;
-	/** Whole reports of polled servers, for a receiver that lacks them. */
+	/** Full reports of polled servers, for a receiver that does not have them. */
 	reports: (servers: readonly number[], now: Milliseconds) => LoadReport[];
 };
 
 type Polled = {
 	load: LoadReport | undefined;
 	loadAt: Milliseconds;
-	/** Start of the polls that did not reach it; `undefined` while it is reached. */
-	lostAt: Milliseconds | undefined;
+	/** Start of the first poll that did not reach the server; `undefined` while the server is reachable. */
+	unreachableSince: Milliseconds | undefined;
 	sent: string;
 	sentAt: Milliseconds;
 };
@@ -44,31 +44,31 @@
 /**
  * Creates the sending side.
  *
- * @param options - `bytesPerSecond`: what it may send, headers included.
+ * @param options - `bytesPerSecond`: bandwidth budget, headers included.
  * @returns See {@link LoadBroadcast}.
  *
  * @example
  * ```ts
- * const spread = createLoadSpread();
- * spread.notePolled(report, now);
- * spread.take(8, now)?.length; // => 15
+ * const broadcast = createLoadBroadcast();
+ * broadcast.notePolled(report, now);
+ * broadcast.takeDue(8, now)?.length; // => 15
  * ```
  */
 export function createLoadBroadcast({bytesPerSecond = defaultBytesPerSecond}: {bytesPerSecond?: number} = {}): LoadBroadcast {
 	const polled = new Map<ServerId, Polled>();
 	let nextAt = -Infinity;
 
-	function toDelta(server: ServerId, {load, loadAt, lostAt}: Polled, now: Milliseconds): LoadDelta {
+	function toDelta(server: ServerId, {load, loadAt, unreachableSince}: Polled, now: Milliseconds): LoadDelta {
 		return {
 			server: toHash32(server),
-			rest: load ? toRest(load) : 0,
-			state: lostAt === undefined ? load!.state : 'unreachable',
+			staticHash: load ? toStaticHash(load) : 0,
+			state: unreachableSince === undefined ? load!.state : 'unreachable',
 			slotsUsed: load?.slotsUsed ?? 0,
 			queued: load?.queued ?? 0,
 			queuedTokens: load?.queuedTokens ?? 0,
 			tokensPerSecond: load?.tokensPerSecond ?? 0,
 			linkBytesPerSecond: load?.linkBytesPerSecond ?? 0,
-			ageMs: now - (lostAt ?? loadAt),
+			ageMs: now - (unreachableSince ?? loadAt),
 		};
 	}
 
@@ -76,13 +76,13 @@
 		notePolled(load, loadAt) {
 			const {sent = '', sentAt = -Infinity} = polled.get(load.server) ?? {};
 			polled.set(load.server, {
-				load, loadAt, lostAt: undefined, sent, sentAt,
+				load, loadAt, unreachableSince: undefined, sent, sentAt,
 			});
 		},
 		noteUnreachable(server, askedAt) {
 			const {load, loadAt = 0, sent = '', sentAt = -Infinity} = polled.get(server) ?? {};
 			polled.set(server, {
-				load, loadAt, lostAt: askedAt, sent, sentAt,
+				load, loadAt, unreachableSince: askedAt, sent, sentAt,
 			});
 		},
 		forget(server) {
@@ -95,12 +95,12 @@
 
 			const due = [...polled].flatMap(([server, entry]) => {
 				const delta = toDelta(server, entry, now);
-				const shown = packDeltas([{...delta, ageMs: 0}]).join(' ');
-				if (shown === entry.sent && now - entry.sentAt < refreshMs) {
+				const content = packDeltas([{...delta, ageMs: 0}]).join(' ');
+				if (content === entry.sent && now - entry.sentAt < refreshMs) {
 					return [];
 				}
 
-				entry.sent = shown;
+				entry.sent = content;
 				entry.sentAt = now;
 				return [delta];
 			});
@@ -121,29 +121,29 @@
 	};
 }
 
-/** What a receiver does with deltas. */
+/** Decoded deltas, as a receiver has to process them. */
 export type ReceivedLoads = {
-	/** Reports with their age at the sending. */
+	/** Reports with their age when they were sent. */
 	loads: readonly LoadReport[];
-	/** Servers that the sender did not reach, with the time since its polls began. */
+	/** Servers that the sender did not reach, with the time since its unsuccessful polls started. */
 	unreachable: ReadonlyArray<{server: ServerId; ageMs: Milliseconds}>;
-	/** Hashes of servers of which this host lacks the whole report. */
+	/** Hashes of servers whose full report this host does not have. */
 	wanted: readonly number[];
 };
 
 /**
- * Reads what a poller has sent.
+ * Decodes a message of {@link LoadBroadcast.takeDue}.
  *
- * @param bytes - The bytes.
- * @param findServer - The published server with a name's hash.
- * @param findLoad - The last whole report known of a server.
- * @returns Reports to take over, servers that were not reached, and those to ask for.
+ * @param bytes - The message.
+ * @param findServer - Finds the published server by the hash of its name.
+ * @param findLoad - Finds the last full report of a server.
+ * @returns Reports to apply, servers that were not reached, and servers whose full report to request.
  */
 export function decodeLoads(bytes: Uint8Array, findServer: (hash: number) => ServerId | undefined, findLoad: (server: ServerId) => LoadReport | undefined): ReceivedLoads {
 	const loads: LoadReport[] = [];
 	const unreachable: Array<{server: ServerId; ageMs: Milliseconds}> = [];
 	const wanted: number[] = [];
-	for (const {server: hash, rest, state, ...numbers} of unpackDeltas(bytes)) {
+	for (const {server: hash, staticHash, state, ...numbers} of unpackDeltas(bytes)) {
 		const server = findServer(hash);
 		if (server === undefined) {
 			continue;
@@ -152,7 +152,7 @@
 		const known = findLoad(server);
 		if (state === 'unreachable') {
 			unreachable.push({server, ageMs: numbers.ageMs});
-		} else if (known && toRest(known) === rest) {
+		} else if (known && toStaticHash(known) === staticHash) {
 			loads.push({...known, ...numbers, state});
 		} else {
 			wanted.push(hash);
--- a/src/programs/entry/relay-stream/_lib/create-pace-meter.ts
+++ b/src/programs/entry/relay-stream/_lib/create-pace-meter.ts
@@ -1,4 +1,4 @@
-import {type SeenTokens} from '../../../../domain/create-inter-token-latency/index.js';
+import {type ObservedTokens} from '../../../../domain/create-inter-token-latency/index.js';
 import {type Milliseconds} from '../../../../ports/clock.js';
 
 /** Length of a sample, milliseconds: short enough to steer the next requests away from a slow server, and long enough that sampling costs little per token. */
@@ -11,7 +11,7 @@
  * @param onSample - Gets each sample at its end.
  * @returns Functions to call at each chunk, and when time passes that must not count as the server's.
  */
-export function createPaceMeter(now: () => Milliseconds, onSample: (seen: SeenTokens) => void) {
+export function createPaceMeter(now: () => Milliseconds, onSample: (seen: ObservedTokens) => void) {
 	let startedAt: Milliseconds | undefined;
 	let lastAt = 0;
 	let tokens = 0;
--- a/src/programs/entry/relay-stream/index.ts
+++ b/src/programs/entry/relay-stream/index.ts
@@ -2,7 +2,7 @@
  * Relays the tokens of one attempt, and resumes its stream where the connection
  * broke.
  */
-import {type SeenTokens} from '../../../domain/create-inter-token-latency/index.js';
+import {type ObservedTokens} from '../../../domain/create-inter-token-latency/index.js';
 import {
 	type AttemptKey, type DecodeChunk, type Engine, type EngineFailure, type EngineStreamError,
 } from '../../../ports/engine.js';
@@ -122,7 +122,7 @@
 	step: StepSignal;
 	stream: AsyncIterable<DecodeChunk>;
 	/** Called with samples of the token rate during the stream. */
-	noteTokens: (seen: SeenTokens) => void;
+	noteTokens: (seen: ObservedTokens) => void;
 };
 
 /**
