--- a/src/domain/compile-rules/index.ts
+++ b/src/domain/compile-rules/index.ts
@@ -51,7 +51,7 @@
 	segmentSize?: number;
 };
 
-/** A changed condition rebuilds the index of this many rules, and a lookup visits every segment, so neither a small nor a large value is cheap. */
+/** Larger segments cost more to rebuild after an edit; smaller ones slow down each lookup, which visits every segment. */
 const defaultSegmentSize = 2000;
 
 /**
--- a/src/domain/create-slo-ledger/_lib/create-counts-ring.ts
+++ b/src/domain/create-slo-ledger/_lib/create-counts-ring.ts
@@ -20,8 +20,9 @@
 };
 
 /**
- * Creates a ring of counts. Each slot remembers the number of its step, so old
- * counts are never taken for new ones, even after a process was suspended for hours.
+ * Creates a ring of counts. Each slot stores the number of its step and is cleared
+ * when a later step reuses it, so old counts are never taken for new ones, even
+ * after a process was suspended for hours.
  *
  * @param step - Length of one step, in milliseconds.
  * @param slots - Number of steps kept.
--- a/src/domain/find-dead-rules/index.ts
+++ b/src/domain/find-dead-rules/index.ts
@@ -71,7 +71,7 @@
 	return when.model?.map(name => `model ${name}`) ?? ['other'];
 }
 
-/** Returns the buckets of all rules that may cover a combination. */
+/** Returns the buckets of all rules that may cover a combination. Most rules name a workspace and little else, so the buckets are small. */
 function * toCoveringKeys({workspace, path, headers, model}: RuleWhen): Iterable<string> {
 	for (const name of workspace ?? []) {
 		yield `workspace ${name}`;
--- a/src/domain/parse-config/_lib/check-semantics.ts
+++ b/src/domain/parse-config/_lib/check-semantics.ts
@@ -18,7 +18,7 @@
 };
 
 /**
- * Adds the faults of a document whose sections have the right form.
+ * Adds the faults that the semantic checks find.
  *
  * @param form - Sections that could be read.
  * @param data - The document's plain values.
