--- a/src/domain/_test/create-random.ts
+++ b/src/domain/_test/create-random.ts
@@ -1,11 +1,11 @@
-/** A multiplicative congruential generator, so that each run tries the same values. */
+/** A multiplicative congruential generator, so that each run uses the same values. */
 import {type Random} from '../../ports/clock.js';
 
 const multiplier = 48_271;
 const modulus = 2_147_483_647;
 
 /**
- * Creates a source of numbers that is the same in each run.
+ * Creates a deterministic random number generator.
  *
  * @param seed - A whole number above 0.
  * @returns Numbers in [0, 1).
--- a/src/domain/_test/documents.ts
+++ b/src/domain/_test/documents.ts
@@ -1,10 +1,10 @@
-/** Small valid documents, for tests of what happens to whole documents. */
+/** Small valid configuration documents for tests. */
 
 /**
  * Writes a small valid document.
  *
- * @param note - Text that makes it differ from others.
- * @param edition - Edition written by hand; 0 for none.
+ * @param note - Text that distinguishes the document from others.
+ * @param edition - Edition to write into the document; 0 for none.
  * @returns A plain YAML document.
  */
 export function toYamlDocument(note = '', edition = 0): string {
@@ -22,7 +22,7 @@
 /**
  * Writes the same document in JSON.
  *
- * @param region - Text that makes it differ from others.
+ * @param region - Text that distinguishes the document from others.
  * @returns A plain JSON document.
  */
 export function toJsonDocument(region = 'r'): string {
--- a/src/domain/_test/line-edits.ts
+++ b/src/domain/_test/line-edits.ts
@@ -1,7 +1,7 @@
-/** Arbitrary edits of the lines of a document that `toFleetConfig` made. */
+/** Arbitrary line edits of a document made with `toFleetConfig`. */
 import fc from 'fast-check';
 
-/** Lines that an edit may put in: sound ones, rules that hide others, entries with faults, and lines that break the form of the document. */
+/** Lines that an edit may insert: valid ones, rules that shadow others, invalid entries, and lines that break the syntax of the document. */
 export const strayLines = [
 	'{"name":"new","when":{"workspace":["ws-00001"]},"then":"route-1"},',
 	'{"name":"new","when":{"workspace":["ws-00001","ws-00002"],"class":"quick"},"then":"route-2"},',
@@ -30,7 +30,7 @@
 	`{"name":"deep","when":${'['.repeat(70)}},`,
 ];
 
-/** Any edits of a text with so many lines. */
+/** Arbitrary edits of a text with `count` lines. */
 export const anyEdits = (count: number) => fc.array(fc.oneof(
 	fc.record({kind: fc.constant('insert' as const), at: fc.nat(count), line: fc.constantFrom(...strayLines)}),
 	fc.record({kind: fc.constant('delete' as const), at: fc.nat(count - 1)}),
@@ -45,7 +45,7 @@
 
 export type Edit = ReturnType<typeof anyEdits> extends fc.Arbitrary<Array<infer T>> ? T : never;
 
-/** Makes them one after the other. */
+/** Applies the edits in order. */
 export function applyEdits(text: string, list: readonly Edit[]): string {
 	const lines = text.split('\n');
 	for (const edit of list) {
--- a/src/domain/_test/slo-documents.ts
+++ b/src/domain/_test/slo-documents.ts
@@ -1,9 +1,9 @@
-/** Documents of counts, for tests of burn reports. */
+/** SLO documents for tests of burn reports. */
 import {
 	type Counts, emptyCounts, type SloDocument, type SloSeries, type WindowName, windowNames,
 } from '../../_lib/slo/index.js';
 
-/** A series with bad and total of some windows; the quick class's unless changed. */
+/** Builds a series with bad and total counts for some windows; of the quick class unless changed. */
 export function toSeries(badOf: Partial<Record<WindowName, [number, number]>>, changes: Partial<SloSeries> = {}): SloSeries {
 	const windows = Object.fromEntries(windowNames.map((name): [WindowName, Counts] => {
 		const [bad, total] = badOf[name] ?? [0, 0];
@@ -16,5 +16,5 @@
 	};
 }
 
-/** What two hosts counted. */
+/** Builds the document of two hosts. */
 export const toDocument = (...series: SloSeries[]): SloDocument => ({version: 1, hosts: ['a-1', 'a-2'], series});
--- a/src/domain/_test/slo-steps.ts
+++ b/src/domain/_test/slo-steps.ts
@@ -1,4 +1,4 @@
-/** Requests that a ledger counts, and what to look at in its documents. */
+/** Arbitrary requests for an SLO ledger, and helpers to read its documents. */
 import fc from 'fast-check';
 import {type SloDocument, type SloSeries} from '../../_lib/slo/index.js';
 import {msPerHour, msPerMinute} from '../../ports/units.js';
@@ -13,15 +13,15 @@
 	};
 }
 
-/** The series of a name in a document. */
+/** Finds a series of a document by scope, name and class. */
 export function pickSeries(document: SloDocument, scope: SloSeries['scope'], name: string, serviceClass = 'quick'): SloSeries | undefined {
 	return document.series.find(series => series.scope === scope && series.name === name && series.class === serviceClass);
 }
 
-/** A request, and the time since the one before. */
+/** A request and the time since the previous one. */
 export type Step = {sample: SloSample; gapMs: number};
 
-/** Any requests over some days. */
+/** Arbitrary requests over some days. */
 export const steps = fc.array(fc.record({
 	sample: fc.record({
 		class: fc.constantFrom('quick' as const, 'batch' as const),
@@ -33,7 +33,7 @@
 	gapMs: fc.oneof(fc.nat(1000), fc.nat(20 * msPerMinute), fc.constant(30 * msPerHour)),
 }), {maxLength: 60});
 
-/** A ledger after some requests. */
+/** Runs a ledger over the given requests. */
 export function runSteps(given: readonly Step[], options: {topWorkspaces?: number} = {}) {
 	const ledger = createSloLedger({host: 'a-1', ...options});
 	let now = 0;
@@ -45,7 +45,7 @@
 	return {now, document: ledger.toDocument(now)};
 }
 
-/** The document as another process reads it. */
+/** Serialises the document and parses it, as another process would. */
 export function readBack(document: SloDocument): SloDocument {
 	const text = JSON.stringify(document);
 	return JSON.parse(text) as SloDocument;
--- a/src/domain/_test/to-fleet-config.ts
+++ b/src/domain/_test/to-fleet-config.ts
@@ -1,4 +1,4 @@
-/** Configurations of a chosen size, for tests and benches. */
+/** Configurations of a given size for tests and benches. */
 import {
 	type Config, type Rule, type RuleThen, type RuleWhen,
 } from '../../ports/config.js';
@@ -10,7 +10,7 @@
 	...quick, class: 'batch', target: {firstTokenMs: 60_000, perTokenMs: 250, completeMs: 600_000}, queueLimit: 1000,
 };
 
-/** Rules of several shapes: nine of ten name a workspace, the others a path, a header or a model and a prompt size. */
+/** Conditions of several kinds: nine in ten name a workspace, the others a path, or a header and a model. */
 function toWhen(i: number, workspaces: number): RuleWhen {
 	switch (i % 20) {
 		case 0: {
@@ -29,10 +29,10 @@
 }
 
 /**
- * Makes a small fleet with many rules.
+ * Creates a small fleet with many rules.
  *
- * @param rules - Number of rules, the catch-all included.
- * @param workspaces - Number of workspaces that they name.
+ * @param rules - Number of rules, including the catch-all.
+ * @param workspaces - Number of workspaces that the rules name.
  * @returns A valid configuration.
  */
 export function toFleetConfig(rules: number, workspaces: number): Config {
--- a/src/domain/_test/to-part-document.ts
+++ b/src/domain/_test/to-part-document.ts
@@ -1,4 +1,4 @@
-/** Documents in parts, for tests and benches. */
+/** Multi-part configuration documents for tests and benches. */
 import {Buffer} from 'node:buffer';
 import {addPlainEnd} from '../../_lib/split-config-end/index.js';
 import {toDigest} from '../../_lib/to-digest/index.js';
@@ -7,11 +7,11 @@
 
 const sections = ['hosts', 'servers', 'rules'] as const;
 
-/** By section, the positions at which its entries are cut; what is behind the last cut stays in the root. */
+/** For each section, the positions at which its entries are split; entries after the last position stay in the root. */
 export type Cuts = Readonly<Record<typeof sections[number], readonly number[]>>;
 
 /**
- * Names a part.
+ * Creates a part.
  *
  * @param name - Its name.
  * @param text - Its text.
@@ -24,10 +24,10 @@
 }
 
 /**
- * Cuts a document, valid or not.
+ * Splits a document, valid or not, into parts.
  *
- * @param values - Plain values of a document in one file.
- * @param cuts - Where.
+ * @param values - Plain values of a single-file document.
+ * @param cuts - Positions of the splits.
  * @returns A plain root that names its parts, and the parts.
  */
 export function toPartDocument(values: Readonly<Record<string, unknown>>, cuts: Cuts): {root: string; parts: readonly ConfigPart[]} {
@@ -48,12 +48,12 @@
 	return {root, parts};
 }
 
-/** What a root says of parts. */
+/** Converts parts to the entries that name them in the root. */
 export function toNamed(parts: readonly ConfigPart[]): readonly NamedPart[] {
 	return parts.map(({name, sha256, bytes}) => ({name, sha256, bytes}));
 }
 
-/** Finds parts among some, by digest. */
+/** Creates a lookup of the given parts by digest. */
 export function findAmong(parts: readonly ConfigPart[]): FindPart {
 	const texts = new Map(parts.map(({sha256, text}) => [sha256, text]));
 	return ({sha256}) => texts.get(sha256);
--- a/src/domain/_test/to-rules.ts
+++ b/src/domain/_test/to-rules.ts
@@ -1,4 +1,4 @@
-/** Rules for tests that look at conditions alone. */
+/** Rules for tests of conditions. */
 import {type Rule, type RuleThen, type RuleWhen} from '../../ports/config.js';
 
 const anyThen: RuleThen = {
@@ -6,7 +6,7 @@
 };
 
 /**
- * Gives each condition a rule named `rule N`, from 0.
+ * Creates a rule for each condition, named `rule 0`, `rule 1` and so on.
  *
  * @param whens - Conditions in order.
  * @returns Rules that differ in name and conditions.
--- a/src/domain/create-pause-guard/index.ts
+++ b/src/domain/create-pause-guard/index.ts
@@ -1,23 +1,23 @@
 /**
- * Notices that this process was paused (stopped, or starved of the processor)
- * and keeps it from taking for fresh what waited in its sockets meanwhile.
+ * Detects pauses of this process (stopped, or starved of CPU), so that data that
+ * waited in its sockets during a pause is not treated as fresh.
  */
 import {type Milliseconds} from '../../ports/clock.js';
 
 export type PauseGuard = {
 	/**
-	 * Called on every tick and before anything received is used.
+	 * Checks for a pause; call it on every tick and before received data is used.
 	 *
 	 * @param now - Monotonic milliseconds.
 	 * @returns Length of the pause that ended with this call, milliseconds; 0 if there was none.
 	 */
 	note: (now: Milliseconds) => Milliseconds;
 	/**
-	 * Latest time at which something received now is sure to have been true.
+	 * Computes the latest time at which received data was certainly valid.
 	 *
-	 * @param askedAt - When it was asked for, monotonic milliseconds.
-	 * @param now - When it is read, monotonic milliseconds.
-	 * @returns `now`, or the start of a pause that lies in between.
+	 * @param askedAt - Time of the request for the data, monotonic milliseconds.
+	 * @param now - Time at which the data is read, monotonic milliseconds.
+	 * @returns `now`, or the start of a pause between the two times.
 	 */
 	toValidAsOf: (askedAt: Milliseconds, now: Milliseconds) => Milliseconds;
 };
@@ -26,7 +26,7 @@
  * Creates a guard.
  *
  * @param options - `limitMs`: a gap between two calls that counts as a pause,
- * milliseconds; well above the tick of the caller. `startedAt`: now.
+ * milliseconds; must be well above the caller's tick. `startedAt`: the current time.
  * @returns See {@link PauseGuard}.
  *
  * @example
--- a/src/domain/create-spill-chooser/index.ts
+++ b/src/domain/create-spill-chooser/index.ts
@@ -1,7 +1,7 @@
 /**
- * Where the requests of a crowded zone may go: keeps what `pickSpillZone` needs
- * beside the summaries, that is, what this host sent away since, and which zones
- * came back.
+ * Chooses the zone to which requests of an overloaded zone spill. Keeps the state that
+ * `pickSpillZone` needs in addition to the summaries: the requests that this host has
+ * spilled since, and the zones that have come back.
  */
 import {type Milliseconds, type Random} from '../../ports/clock.js';
 import {type ServerEntry} from '../../ports/config.js';
@@ -12,22 +12,22 @@
 import {pickSpillZone, type SpillOptions, type SpillZone} from '../pick-spill-zone/index.js';
 
 /**
- * - `zone`: this one, by its summary; `isFar` if it is of another region.
- * - `blind`: no zone in reach has a summary that can be believed; any of the region may do.
- * - `none`: by their summaries none has room.
+ * - `zone`: a zone chosen by its summary; `isFar` if it is in another region.
+ * - `blind`: no reachable zone has a fresh summary; servers of the whole region may be sampled.
+ * - `none`: according to the summaries no zone has room.
  */
 export type SpillChoice = {kind: 'zone'; zone: ZoneId; isFar: boolean} | {kind: 'blind' | 'none'};
 
 export type SpillQuery = {
 	pool: string;
-	/** Other zones with servers of the pool; those of the own region have distance 0. */
+	/** Other zones with servers of the pool; zones of the own region have distance 0. */
 	zones: ReadonlyArray<{zone: ZoneId; distance: number}>;
 	view: FleetView;
 	now: Milliseconds;
 	random: Random;
-	/** Wait for a prefill at which a zone is of no use, milliseconds. */
+	/** Wait for a prefill at which a zone is useless, milliseconds. */
 	waitLimitMs: Milliseconds;
-	/** Zones that have just shown that they won't do. */
+	/** Zones that have just turned out to have no suitable server. */
 	excluded?: ReadonlySet<ZoneId>;
 };
 
@@ -37,12 +37,12 @@
 };
 
 export type SpillChooser = {
-	/** Looks at each new view, so that a zone that was away and is back is known. */
+	/** Processes each new view, to notice zones that have come back. */
 	update: (view: FleetView, cutZones: ReadonlySet<ZoneId>, now: Milliseconds) => void;
 	choose: (query: SpillQuery) => SpillChoice;
-	/** Fills a load that is not known with what its zone's summary says of its like. */
+	/** Fills an unknown load of a server with the mean load of its role in the summary of its zone. */
 	fillUnknownLoad: (entry: ServerEntry, load: ServerLoad, view: FleetView, now: Milliseconds) => ServerLoad;
-	/** A request goes to a server; counts if that is in another zone. */
+	/** Records that a request is sent to a server; only servers of other zones count. */
 	noteSent: (server: ServerEntry, now: Milliseconds) => void;
 };
 
@@ -50,7 +50,7 @@
 
 const defaultStaleAfterMs = 20_000;
 
-/** Own spills kept for one pool and zone; more cannot matter before the next summary. */
+/** Maximum number of own spills kept per pool and zone; more don't matter before the next summary. */
 const maxSpills = 512;
 
 const toKey = (pool: string, zone: ZoneId): string => `${pool}\n${zone}`;
@@ -58,12 +58,12 @@
 const findRow = (summary: ZoneSummary | undefined, pool: string, role: SummaryRow['role']): SummaryRow | undefined =>
 	summary?.rows.find(row => row.pool === pool && row.role === role);
 
-/** Live hosts of the own zone, which see the same summaries and spill for the same reason. */
+/** Counts the live hosts of the own zone, which see the same summaries and spill for the same reason. */
 const countNeighbours = (view: FleetView, zone: ZoneId): number =>
 	Math.max(1, [...view.hosts.values()].filter(host => host.zone === zone && host.life === 'alive').length);
 
 /**
- * Creates it for one host.
+ * Creates the chooser of one host.
  *
  * @param options - Zone of this host; ages in milliseconds as in `pickSpillZone`.
  * @returns See {@link SpillChooser}.
@@ -71,7 +71,7 @@
  * @example
  * ```ts
  * const spills = createSpillChooser({zone: 'dvorana-a'});
- * spills.look(view, new Set(), now);
+ * spills.update(view, new Set(), now);
  * spills.choose(query); // => {kind: 'zone', zone: 'dvorana-b', isFar: false}
  * ```
  */
--- a/src/domain/create-spill-chooser/test.ts
+++ b/src/domain/create-spill-chooser/test.ts
@@ -11,14 +11,14 @@
 const config = toConfig(zones.map(zone => toServer(`${zone}-d`, 'decode', {zone})));
 const [, ofB, ofC] = config.servers;
 const noCut: ReadonlySet<string> = new Set();
-const mate = (id: string): HostStatus => ({
+const toNeighbour = (id: string): HostStatus => ({
 	id, zone: 'a', life: 'alive', incarnation: 1, entryAddress: '', agentAddress: '', leaving: false,
 });
 
-type Said = {free?: number; waitMs?: number; servers?: number; at?: number};
+type SummaryFields = {free?: number; waitMs?: number; servers?: number; at?: number};
 
-/** The view of a host of zone a, to whom the zones have said this. */
-function toSummarised(said: Readonly<Record<string, Said>>, hosts: readonly string[] = ['h1']): FleetView {
+/** A view of a host in zone a with these summaries. */
+function toSummarised(said: Readonly<Record<string, SummaryFields>>, hosts: readonly string[] = ['h1']): FleetView {
 	const summaries = Object.entries(said).map(([zone, {free = 100, waitMs = 0, servers = 10, at = 0}]) => [zone, {
 		zone, at, rows: [
 			{
@@ -29,10 +29,10 @@
 			},
 		],
 	}] as const);
-	return {...toView(config, [], hosts.map(id => mate(id))), zones: new Map(summaries)};
+	return {...toView(config, [], hosts.map(id => toNeighbour(id))), zones: new Map(summaries)};
 }
 
-/** Shares of 2,000 choices. */
+/** Share of each result in 2,000 choices. */
 function toShares(chooser: ReturnType<typeof createSpillChooser>, view: FleetView, now: number, except: readonly string[] = []): Record<string, number> {
 	const random = toSeededRandom(3);
 	const counts = new Map<string, number>();
@@ -48,13 +48,13 @@
 }
 
 describe('createSpillChooser', () => {
-	const rows: Array<[string, Record<string, Said>, Record<string, number>]> = [
-		['chooses by what is free', {b: {free: 300}, c: {free: 200}}, {b: 0.6, c: 0.4}],
+	const rows: Array<[string, Record<string, SummaryFields>, Record<string, number>]> = [
+		['chooses in proportion to free places', {b: {free: 300}, c: {free: 200}}, {b: 0.6, c: 0.4}],
 		['is blind without summaries', {}, {blind: 1}],
-		['is blind when all are stale', {b: {at: -50_000}, far: {at: -50_000}}, {blind: 1}],
-		['chooses none when none has room', {b: {free: 0}, c: {free: 0}, far: {free: 0}}, {none: 1}],
+		['is blind when all summaries are stale', {b: {at: -50_000}, far: {at: -50_000}}, {blind: 1}],
+		['chooses none when no zone has room', {b: {free: 0}, c: {free: 0}, far: {free: 0}}, {none: 1}],
 		['chooses none where prompts wait too long', {b: {waitMs: 2000}}, {none: 1}],
-		['leaves the region last', {b: {free: 0}, c: {free: 0}, far: {}}, {far: 1}],
+		['chooses another region last', {b: {free: 0}, c: {free: 0}, far: {}}, {far: 1}],
 	];
 	for (const [name, said, expected] of rows) {
 		it(name, () => {
@@ -62,7 +62,7 @@
 		});
 	}
 
-	it('chooses nothing over a cut, nor what has just failed', () => {
+	it('chooses no partitioned zone, and no excluded zone', () => {
 		const chooser = createSpillChooser({zone: 'a'});
 		const view = toSummarised({b: {free: 900}, c: {}});
 		chooser.update(view, new Set(['b']), 0);
@@ -70,7 +70,7 @@
 		assert.deepEqual(toShares(chooser, view, 0, ['c']), {none: 1});
 	});
 
-	it('takes off what it sent since the summary, once for each live host of its zone', () => {
+	it('subtracts the requests that it sent since the summary, multiplied by the live hosts of its zone', () => {
 		const chooser = createSpillChooser({zone: 'a'});
 		for (let i = 0; i < 50; i++) {
 			chooser.noteSent(ofB!, 10);
@@ -82,15 +82,15 @@
 	});
 
 	const losses: Array<[string, FleetView, ReadonlySet<string>]> = [
-		['was cut off', toSummarised({b: {at: 900}, c: {at: 900}}), new Set(['b'])],
+		['was partitioned', toSummarised({b: {at: 900}, c: {at: 900}}), new Set(['b'])],
 		['had lost its servers', toSummarised({b: {servers: 0, free: 0, at: 900}, c: {at: 900}}), noCut],
-		['had fallen silent', toSummarised({c: {at: 900}}), noCut],
+		['had no summary', toSummarised({c: {at: 900}}), noCut],
 	];
 	for (const [name, lost, cut] of losses) {
-		it(`returns little by little to a zone that ${name}`, () => {
+		it(`returns gradually to a zone that ${name}`, () => {
 			const chooser = createSpillChooser({zone: 'a'});
 			chooser.update(toSummarised({b: {}, c: {}}), noCut, 0);
-			assert.deepEqual(toShares(chooser, toSummarised({b: {}, c: {}}), 0), {b: 0.5, c: 0.5}, 'what it has never seen away is not held back');
+			assert.deepEqual(toShares(chooser, toSummarised({b: {}, c: {}}), 0), {b: 0.5, c: 0.5}, 'a zone that was never missing has no ramp');
 			chooser.update(lost, cut, 1000);
 			const back = toSummarised({b: {at: 1900}, c: {at: 1900}});
 			chooser.update(back, noCut, 2000);
@@ -101,7 +101,7 @@
 		});
 	}
 
-	it('fills unknown loads of other zones alone with the mean of their zone', () => {
+	it('fills only unknown loads of other zones, with the mean of their zone', () => {
 		const chooser = createSpillChooser({zone: 'a'});
 		const load: ServerLoad = {
 			slotsTotal: 20, slotsUsed: 1, backlogTokens: 0, tokensPerSecond: 8000, linkBytesPerSecond: 1, transfers: 0, own: 1, ownPromptTokens: 0, isUnknown: true,
@@ -110,7 +110,7 @@
 		assert.equal(chooser.fillUnknownLoad(ofB!, load, view, 0).slotsUsed, 15);
 		assert.equal(chooser.fillUnknownLoad({...ofB!, role: 'prefill'}, load, view, 0).backlogTokens, 4000);
 		assert.equal(chooser.fillUnknownLoad(ofB!, {...load, isUnknown: false}, view, 0).slotsUsed, 1);
-		assert.equal(chooser.fillUnknownLoad(ofC!, load, view, 0).slotsUsed, 1, 'its summary is stale');
-		assert.equal(chooser.fillUnknownLoad(config.servers[0]!, load, view, 0).slotsUsed, 1, 'it is of the own zone');
+		assert.equal(chooser.fillUnknownLoad(ofC!, load, view, 0).slotsUsed, 1, 'the summary of zone c is stale');
+		assert.equal(chooser.fillUnknownLoad(config.servers[0]!, load, view, 0).slotsUsed, 1, 'the server is in the own zone');
 	});
 });
--- a/src/domain/create-split-estimate/index.ts
+++ b/src/domain/create-split-estimate/index.ts
@@ -92,7 +92,7 @@
 				return undefined;
 			}
 
-			// Share of a decode server's time that one answer takes, by slots or by memory, whichever is scarcer.
+			// Time of a whole decode server that one answer uses, by slots or by memory, whichever is scarcer.
 			const answerMs = Math.max(slotMs.value / slots, memoryTokens === undefined ? 0 : tokenMs.value / memoryTokens);
 			const neededMs = prefillHeadroom * prefillMs.value;
 			return neededMs / (neededMs + answerMs);
--- a/src/domain/is-order-allowed/index.ts
+++ b/src/domain/is-order-allowed/index.ts
@@ -4,13 +4,13 @@
 import {type WantedOrder} from '../to-orders/index.js';
 
 export type OrderCircumstances = {
-	/** Whether the configuration that the order follows from is still the one in force. */
+	/** Whether the configuration from which the order was derived is still in force. */
 	isCurrent: boolean;
-	/** Whether the server has taken an order of a later edition. */
+	/** Whether the server has accepted an order of a later edition. */
 	isOvertaken: boolean;
 	/** Time since the platform, or a peer for it, last confirmed the configuration in force; `Infinity` if never. */
 	confirmedAgeMs: Milliseconds;
-	/** Time since the server's own last report was true; `Infinity` if there is none. */
+	/** Age of the server's last report; `Infinity` if there is none. */
 	reportAgeMs: Milliseconds;
 	/** Time since the order was decided, measured on the monotonic clock. */
 	sinceDecisionMs: Milliseconds;
@@ -29,12 +29,12 @@
 const toConfirmedAge = ({platformConfirmedAt}: FleetView, now: Milliseconds): Milliseconds => platformConfirmedAt === undefined ? Infinity : now - platformConfirmedAt;
 
 /**
- * Whether the view was confirmed lately enough for any order to be sent.
+ * Checks whether the view was confirmed recently enough to send any order.
  *
- * @param view - What is known now.
+ * @param view - The current view.
  * @param now - Monotonic milliseconds.
- * @param limits - Greatest ages allowed.
- * @returns `true` if it was.
+ * @param limits - Maximum ages.
+ * @returns `true` if the view is recent enough.
  *
  * @example
  * isViewConfirmed({...view, platformConfirmedAt: 1000}, 3000); // true
@@ -43,11 +43,11 @@
 	toConfirmedAge(view, now) <= (limits.maxConfirmedAgeMs ?? defaultMaxConfirmedAgeMs);
 
 /**
- * Gathers what {@link isOrderAllowed} asks for.
+ * Collects the circumstances that {@link isOrderAllowed} checks.
  *
- * @param view - What is known now, at the sending.
+ * @param view - The view at the time of sending.
  * @param wanted - The order.
- * @param decision - When the order was decided, and by which configuration.
+ * @param decision - Time of the decision, and version of the configuration on which it is based.
  * @param now - Monotonic milliseconds.
  * @returns The circumstances.
  *
@@ -67,21 +67,21 @@
 };
 
 /**
- * Whether an order may be sent now. Call it immediately before the sending,
- * with nothing awaited between: a host that was paused after it decided wakes
- * with an order from the past, and symptom would be weights of an old edition,
- * or a last copy taken away that was not the last when the host fell asleep.
- * The age of the decision catches that.
+ * Checks whether an order may be sent now. Call this immediately before sending, with
+ * no `await` in between. A host that was paused after its decision resumes with an
+ * outdated order: a server would load the weights of an old edition, or lose a copy
+ * that has become the last one during the pause. The limit on the age of the decision
+ * prevents this, as it includes the pause.
  *
- * The host's own view must have been confirmed lately, also for a server that
- * checks fences. A fence stops an order of an old edition only once the server
- * has taken one of the new: until then a host that is cut off would load the
- * old weights on one server of a zone while the other side loads the new ones
- * on the next, and the zone would have no pair.
+ * The host's view must have been confirmed recently, even for a server that checks
+ * fencing tokens. A fencing token stops an order of an old edition only after the
+ * server has accepted an order of the new one. Until then a partitioned host could
+ * load the old weights on one server of a zone while the other side loads the new
+ * weights on another, and the zone would have no pair.
  *
  * @param circumstances - Ages, all by this host's monotonic clock.
- * @param limits - Greatest ages allowed.
- * @returns `true` if it may be sent.
+ * @param limits - Maximum ages.
+ * @returns `true` if the order may be sent.
  *
  * @example
  * isOrderAllowed({isCurrent: true, isOvertaken: false, confirmedAgeMs: 900, reportAgeMs: 200, sinceDecisionMs: 3}); // true
--- a/src/domain/is-order-allowed/test.ts
+++ b/src/domain/is-order-allowed/test.ts
@@ -8,12 +8,12 @@
 	};
 	const rows: Array<[string, Partial<typeof fresh>, boolean]> = [
 		['a fresh view and decision', {}, true],
-		['a view not confirmed lately', {confirmedAgeMs: 60_000}, false],
+		['a view not confirmed recently', {confirmedAgeMs: 60_000}, false],
 		['a view never confirmed', {confirmedAgeMs: Infinity}, false],
 		['a pause between decision and sending', {sinceDecisionMs: 5000}, false],
-		['a report from long ago', {reportAgeMs: 60_000}, false],
-		['a configuration that is in force no more', {isCurrent: false}, false],
-		['a server that took an order of a later edition', {isOvertaken: true}, false],
+		['a stale report', {reportAgeMs: 60_000}, false],
+		['a configuration that is no longer in force', {isCurrent: false}, false],
+		['a server that accepted an order of a later edition', {isOvertaken: true}, false],
 	];
 	for (const [name, change, expected] of rows) {
 		it(`${expected ? 'allows' : 'refuses'}: ${name}`, () => {
--- a/src/domain/pick-role-changes/index.ts
+++ b/src/domain/pick-role-changes/index.ts
@@ -1,6 +1,6 @@
 /**
- * How many of a pool's servers compute prompts and how many generate, and which
- * server has to change for it.
+ * Decides how many of a pool's servers do prefill and how many decode, and which
+ * servers have to change their role.
  */
 import {type ServerEntry} from '../../ports/config.js';
 import {type ServerId, type ZoneId} from '../../ports/ids.js';
@@ -13,22 +13,22 @@
 };
 
 export type RoleChangeOptions = {
-	/** Part of a pool's servers that is to compute prompts; a server changes to decode while as many are left without it. */
+	/** Wanted share of prefill servers in the pool; a prefill server changes to decode if the others still meet the share. */
 	prefillShare: number;
-	/** Servers that are changing their role now. */
+	/** Servers that are currently changing their role. */
 	changing: ReadonlySet<ServerId>;
 };
 
 /**
- * Part of a pool that may change at once, one server at least: a server that
- * changes serves nothing for seconds.
+ * Maximum share of a pool that changes at the same time, at least one server. A
+ * changing server serves no requests for seconds.
  */
 const changingShare = 0.1;
 
-/** A pool with fewer servers keeps the roles that it has: with one of each, any change takes a role away. */
+/** Minimum size of a pool for role changes; with one server of each role, any change would remove a role. */
 const minServers = 3;
 
-/** Prefill servers that a pool keeps: with one alone, its loss or a burst has every decode server compute prompts between its tokens. */
+/** Minimum number of prefill servers that remain; with only one, its loss or a burst would make all decode servers compute prompts between their tokens. */
 const minPrefillServers = 2;
 
 function toZoneCounts(servers: readonly ServerEntry[]): ReadonlyMap<ZoneId, number> {
@@ -40,21 +40,21 @@
 	return counts;
 }
 
-/** The servers of a role, those of the zone with the most of them first, so that a zone keeps one as long as it can. */
+/** Sorts the servers of a role, those of the zone with the most servers first, so that each zone keeps one as long as possible. */
 function toCandidates(servers: readonly ServerEntry[]): ServerEntry[] {
 	const counts = toZoneCounts(servers);
 	return servers.toSorted((a, b) => counts.get(b.zone)! - counts.get(a.zone)! || (a.id < b.id ? -1 : 1));
 }
 
 /**
- * Part of the wanted prefill servers below which a decode server is turned into
- * one. Servers that leave or restart take prefill servers along by chance; turned
- * back and forth for each, a pool would lose more than it gains, as a change costs
- * six seconds of a server and the wait for its running answers.
+ * Share of the wanted prefill servers below which a decode server changes to prefill.
+ * Prefill servers leave and restart at random; if the pool changed roles back and forth
+ * each time, it would lose more than it gains, as a change costs six seconds of a
+ * server plus the wait for its running answers.
  */
 const minWantedShare = 0.5;
 
-/** Tells which way a pool is off, if at all. */
+/** Returns the role that the pool needs more servers of; `undefined` if the split is acceptable. */
 function toWantedRole(prefills: number, total: number, share: number): ChangeableRole | undefined {
 	const wanted = total * share;
 	if (prefills === 0 || prefills < wanted * minWantedShare) {
@@ -67,18 +67,18 @@
 /**
  * Picks the servers that should change their role now.
  *
- * Decode memory is what a burst runs short of, while prefill servers stand half
- * idle: a prompt of 3,200 tokens keeps a prefill server for 0.1 s, and its answer
- * keeps a tenth of a decode server's memory for more than three. With two of six
- * servers in place of three, a pool served 86 instead of 74 in 100 of its worth
- * on a day without trouble; with one, 76, for its prompts queued. Which share is
- * wanted follows from the load, see `createSplitEstimate`; it keeps one server more
- * than prompts need, as a pool of thirteen lost a tenth of a day when four of them
- * left and one prefill server remained.
+ * Decode memory is the bottleneck in a burst, while prefill servers are half idle: a
+ * prompt of 3,200 tokens occupies a prefill server for 0.1 s, and its answer holds a
+ * tenth of a decode server's memory for more than 3 s. Without faults, a pool of six
+ * servers achieved 86 % of its possible value with two prefill servers, 74 % with
+ * three, and 76 % with one, because prompts queued. The wanted share follows from the
+ * load, see `createSplitEstimate`. It includes one server more than prompts need: a
+ * pool of thirteen lost a tenth of its daily value when four servers left and one
+ * prefill server remained.
  *
- * @param servers - Servers of one pool that are in service, with the roles that they have now.
- * @param options - The share wanted, and which servers are changing already.
- * @returns Changes; none when the pool is as it should be.
+ * @param servers - Servers of one pool that are in service, with their current roles.
+ * @param options - The wanted share, and the servers that are already changing.
+ * @returns Role changes; empty if the split is acceptable.
  *
  * @example
  * ```ts
@@ -95,7 +95,7 @@
 	const changes: RoleChange[] = [];
 	while (servers.length >= minServers && changes.length < room) {
 		const role = toWantedRole(prefills.length, servers.length, prefillShare);
-		// The last decode server stays: nothing would be left that answers.
+		// The last decode server keeps its role; otherwise no server would generate answers.
 		const server = role === 'decode' ? prefills.shift() : (role === 'prefill' && decodes.length > 1 ? decodes.shift() : undefined);
 		if (role === undefined || server === undefined) {
 			break;
--- a/src/domain/pick-role-changes/test.ts
+++ b/src/domain/pick-role-changes/test.ts
@@ -22,15 +22,15 @@
 const countPrefills = (servers: readonly ServerEntry[]): number => servers.filter(({role}) => role === 'prefill').length;
 
 /*
- * Half of a pool computes prompts and stands idle, while streams are refused for
- * want of decode memory. Servers change until the share is met. A server that
- * restarts or lapses must not set off changes back and forth: each costs seconds
- * of a server.
+ * Guards against a bad split, for example half of a pool being idle prefill servers
+ * while streams are refused for lack of decode memory. Servers change until the share
+ * is met. A server that restarts or disappears must not cause changes back and forth,
+ * as each change costs seconds of a server.
  */
 describe('pickRoleChanges', () => {
 	const cases: ReadonlyArray<{prefills: number; decodes: number; expected: number; why: string}> = [
 		{
-			prefills: 3, decodes: 3, expected: 2, why: 'one too many',
+			prefills: 3, decodes: 3, expected: 2, why: 'one prefill server too many',
 		},
 		{
 			prefills: 2, decodes: 4, expected: 2, why: 'as wanted',
@@ -42,10 +42,10 @@
 			prefills: 1, decodes: 8, expected: 2, why: 'less than half of what is wanted',
 		},
 		{
-			prefills: 5, decodes: 8, expected: 5, why: 'one less would be less than a third',
+			prefills: 5, decodes: 8, expected: 5, why: 'with one less, the share would be below a third',
 		},
 		{
-			prefills: 0, decodes: 6, expected: 1, why: 'nobody computes prompts',
+			prefills: 0, decodes: 6, expected: 1, why: 'no server does prefill',
 		},
 		{
 			prefills: 2, decodes: 1, expected: 2, why: 'two prefill servers stay',
@@ -54,10 +54,10 @@
 			prefills: 0, decodes: 2, expected: 0, why: 'too few to change any',
 		},
 		{
-			prefills: 3, decodes: 0, expected: 2, why: 'nobody answers',
+			prefills: 3, decodes: 0, expected: 2, why: 'no server decodes',
 		},
 		{
-			prefills: 43, decodes: 55, expected: 33, why: 'a large pool goes there in steps',
+			prefills: 43, decodes: 55, expected: 33, why: 'a large pool changes in steps',
 		},
 	];
 	for (const {prefills, decodes, expected, why} of cases) {
@@ -72,26 +72,26 @@
 		});
 	}
 
-	it('takes the server from the zone that has the most of its role', () => {
+	it('changes a server in the zone with the most servers of its role', () => {
 		const servers = [toServer('p1', 'prefill', 'a'), toServer('p2', 'prefill', 'b'), toServer('p3', 'prefill', 'b'), ...toPool(0, 3)];
 		const [change] = pickRoleChanges(servers, {prefillShare: 0.33, changing: none});
 		assert.equal(change?.server.zone, 'b');
 	});
 
-	it('changes one server after the other in a small pool', () => {
+	it('changes one server at a time in a small pool', () => {
 		const servers = toPool(5, 3);
 		assert.equal(pickRoleChanges(servers, {prefillShare: 0.33, changing: none}).length, 1);
 		assert.deepEqual(pickRoleChanges(servers, {prefillShare: 0.33, changing: new Set(['p0'])}), []);
 	});
 
-	it('never takes the last decode server, nor one but two prefill servers, and moves nothing twice', () => {
+	it('never changes the last decode server, keeps at least two prefill servers, and changes in one direction (property)', () => {
 		fc.assert(fc.property(fc.integer({min: 0, max: 40}), fc.integer({min: 0, max: 40}), fc.double({min: 0.01, max: 0.99, noNaN: true}), (prefills, decodes, prefillShare) => {
 			const servers = toPool(prefills, decodes);
 			const changes = pickRoleChanges(servers, {prefillShare, changing: none});
 			const after = apply(servers, changes);
 			assert.ok(decodes === 0 || after.length - countPrefills(after) >= 1);
 			assert.ok(countPrefills(after) >= Math.min(prefills, 2));
-			assert.ok(new Set(changes.map(({role}) => role)).size <= 1, 'one way at a time');
+			assert.ok(new Set(changes.map(({role}) => role)).size <= 1, 'changes in both directions');
 		}));
 	});
 });
--- a/src/domain/pick-spill-zone/index.ts
+++ b/src/domain/pick-spill-zone/index.ts
@@ -4,28 +4,28 @@
 /** Another zone to which a request could go. */
 export type SpillZone = {
 	zone: ZoneId;
-	/** 0 for a zone of the own region; a higher one is looked at only when none nearer has room. */
+	/** 0 for a zone of the own region; zones with a higher distance are used only when no nearer zone has room. */
 	distance: number;
-	/** Whether the zone is not behind a cut. */
+	/** Whether the zone is not partitioned. */
 	isReachable: boolean;
-	/** Requests that it could take when its summary was true. */
+	/** Number of requests that the zone had room for when its summary was taken. */
 	free: number;
-	/** Requests sent there from here since then, by this host and, as it must guess, by its neighbours. */
+	/** Number of requests spilled to the zone since then by this host and, as an estimate, by the other hosts of its zone. */
 	spilled: number;
-	/** Mean wait for a prefill there, milliseconds. */
+	/** Mean wait for a prefill in the zone, milliseconds. */
 	waitMs: Milliseconds;
-	/** Monotonic time at which its summary was true; `-Infinity` without one. */
+	/** Monotonic time at which its summary was taken; `-Infinity` without a summary. */
 	at: Milliseconds;
-	/** When it came back after it was away; `-Infinity` if it was not. */
+	/** Monotonic time at which the zone came back; `-Infinity` if it was never missing. */
 	returnedAt: Milliseconds;
 };
 
 export type SpillOptions = {
-	/** Age at which a summary tells nothing any more, milliseconds. */
+	/** Age at which a summary is stale, milliseconds. */
 	staleAfterMs?: Milliseconds;
-	/** Wait for a prefill at which a zone is of no use, milliseconds. */
+	/** Wait for a prefill at which a zone is useless, milliseconds. */
 	waitLimitMs?: Milliseconds;
-	/** Time in which the believed part of the room of a zone that came back grows from `rampFrom` to 1, milliseconds. */
+	/** Time over which the share of a returned zone's room that is used grows from `rampFrom` to 1, milliseconds. */
 	rampMs?: Milliseconds;
 	rampFrom?: number;
 };
@@ -35,16 +35,17 @@
 const defaultRampFrom = 0.1;
 
 /**
- * A zone that was away looks empty to all hosts of all zones in the same second;
- * sent there by what it has free, the work of that second is more than it can
- * start on, and first tokens are late. Believing little of its room at first, and
- * all of it after some summaries, lets the first work show in the next ones. It
- * bounds the number that is sent, so it also holds where no other zone is near.
+ * Share of a returned zone's room that is used. Such a zone looks empty to all hosts of
+ * all zones in the same second. If they sent requests in proportion to its free room,
+ * it would get more work in that second than it can start, and first tokens would be
+ * late. With a small share at first and a full share some summaries later, the first
+ * requests show in the next summaries. As the share limits the number of requests, it
+ * also works where no other zone is near.
  */
 const toRamp = (elapsedMs: Milliseconds, rampMs: Milliseconds, rampFrom: number): number =>
 	elapsedMs >= rampMs ? 1 : rampFrom + ((1 - rampFrom) * Math.max(0, elapsedMs) / rampMs);
 
-/** How far a summary is believed, less where prompts wait; 0 if the zone is of no use. */
+/** Weight of a summary by its age and by the wait of prompts, from 0 to 1; 0 if the zone is useless. */
 function toTrust({isReachable, waitMs, at}: SpillZone, now: Milliseconds, {staleAfterMs = defaultStaleAfterMs, waitLimitMs = Infinity}: SpillOptions): number {
 	const ageMs = Math.max(0, now - at);
 	if (!isReachable || ageMs >= staleAfterMs) {
@@ -68,19 +69,19 @@
 };
 
 /**
- * Picks the zone that gets a request which its own zone cannot take: by chance,
- * in proportion to what each zone of the nearest region with room is thought to
- * have left. The greatest alone would be every host's choice at once.
+ * Picks the zone for a request that the own zone can't take: at random, in proportion
+ * to the estimated remaining room of each zone in the nearest region with room. If
+ * the zone with the most room were picked, all hosts would pick the same zone at once.
  *
- * What is left is guessed low, since some of what was sent has ended. So when
- * nothing is left anywhere, all zones that had room share the rest, wherever they
- * are, and their engines decide.
+ * The remaining room is underestimated, as some of the spilled requests have ended. If
+ * no room is left anywhere by this estimate, all zones that had room share the
+ * requests, in any region, and their engines decide.
  *
  * @param zones - Other zones that serve the pool.
  * @param now - Monotonic milliseconds.
  * @param random - Numbers in [0, 1).
  * @param options - See {@link SpillOptions}.
- * @returns The zone; `undefined` when none had room, or all that is known is stale.
+ * @returns The zone; `undefined` if no zone had room or all summaries are stale.
  *
  * @example
  * ```ts
--- a/src/domain/pick-spill-zone/test.ts
+++ b/src/domain/pick-spill-zone/test.ts
@@ -9,7 +9,7 @@
 	zone, distance: 0, isReachable: true, free: 100, spilled: 0, waitMs: 0, at: now, returnedAt: -Infinity, ...change,
 });
 
-/** Shares of 20,000 picks. */
+/** Share of each zone in 20,000 picks. */
 function toShares(zones: readonly SpillZone[], options = {}): Record<string, number> {
 	const random = toSeededRandom(5);
 	const counts = new Map<string, number>();
@@ -34,21 +34,21 @@
 
 describe('pickSpillZone', () => {
 	const rows: Array<[string, SpillZone[], Record<string, number>]> = [
-		['picks in proportion to what is free', [toZone('b', {free: 300}), toZone('c')], {b: 0.75, c: 0.25}],
-		['takes off what was sent there since', [toZone('b', {free: 300, spilled: 200}), toZone('c')], {b: 0.5, c: 0.5}],
-		['believes an older summary less', [toZone('b', {at: now - 10_000}), toZone('c')], {b: 1 / 3, c: 2 / 3}],
+		['picks in proportion to the free room', [toZone('b', {free: 300}), toZone('c')], {b: 0.75, c: 0.25}],
+		['subtracts the requests that were spilled since', [toZone('b', {free: 300, spilled: 200}), toZone('c')], {b: 0.5, c: 0.5}],
+		['gives an older summary less weight', [toZone('b', {at: now - 10_000}), toZone('c')], {b: 1 / 3, c: 2 / 3}],
 		['sends less where prompts wait', [toZone('b', {waitMs: 500}), toZone('c')], {b: 1 / 3, c: 2 / 3}],
-		['sends nothing where they wait too long', [toZone('b', {waitMs: 1000}), toZone('c', {free: 1})], {c: 1}],
-		['keeps to its region while it has room', [toZone('b', {free: 1}), toZone('far', {distance: 1, free: 9000})], {b: 1}],
-		['leaves its region when it has none', [toZone('b', {free: 0}), toZone('far', {distance: 1})], {far: 1}],
-		['sends nothing over a cut', [toZone('b', {isReachable: false, free: 9000}), toZone('c', {free: 1})], {c: 1}],
-		['lets a zone that came back in little by little', [toZone('b', {returnedAt: now}), toZone('c')], {b: 0.1 / 1.1, c: 1 / 1.1}],
-		['holds back from it also where no other zone is near', [toZone('b', {returnedAt: now, spilled: 10}), toZone('far', {distance: 1})], {far: 1}],
-		['and wholly after a while', [toZone('b', {returnedAt: now - 10_000}), toZone('c')], {b: 0.5, c: 0.5}],
-		['shares the rest by what was free when all of it is thought to be taken', [toZone('b', {free: 300, spilled: 300}), toZone('far', {spilled: 100, distance: 1})], {b: 0.75, far: 0.25}],
-		['says that none has room', [toZone('b', {free: 0}), toZone('c', {free: 0})], {none: 1}],
-		['knows nothing when all summaries are stale', [toZone('b', {at: now - 20_000}), toZone('c', {at: -Infinity})], {none: 1}],
-		['knows nothing of no zones', [], {none: 1}],
+		['sends nothing where prompts wait too long', [toZone('b', {waitMs: 1000}), toZone('c', {free: 1})], {c: 1}],
+		['stays in its region while the region has room', [toZone('b', {free: 1}), toZone('far', {distance: 1, free: 9000})], {b: 1}],
+		['leaves its region when the region has no room', [toZone('b', {free: 0}), toZone('far', {distance: 1})], {far: 1}],
+		['sends nothing to a partitioned zone', [toZone('b', {isReachable: false, free: 9000}), toZone('c', {free: 1})], {c: 1}],
+		['returns gradually to a zone that came back', [toZone('b', {returnedAt: now}), toZone('c')], {b: 0.1 / 1.1, c: 1 / 1.1}],
+		['limits requests to such a zone even if no other zone is near', [toZone('b', {returnedAt: now, spilled: 10}), toZone('far', {distance: 1})], {far: 1}],
+		['uses the full room of such a zone after the ramp', [toZone('b', {returnedAt: now - 10_000}), toZone('c')], {b: 0.5, c: 0.5}],
+		['shares requests in proportion to the free room of the summaries when no room is left by the estimate', [toZone('b', {free: 300, spilled: 300}), toZone('far', {spilled: 100, distance: 1})], {b: 0.75, far: 0.25}],
+		['returns nothing when no zone has room', [toZone('b', {free: 0}), toZone('c', {free: 0})], {none: 1}],
+		['returns nothing when all summaries are stale', [toZone('b', {at: now - 20_000}), toZone('c', {at: -Infinity})], {none: 1}],
+		['returns nothing without zones', [], {none: 1}],
 	];
 	for (const [name, zones, expected] of rows) {
 		it(name, () => {
@@ -60,7 +60,7 @@
 		});
 	}
 
-	it('picks over many zones in proportion', () => {
+	it('picks in proportion among many zones', () => {
 		const zones = Array.from({length: 11}, (_, i) => toZone(`z${i}`, {free: (i + 1) * 10}));
 		const shares = toShares(zones);
 		for (const {zone, free} of zones) {
@@ -68,7 +68,7 @@
 		}
 	});
 
-	it('picks only a zone that can be reached, is known, has room, and no farther one than need be', () => {
+	it('picks only a reachable zone with a fresh summary and room, and the nearest such zones (property)', () => {
 		fc.assert(fc.property(fc.array(anyZone, {maxLength: 12}), fc.nat(), (zones, seed) => {
 			const named = zones.map((zone, i) => ({...zone, zone: `z${i}`}));
 			const id = pickSpillZone(named, now, toSeededRandom(seed), {waitLimitMs: 2000});
--- a/src/domain/to-pool-capacity/index.ts
+++ b/src/domain/to-pool-capacity/index.ts
@@ -4,19 +4,20 @@
 
 export type PoolCapacityView = {
 	pool: string;
-	/** Requests that the pool's servers in reach hold at a time. */
+	/** Number of requests that the pool's servers in this host's region hold at a time. */
 	slots: number;
-	/** Part of the slots that is this host's: one over the hosts that are taken to send there. */
+	/** This host's share of the slots: one over the number of hosts that are assumed to send requests there. */
 	share: number;
-	/** Slots in use, as last reported; absent while no server has reported. */
+	/** Slots in use in the last reports; absent while no server has reported. */
 	used?: number;
 };
 
 /**
- * Servers that count. When polls reach none of them, all that don't leave
- * count: a lost poll or a stall of this machine looks the same, and a pool
- * without places refuses everybody at once. If they are truly gone, each
- * request finds that out by a reservation, which costs no prefill.
+ * Selects the servers that count as capacity. When polls reach none of them, all
+ * servers that are not leaving count: lost polls or a stall of this machine look the
+ * same as lost servers, and a pool without places would refuse every request. If the
+ * servers are really gone, each request fails at its reservation, which costs no
+ * prefill.
  */
 function toInService(view: FleetView, servers: readonly ServerEntry[]): readonly ServerEntry[] {
 	const staying = servers.filter(({id}) => !view.servers.get(id)?.leaving);
@@ -29,21 +30,21 @@
 	return reported.length === 0 ? undefined : reported.reduce((sum, used) => sum + used, 0);
 }
 
-/** Share of the near hosts that may be suspected before the suspicion is doubted. */
+/** Share of suspected hosts in the region above which suspicions are ignored. */
 const suspectLimitShare = 0.5;
 
 /**
- * Hosts that are taken to send to the servers near this one. Where use is not
- * reported, as by plain services, nothing is borrowed, and the places of a
- * silent host would stand idle until it is declared dead, while calls are
- * refused: there a suspected host does not count. If it does live, the service
- * has the load of one host too many until the suspicion ends. Where use is
- * reported, what is free is borrowed within a second or two, and nothing is
- * gained by it.
+ * Counts the hosts that are assumed to send requests to the servers of this host's
+ * region. Where use is not reported, as with plain services, nothing is borrowed. The
+ * places of a silent host would be idle until the host is declared dead, while calls
+ * are refused; so a suspected host does not count there. If the host is alive after
+ * all, the service has the load of one host too many until the suspicion ends. Where
+ * use is reported, free places are borrowed within a second or two, so suspected hosts
+ * count.
  *
- * When more than half are suspected, it may be this host that is cut off or was
- * asleep: then all count until they are declared dead, or each would take the
- * whole pool for its own.
+ * When more than half of the hosts are suspected, this host itself may be partitioned
+ * or may have been paused. Then all hosts count until they are declared dead;
+ * otherwise each host would take the whole pool as its own.
  */
 function countSenders(hosts: readonly HostStatus[], isUseReported: boolean): number {
 	const alive = hosts.filter(({life}) => life === 'alive').length;
@@ -53,14 +54,14 @@
 }
 
 /**
- * Works out what each pool can hold and which part of it is this host's. Hosts
- * of one region send to the region's servers, so the part is one over their
- * number, without those suspected where no use is reported; servers that leave
- * don't count, nor those that can't be reached as long as others can.
+ * Computes the capacity of each pool and this host's share of it. Hosts of a region
+ * send to the region's servers, so the share is one over the number of hosts; where no
+ * use is reported, suspected hosts are left out. Servers that are leaving don't count,
+ * and unreachable servers count only if no other server is reachable.
  *
- * @param view - The fleet as this host knows it.
+ * @param view - The fleet view of this host.
  * @param zone - This host's availability zone.
- * @returns One entry for each pool of the configuration; none before there is one.
+ * @returns One entry per pool of the configuration; empty before a configuration is accepted.
  *
  * @example
  * ```ts
--- a/src/domain/to-pool-capacity/test.ts
+++ b/src/domain/to-pool-capacity/test.ts
@@ -38,16 +38,16 @@
 	const lost = status('d2', {reachable: false});
 	const both = [server('d1', 'a'), server('d2', 'b')];
 	const cases: ReadonlyArray<[string, FleetView, Record<string, unknown>]> = [
-		['counts the region\'s servers and shares by its living hosts', toView([...both, server('d3', 'far')], [host('h1', 'a'), host('h2', 'b'), host('h3', 'far')], []), {slots: 40, share: 0.5}],
-		['counts no dead host', toView(both, [host('h1', 'a'), host('h2', 'b', 'dead')], []), {slots: 40, share: 1}],
-		['counts no suspected host, whose places would stand idle', toView(both, [host('h1', 'a'), host('h2', 'b', 'suspect')], []), {slots: 40, share: 1}],
-		['counts all when most are suspected, as a cut-off host does', toView(both, [host('h1', 'a'), host('h2', 'b', 'suspect'), host('h3', 'b', 'suspect')], []), {slots: 40, share: 1 / 3}],
+		['counts the servers of the region and divides by its live hosts', toView([...both, server('d3', 'far')], [host('h1', 'a'), host('h2', 'b'), host('h3', 'far')], []), {slots: 40, share: 0.5}],
+		['does not count a dead host', toView(both, [host('h1', 'a'), host('h2', 'b', 'dead')], []), {slots: 40, share: 1}],
+		['does not count a suspected host, whose places would be idle', toView(both, [host('h1', 'a'), host('h2', 'b', 'suspect')], []), {slots: 40, share: 1}],
+		['counts all hosts when most are suspected, as on a partitioned host', toView(both, [host('h1', 'a'), host('h2', 'b', 'suspect'), host('h3', 'b', 'suspect')], []), {slots: 40, share: 1 / 3}],
 		['counts suspected hosts where use is reported', toView(both, [host('h1', 'a'), host('h2', 'b', 'suspect')], [status('d1', {load: load(20, 4)})]), {slots: 40, share: 0.5, used: 4}],
-		['takes what servers report', toView(both, [], [status('d1', {load: load(16, 4)})]), {slots: 36, share: 1, used: 4}],
-		['counts no server that leaves, nor one that can\'t be reached while another can', toView([...both, server('d4', 'b')], [], [left, lost]), {slots: 20, share: 1}],
-		['counts servers that can\'t be reached when no other is left', toView(both, [], [status('d1', {reachable: false}), status('d2', {reachable: false})]), {slots: 40, share: 1}],
-		['counts no server that leaves, also when no other is left', toView(both, [], [status('d1', {leaving: true}), status('d2', {leaving: true, reachable: false})]), {slots: 0, share: 1}],
-		['counts no prefill server', toView([server('p1', 'a', {role: 'prefill'}), server('d1', 'a')], [], []), {slots: 20, share: 1}],
+		['uses the slots that servers report', toView(both, [], [status('d1', {load: load(16, 4)})]), {slots: 36, share: 1, used: 4}],
+		['does not count a server that is leaving, nor an unreachable one while another is reachable', toView([...both, server('d4', 'b')], [], [left, lost]), {slots: 20, share: 1}],
+		['counts unreachable servers when no other is left', toView(both, [], [status('d1', {reachable: false}), status('d2', {reachable: false})]), {slots: 40, share: 1}],
+		['does not count a server that is leaving, even when no other is left', toView(both, [], [status('d1', {leaving: true}), status('d2', {leaving: true, reachable: false})]), {slots: 0, share: 1}],
+		['does not count a prefill server', toView([server('p1', 'a', {role: 'prefill'}), server('d1', 'a')], [], []), {slots: 20, share: 1}],
 	];
 	for (const [name, view, expected] of cases) {
 		it(name, () => {
@@ -55,7 +55,7 @@
 		});
 	}
 
-	it('knows no pool before there is a configuration', () => {
+	it('returns no pool before a configuration is accepted', () => {
 		assert.deepEqual(toPoolCapacity({...toView([], [], []), accepted: undefined}, 'a'), []);
 	});
 });
--- a/src/domain/to-wait-policy/index.ts
+++ b/src/domain/to-wait-policy/index.ts
@@ -2,72 +2,71 @@
 import {type PoolEntry, type Rule} from '../../ports/config.js';
 import {type ServiceClass} from '../../ports/outcome.js';
 
-/** How a request waits for room. */
+/** How a request waits for capacity. */
 export type WaitPolicy = {
 	class: ServiceClass;
-	/** Monotonic time by which its answer must start for the wait to make sense. */
+	/** Monotonic time by which the answer must start; later the wait is pointless. */
 	latestStart: Milliseconds;
-	/** Asks for room once, and gives up when there is none. */
+	/** Whether the request asks for capacity once and gives up when there is none. */
 	isSingleTry: boolean;
 };
 
 export type WaitPolicyInput = {
 	then: Rule['then'];
 	poolKind: PoolEntry['kind'];
-	/** Monotonic time at which the request came. */
+	/** Monotonic time at which the request was received. */
 	receivedAt: Milliseconds;
-	/** Monotonic time by which its caller has gone. */
+	/** Monotonic time at which the caller stops waiting. */
 	deadline: Milliseconds;
-	/** Time for which the caller still waited when it came; `undefined` when it does not say. */
+	/** Remaining timeout that the caller sent with the request, milliseconds; `undefined` if it sent none. */
 	callerTimeoutMs: Milliseconds | undefined;
-	/** Least delay after which this host tells callers to come back, milliseconds. */
+	/** Minimum retry delay that this host tells refused callers, milliseconds. */
 	minRetryAfterMs: Milliseconds;
-	/** The caller has a part of the answer, and waits for the rest. */
+	/** Whether the caller has received a part of the answer and waits for the rest. */
 	hasPartialAnswer: boolean;
 };
 
 /**
- * Part of its caller's patience that a request of a plain service waits at most.
- * A caller that leaves just before its answer came in vain.
+ * Maximum wait as a share of the caller's patience. If a request waited longer, its
+ * caller might leave just before the answer, and the work would be wasted.
  */
 const patienceShare = 0.8;
 
 /**
- * Tells how long a caller may have waited before this attempt.
+ * Computes how long a caller may have waited before this request.
  *
- * @param input - The rule, and the time that the caller says is left.
- * @returns Milliseconds by which it is less than its rule's time; a caller in a hurry has less from the start.
+ * @param input - The rule, and the caller's remaining timeout.
+ * @returns Milliseconds by which the remaining timeout is below the rule's completion target, at least 0; a caller may also have started with a shorter timeout.
  */
 export function toEarlierWaitMs({then, callerTimeoutMs: waitsMs}: Pick<WaitPolicyInput, 'then' | 'callerTimeoutMs'>): Milliseconds {
 	return waitsMs === undefined ? 0 : Math.max(0, then.target.completeMs - waitsMs);
 }
 
 /**
- * Tells whether a caller was refused before. Nothing joins two attempts, but a
- * caller who does as told has used up the delay that it was told. Any missing
- * time alone is no sign: where callers' own limits differ by a seventh, that
- * took more than half of the new requests for old ones, which were then refused
- * at the first full server in place of waiting for room that came in time.
+ * Whether the caller has been refused before. Requests carry no link to earlier
+ * attempts, but a caller that honours its retry delay has used up at least that time.
+ * Any missing time at all is not a reliable sign: where callers' timeouts differed by a
+ * seventh, more than half of the new requests were taken for retries, and were refused
+ * at the first full server instead of waiting for room that came in time.
  */
 function isRetry(input: WaitPolicyInput): boolean {
 	return toEarlierWaitMs(input) >= input.minRetryAfterMs;
 }
 
 /**
- * Decides how a request waits for room at the servers.
+ * Decides how a request waits for capacity.
  *
- * Decode memory is what a burst runs short of. Waiting in the order of their
- * deadlines, each request of a burst would be served late, the last as well as
- * the first, and so would those behind it. So a new request for a model waits
- * only as long as it can be in time, and one that comes back, which can't, takes
- * what room there is at that moment and leaves the rest to those that can. On a
- * day with twice the usual load for 4 s in 10, with half of the decode memory
- * lost, that served 271 of 559 new requests at their first attempt; waiting as
- * long as callers do served 198.
+ * Decode memory is the bottleneck in a burst. If all requests waited in the order of
+ * their deadlines, all requests of a burst and those after it would be served late. So
+ * a new request for a model waits only as long as it can still be in time. A retry
+ * can't be in time; it uses free capacity if there is any at that moment, and leaves
+ * the rest to new requests. With twice the usual load for 4 s in every 10 s and half
+ * of the decode memory lost, this policy served 271 of 559 new requests at their first
+ * attempt; waiting as long as callers do served 198.
  *
  * @param input - The request and its rule.
  * @param now - Monotonic milliseconds.
- * @returns Class, latest start, and whether it waits at all.
+ * @returns Class, latest start, and whether the request asks for capacity only once.
  *
  * @example
  * ```ts
@@ -80,7 +79,7 @@
 	} = input;
 	const {relay, target, class: serviceClass} = then;
 	if (relay === undefined) {
-		// From here and not from its arrival: the time for which a caller sent its body says nothing of the pool.
+		// The target counts from now and not from the arrival, because the time for sending the request body does not depend on the pool.
 		return {class: serviceClass, latestStart: Math.min(deadline, now + target.firstTokenMs), isSingleTry: false};
 	}
 
--- a/src/domain/to-wait-policy/test.ts
+++ b/src/domain/to-wait-policy/test.ts
@@ -21,9 +21,9 @@
 };
 
 /*
- * A burst brings twice what the decode memory holds. Requests that wait as long
- * as their callers do are all served late, those of the burst and those behind
- * it; so a request waits while it can be in time, and no longer.
+ * Guards against late answers after a burst of twice the decode memory. If requests
+ * waited as long as their callers do, those of the burst and those after it would all
+ * be served late; so a request waits only while it can be in time.
  */
 describe('toWaitPolicy', () => {
 	const {relay: _, ...ownThen} = then;
@@ -32,28 +32,28 @@
 			name: 'a new request for a model waits while it can be in time', over: {}, now: 1000, expected: {class: 'quick', latestStart: 1900, isSingleTry: false},
 		},
 		{
-			name: 'one that can\'t be in time any more asks once, behind the others', over: {}, now: 1900, expected: {class: 'batch', latestStart: 15_000, isSingleTry: true},
+			name: 'a request that can no longer be in time asks once, after the others', over: {}, now: 1900, expected: {class: 'batch', latestStart: 15_000, isSingleTry: true},
 		},
 		{
-			name: 'one that comes back asks once', over: {callerTimeoutMs: 11_000, deadline: 12_000}, now: 1000, expected: {class: 'batch', latestStart: 12_000, isSingleTry: true},
+			name: 'a retry asks once', over: {callerTimeoutMs: 11_000, deadline: 12_000}, now: 1000, expected: {class: 'batch', latestStart: 12_000, isSingleTry: true},
 		},
 		{
-			name: 'one whose caller is in a hurry from the start is new', over: {callerTimeoutMs: 11_900, deadline: 12_900}, now: 1000, expected: {class: 'quick', latestStart: 1900, isSingleTry: false},
+			name: 'a request whose caller started with a slightly shorter timeout counts as new', over: {callerTimeoutMs: 11_900, deadline: 12_900}, now: 1000, expected: {class: 'quick', latestStart: 1900, isSingleTry: false},
 		},
 		{
-			name: 'one whose caller does not say how long it waits counts as new', over: {callerTimeoutMs: undefined}, now: 1000, expected: {class: 'quick', latestStart: 1900, isSingleTry: false},
+			name: 'a request without a caller timeout counts as new', over: {callerTimeoutMs: undefined}, now: 1000, expected: {class: 'quick', latestStart: 1900, isSingleTry: false},
 		},
 		{
-			name: 'no wait goes past the deadline', over: {deadline: 1400}, now: 1000, expected: {class: 'quick', latestStart: 1400, isSingleTry: false},
+			name: 'no wait exceeds the deadline', over: {deadline: 1400}, now: 1000, expected: {class: 'quick', latestStart: 1400, isSingleTry: false},
 		},
 		{
-			name: 'a stream that goes on elsewhere waits for most of its caller\'s patience', over: {hasPartialAnswer: true}, now: 6000, expected: {class: 'quick', latestStart: 8880, isSingleTry: false},
+			name: 'a stream that is resumed on another server waits for most of its caller\'s patience', over: {hasPartialAnswer: true}, now: 6000, expected: {class: 'quick', latestStart: 8880, isSingleTry: false},
 		},
 		{
-			name: 'a plain service\'s request waits for most of its caller\'s patience', over: {poolKind: 'plain'}, now: 1000, expected: {class: 'quick', latestStart: 3880, isSingleTry: false},
+			name: 'a request for a plain service waits for most of its caller\'s patience', over: {poolKind: 'plain'}, now: 1000, expected: {class: 'quick', latestStart: 3880, isSingleTry: false},
 		},
 		{
-			name: 'on the own interface it waits for its first token\'s target, from now on', over: {then: ownThen, poolKind: 'plain'}, now: 2000, expected: {class: 'quick', latestStart: 2900, isSingleTry: false},
+			name: 'a request without a relay policy waits for its first-token target, counted from now', over: {then: ownThen, poolKind: 'plain'}, now: 2000, expected: {class: 'quick', latestStart: 2900, isSingleTry: false},
 		},
 	];
 	for (const {name, over, now, expected} of cases) {
@@ -64,7 +64,7 @@
 });
 
 describe('toEarlierWaitMs', () => {
-	it('is what a caller has used up of its rule\'s time, and never below nothing', () => {
+	it('is the time that a caller has used up of its rule\'s target, and never negative', () => {
 		assert.deepEqual([14_000, 11_500, 20_000, undefined].map(waitsMs => toEarlierWaitMs({then, callerTimeoutMs: waitsMs})), [0, 2500, 0, 0]);
 	});
 });
