--- a/src/domain/create-leaving-overrides/index.ts
+++ b/src/domain/create-leaving-overrides/index.ts
@@ -51,7 +51,7 @@
 const defaultFirstProbeMs = 5 * msPerSecond;
 const defaultMaxProbeMs = 5 * msPerMinute;
 
-/** If a new override starts within this time after an accepted probe ended the previous one, the probe delay continues to double instead of starting anew. */
+/** If a new override starts within this time after an accepted probe ended the previous one, the probe delay continues to double instead of starting again at the first delay. */
 const repeatWindowMs = msPerMinute;
 
 /**
@@ -97,7 +97,7 @@
 	}
 
 	/** Finds the override that applies to a report. For the first report after another host polled the server, the override is started or ended as that host left it. */
-	function findOverride({server, state}: LoadReport, now: Milliseconds, {wasLeaving, previousState: stateBefore}: ReportContext): Override | undefined {
+	function findOverride({server, state}: LoadReport, now: Milliseconds, {wasLeaving, previousState}: ReportContext): Override | undefined {
 		const isFirst = !polled.has(server);
 		polled.add(server);
 		const override = overrides.get(server);
@@ -106,7 +106,7 @@
 			return undefined;
 		}
 
-		const isNew = override === undefined && (state === 'leaving' || (isFirst && stateBefore === 'leaving'));
+		const isNew = override === undefined && (state === 'leaving' || (isFirst && previousState === 'leaving'));
 		return isNew ? start(server, now) : override;
 	}
 
--- a/src/domain/create-leaving-overrides/test.ts
+++ b/src/domain/create-leaving-overrides/test.ts
@@ -41,7 +41,9 @@
 	['starts again with the first delay after the server itself reported leaving and then serving', [
 		[0, free], [1, refused], [2, {kind: 'report', state: 'leaving', gives: 'leaving'}], [3, free], [4, refused], [9, {kind: 'probe', accepted: true}],
 	]],
-	['ends the override when the platform listed the server as leaving and then as serving', [[0, free], [1, refused], [2, {kind: 'report', listed: true, gives: 'leaving'}], [20, {kind: 'no-probe'}], [21, free]]],
+	['ends the override when the platform listed the server as leaving and then as serving', [
+		[0, free], [1, refused], [2, {kind: 'report', listed: true, gives: 'leaving'}], [20, {kind: 'no-probe'}], [21, free],
+	]],
 	['starts again with the first delay when a server refuses a minute after it accepted a probe', [
 		[100, free], [101, refused], [102, overridden], [106, {kind: 'probe', accepted: true}], [166, refused], [170, {kind: 'no-probe'}], [171, {kind: 'probe', accepted: true}],
 	]],
--- a/src/domain/create-pause-guard/index.ts
+++ b/src/domain/create-pause-guard/index.ts
@@ -33,7 +33,7 @@
  * ```ts
  * const guard = createPauseGuard({limitMs: 2000, startedAt: 0});
  * guard.note(60_000); // => 60000
- * guard.toSoundTime(0, 60_001); // => 0
+ * guard.toValidAsOf(0, 60_001); // => 0
  * ```
  */
 export function createPauseGuard({limitMs, startedAt}: {limitMs: Milliseconds; startedAt: Milliseconds}): PauseGuard {
--- a/src/domain/create-placement/_lib/create-eligibility.ts
+++ b/src/domain/create-placement/_lib/create-eligibility.ts
@@ -91,8 +91,8 @@
 		living.set(host.zone, living.get(host.zone) === true || host.life === 'alive');
 	}
 
-	const cut = [...living].filter(([zone, isAlive]) => !isAlive && zone !== ownZone).map(([zone]) => zone);
-	return new Set(cut);
+	const partitioned = [...living].filter(([zone, isAlive]) => !isAlive && zone !== ownZone).map(([zone]) => zone);
+	return new Set(partitioned);
 };
 
 export type EligibilityOptions = {
@@ -133,18 +133,18 @@
 
 		sweptAt = now;
 		partitionedZones = toPartitionedZones(view, zone);
-		let isLocalLost = false;
+		let isOwnZoneAffected = false;
 		for (const entry of servers.values()) {
-			const isLost = partitionedZones.has(entry.zone) || view.servers.get(entry.id)?.reachable === false;
-			if (isLost) {
-				isLocalLost ||= entry.zone === zone;
+			const isUnreachable = partitionedZones.has(entry.zone) || view.servers.get(entry.id)?.reachable === false;
+			if (isUnreachable) {
+				isOwnZoneAffected ||= entry.zone === zone;
 				unreachable.add(entry.id);
 			} else if (unreachable.delete(entry.id)) {
 				health.noteReturn(toSubject(entry), now);
 			}
 		}
 
-		suspectGroups = isLocalLost ? toSuspectGroups(view, servers, zone) : new Set();
+		suspectGroups = isOwnZoneAffected ? toSuspectGroups(view, servers, zone) : new Set();
 	};
 
 	const toRemainingPauseMs = (server: ServerId, now: Milliseconds): Milliseconds => Math.max(0, (pausedUntil.get(server) ?? -Infinity) - now);
@@ -173,8 +173,8 @@
 		}
 
 		const isOld = reachableAt !== undefined && !isRecent(reachableAt, now);
-		const isDoubted = isLastResort === true || isOld || (entry.zone === zone && suspectGroups.has(toGroup(entry)));
-		return isDoubted ? 'doubted' : 'unreachable';
+		const isSuspect = isLastResort === true || isOld || (entry.zone === zone && suspectGroups.has(toGroup(entry)));
+		return isSuspect ? 'doubted' : 'unreachable';
 	};
 
 	const toHealthReason = (server: ServerId, now: Milliseconds, share: number): PassedOverReason | undefined => {
@@ -220,8 +220,8 @@
 
 		const reported = status?.load === undefined ? undefined : toMismatch(entry, status.load, wanted);
 		const ownReason = toHealthReason(id, now, share);
-		const doubt = ownReason === 'ejected' && query.isLastResort ? 'doubted' : ownReason;
-		return reported ?? doubt ?? reachReason ?? (entry.role !== 'plain' && now - loadAt > staleAfterMs ? 'unknown-load' : undefined);
+		const healthReason = ownReason === 'ejected' && query.isLastResort ? 'doubted' : ownReason;
+		return reported ?? healthReason ?? reachReason ?? (entry.role !== 'plain' && now - loadAt > staleAfterMs ? 'unknown-load' : undefined);
 	};
 
 	return {
--- a/src/domain/create-placement/_lib/create-feedback.ts
+++ b/src/domain/create-placement/_lib/create-feedback.ts
@@ -73,7 +73,9 @@
  * @param options - Records to update.
  * @returns The `note…` functions of a placement; each is idempotent per placement and stage.
  */
-export const createFeedback = ({loads, health, eligibility, prefixes, tokenLatency, prefillThroughput, split, readPeerLoad, lengths, learned, tokensPerBlock, toSubject, cooldowns, noteSent}: FeedbackOptions) => {
+export const createFeedback = ({
+	loads, health, eligibility, prefixes, tokenLatency, prefillThroughput, split, readPeerLoad, lengths, learned, tokensPerBlock, toSubject, cooldowns, noteSent,
+}: FeedbackOptions) => {
 	const running = new WeakMap<Placement | PlainPlacement, Progress>();
 
 	const toPrefillTokens = (placement: Placement): number => placement.promptTokens - placement.expectedCachedTokens;
--- a/src/domain/create-placement/_lib/create-unreported-search.ts
+++ b/src/domain/create-placement/_lib/create-unreported-search.ts
@@ -139,7 +139,12 @@
 
 		const toPrefillMs = ({entry, load}: Candidate): Milliseconds =>
 			((load.ownPromptTokens + readPeerLoad(entry.id, now).promptTokens + promptTokens) / prefillThroughput.read(entry.id)) + (entry.zone === decode.entry.zone ? 0 : crossZoneTransferMs);
-		const best = search.isOneCall ? undefined : pickCheapest(readAll(search.servers.prefill, search, isLastResort), candidate => toPrefillMs(candidate) + random() + (cooldowns.toLevel(candidate.entry, now) * cooldownPenaltyMs));
+		const best = search.isOneCall
+			? undefined
+			: pickCheapest(
+				readAll(search.servers.prefill, search, isLastResort),
+				candidate => toPrefillMs(candidate) + random() + (cooldowns.toLevel(candidate.entry, now) * cooldownPenaltyMs),
+			);
 		const decodeOnlyMs = promptTokens / prefillThroughput.read(decode.entry.id) / decodePrefillSpeed;
 		// Replaced servers may all return as decode servers, and a partition may leave a zone with decode servers only. Decode
 		// servers can compute prompts too, slower and between the tokens of their streams. Without this fallback every request
--- a/src/domain/create-placement/index.ts
+++ b/src/domain/create-placement/index.ts
@@ -294,7 +294,20 @@
 		/** In-flight load of this host at each server. */
 		ownLoads: loads.ownLoads,
 		...createFeedback({
-			loads, health, eligibility, prefixes, tokenLatency, prefillThroughput, split, readPeerLoad: options.readPeerLoad ?? readNoPeerLoad, lengths, learned, tokensPerBlock, toSubject, cooldowns, noteSent: spills.noteSent,
+			loads,
+			health,
+			eligibility,
+			prefixes,
+			tokenLatency,
+			prefillThroughput,
+			split,
+			readPeerLoad: options.readPeerLoad ?? readNoPeerLoad,
+			lengths,
+			learned,
+			tokensPerBlock,
+			toSubject,
+			cooldowns,
+			noteSent: spills.noteSent,
 		}),
 	};
 };
--- a/src/domain/create-placement/summaries.test.ts
+++ b/src/domain/create-placement/summaries.test.ts
@@ -17,16 +17,16 @@
 ]));
 const config = toConfig(servers, {zones: [{id: 'a', region: 'r'}, {id: 'b', region: 'r'}, {id: 'c', region: 'r'}, {id: 'far', region: 's'}]});
 
-type Said = {free: number; waitMs?: number; at?: number};
+type SummaryFields = {free: number; waitMs?: number; at?: number};
 
 /** A view with load reports of zone a, whose decode servers are full unless changed, and summaries of the other zones. */
-function toFleet(said: Readonly<Record<string, Said>>, {used = 20, queuedTokens = 0}: {used?: number; queuedTokens?: number} = {}) {
+function toFleet(fields: Readonly<Record<string, SummaryFields>>, {used = 20, queuedTokens = 0}: {used?: number; queuedTokens?: number} = {}) {
 	const statuses = servers.map((entry): ServerStatus => entry.zone === 'a'
 		? {...toStatus(entry, 1000), load: toReport(entry, entry.role === 'decode' ? {slotsUsed: used} : {queuedTokens})}
 		: {
 			id: entry.id, leaving: false, load: undefined, loadAt: 0, reachable: undefined,
 		});
-	const zones = Object.entries(said).map(([zone, {free, waitMs = 0, at = 1000}]) => [zone, {
+	const zones = Object.entries(fields).map(([zone, {free, waitMs = 0, at = 1000}]) => [zone, {
 		zone, at, rows: [
 			{
 				pool: 'main', role: 'prefill' as const, servers: 4, free: 8, waitMs,
--- a/src/domain/create-spill-chooser/index.ts
+++ b/src/domain/create-spill-chooser/index.ts
@@ -38,7 +38,7 @@
 
 export type SpillChooser = {
 	/** Processes each new view, to notice zones that have come back. */
-	update: (view: FleetView, cutZones: ReadonlySet<ZoneId>, now: Milliseconds) => void;
+	update: (view: FleetView, partitionedZones: ReadonlySet<ZoneId>, now: Milliseconds) => void;
 	choose: (query: SpillQuery) => SpillChoice;
 	/** Fills an unknown load of a server with the mean load of its role in the summary of its zone. */
 	fillUnknownLoad: (entry: ServerEntry, load: ServerLoad, view: FleetView, now: Milliseconds) => ServerLoad;
@@ -79,7 +79,7 @@
 	const sentAt = new Map<string, Milliseconds[]>();
 	const presences = new Map<string, Presence>();
 	let partitionedZones: ReadonlySet<ZoneId> = new Set();
-	let lastSeen: {zones: FleetView['zones']; cut: ReadonlySet<ZoneId>} | undefined;
+	let lastSeen: {zones: FleetView['zones']; partitionedZones: ReadonlySet<ZoneId>} | undefined;
 
 	const isFresh = (summary: ZoneSummary | undefined, now: Milliseconds): boolean => summary !== undefined && now - summary.at < staleAfterMs;
 
@@ -118,13 +118,13 @@
 	}
 
 	return {
-		update(view, cutZones, now) {
-			partitionedZones = cutZones;
-			if (lastSeen?.zones === view.zones && lastSeen?.cut === cutZones) {
+		update(view, nextPartitionedZones, now) {
+			partitionedZones = nextPartitionedZones;
+			if (lastSeen?.zones === view.zones && lastSeen?.partitionedZones === nextPartitionedZones) {
 				return;
 			}
 
-			lastSeen = {zones: view.zones, cut: cutZones};
+			lastSeen = {zones: view.zones, partitionedZones: nextPartitionedZones};
 			const config = view.zones?.size ? view.accepted?.config : undefined;
 			for (const {name} of config?.pools ?? []) {
 				for (const {id} of config?.zones ?? []) {
--- a/src/domain/create-spill-chooser/test.ts
+++ b/src/domain/create-spill-chooser/test.ts
@@ -10,7 +10,7 @@
 const zones = ['a', 'b', 'c', 'far'];
 const config = toConfig(zones.map(zone => toServer(`${zone}-d`, 'decode', {zone})));
 const [, ofB, ofC] = config.servers;
-const noCut: ReadonlySet<string> = new Set();
+const noPartition: ReadonlySet<string> = new Set();
 const toNeighbour = (id: string): HostStatus => ({
 	id, zone: 'a', life: 'alive', incarnation: 1, entryAddress: '', agentAddress: '', leaving: false,
 });
@@ -18,8 +18,8 @@
 type SummaryFields = {free?: number; waitMs?: number; servers?: number; at?: number};
 
 /** A view of a host in zone a with these summaries. */
-function toSummarised(said: Readonly<Record<string, SummaryFields>>, hosts: readonly string[] = ['h1']): FleetView {
-	const summaries = Object.entries(said).map(([zone, {free = 100, waitMs = 0, servers = 10, at = 0}]) => [zone, {
+function toSummarised(fields: Readonly<Record<string, SummaryFields>>, hosts: readonly string[] = ['h1']): FleetView {
+	const summaries = Object.entries(fields).map(([zone, {free = 100, waitMs = 0, servers = 10, at = 0}]) => [zone, {
 		zone, at, rows: [
 			{
 				pool: 'main', role: 'prefill' as const, servers, free: 1, waitMs,
@@ -56,9 +56,9 @@
 		['chooses none where prompts wait too long', {b: {waitMs: 2000}}, {none: 1}],
 		['chooses another region last', {b: {free: 0}, c: {free: 0}, far: {}}, {far: 1}],
 	];
-	for (const [name, said, expected] of rows) {
+	for (const [name, fields, expected] of rows) {
 		it(name, () => {
-			assert.deepEqual(toShares(createSpillChooser({zone: 'a'}), toSummarised(said), 0), expected);
+			assert.deepEqual(toShares(createSpillChooser({zone: 'a'}), toSummarised(fields), 0), expected);
 		});
 	}
 
@@ -83,20 +83,20 @@
 
 	const losses: Array<[string, FleetView, ReadonlySet<string>]> = [
 		['was partitioned', toSummarised({b: {at: 900}, c: {at: 900}}), new Set(['b'])],
-		['had lost its servers', toSummarised({b: {servers: 0, free: 0, at: 900}, c: {at: 900}}), noCut],
-		['had no summary', toSummarised({c: {at: 900}}), noCut],
+		['had lost its servers', toSummarised({b: {servers: 0, free: 0, at: 900}, c: {at: 900}}), noPartition],
+		['had no summary', toSummarised({c: {at: 900}}), noPartition],
 	];
-	for (const [name, lost, cut] of losses) {
+	for (const [name, lost, partitioned] of losses) {
 		it(`returns gradually to a zone that ${name}`, () => {
 			const chooser = createSpillChooser({zone: 'a'});
-			chooser.update(toSummarised({b: {}, c: {}}), noCut, 0);
+			chooser.update(toSummarised({b: {}, c: {}}), noPartition, 0);
 			assert.deepEqual(toShares(chooser, toSummarised({b: {}, c: {}}), 0), {b: 0.5, c: 0.5}, 'a zone that was never missing has no ramp');
-			chooser.update(lost, cut, 1000);
+			chooser.update(lost, partitioned, 1000);
 			const back = toSummarised({b: {at: 1900}, c: {at: 1900}});
-			chooser.update(back, noCut, 2000);
+			chooser.update(back, noPartition, 2000);
 			assert.deepEqual(toShares(chooser, back, 2000), {b: 0.1, c: 0.9});
 			const later = toSummarised({b: {at: 12_000}, c: {at: 12_000}});
-			chooser.update(later, noCut, 12_000);
+			chooser.update(later, noPartition, 12_000);
 			assert.deepEqual(toShares(chooser, later, 12_000), {b: 0.5, c: 0.5});
 		});
 	}
--- a/src/domain/pick-spill-zone/test.ts
+++ b/src/domain/pick-spill-zone/test.ts
@@ -45,7 +45,7 @@
 		['returns gradually to a zone that came back', [toZone('b', {returnedAt: now}), toZone('c')], {b: 0.1 / 1.1, c: 1 / 1.1}],
 		['limits requests to such a zone even if no other zone is near', [toZone('b', {returnedAt: now, spilled: 10}), toZone('far', {distance: 1})], {far: 1}],
 		['uses the full room of such a zone after the ramp', [toZone('b', {returnedAt: now - 10_000}), toZone('c')], {b: 0.5, c: 0.5}],
-		['shares requests in proportion to the free room of the summaries when no room is left by the estimate', [toZone('b', {free: 300, spilled: 300}), toZone('far', {spilled: 100, distance: 1})], {b: 0.75, far: 0.25}],
+		['picks in proportion to the reported room when no room is left', [toZone('b', {free: 300, spilled: 300}), toZone('far', {spilled: 100, distance: 1})], {b: 0.75, far: 0.25}],
 		['returns nothing when no zone has room', [toZone('b', {free: 0}), toZone('c', {free: 0})], {none: 1}],
 		['returns nothing when all summaries are stale', [toZone('b', {at: now - 20_000}), toZone('c', {at: -Infinity})], {none: 1}],
 		['returns nothing without zones', [], {none: 1}],
--- a/src/domain/to-pool-capacity/test.ts
+++ b/src/domain/to-pool-capacity/test.ts
@@ -46,7 +46,7 @@
 		['uses the slots that servers report', toView(both, [], [status('d1', {load: load(16, 4)})]), {slots: 36, share: 1, used: 4}],
 		['does not count a server that is leaving, nor an unreachable one while another is reachable', toView([...both, server('d4', 'b')], [], [left, lost]), {slots: 20, share: 1}],
 		['counts unreachable servers when no other is left', toView(both, [], [status('d1', {reachable: false}), status('d2', {reachable: false})]), {slots: 40, share: 1}],
-		['does not count a server that is leaving, even when no other is left', toView(both, [], [status('d1', {leaving: true}), status('d2', {leaving: true, reachable: false})]), {slots: 0, share: 1}],
+		['does not count a leaving server, even when no other is left', toView(both, [], [status('d1', {leaving: true}), status('d2', {leaving: true, reachable: false})]), {slots: 0, share: 1}],
 		['does not count a prefill server', toView([server('p1', 'a', {role: 'prefill'}), server('d1', 'a')], [], []), {slots: 20, share: 1}],
 	];
 	for (const [name, view, expected] of cases) {
--- a/src/domain/to-wait-policy/index.ts
+++ b/src/domain/to-wait-policy/index.ts
@@ -38,8 +38,8 @@
  * @param input - The rule, and the caller's remaining timeout.
  * @returns Milliseconds by which the remaining timeout is below the rule's completion target, at least 0; a caller may also have started with a shorter timeout.
  */
-export function toEarlierWaitMs({then, callerTimeoutMs: waitsMs}: Pick<WaitPolicyInput, 'then' | 'callerTimeoutMs'>): Milliseconds {
-	return waitsMs === undefined ? 0 : Math.max(0, then.target.completeMs - waitsMs);
+export function toEarlierWaitMs({then, callerTimeoutMs}: Pick<WaitPolicyInput, 'then' | 'callerTimeoutMs'>): Milliseconds {
+	return callerTimeoutMs === undefined ? 0 : Math.max(0, then.target.completeMs - callerTimeoutMs);
 }
 
 /**
@@ -70,12 +70,12 @@
  *
  * @example
  * ```ts
- * toWaitPolicy({then, poolKind: 'model', receivedAt: 0, deadline: 14_000, waitsMs: 14_000, leastReturnMs: 3600, hasBegun: false}, 0).latestStart; // => then.target.firstTokenMs
+ * toWaitPolicy({then, poolKind: 'model', receivedAt: 0, deadline: 14_000, callerTimeoutMs: 14_000, minRetryAfterMs: 3600, hasPartialAnswer: false}, 0).latestStart; // => then.target.firstTokenMs
  * ```
  */
 export function toWaitPolicy(input: WaitPolicyInput, now: Milliseconds): WaitPolicy {
 	const {
-		then, poolKind, receivedAt, deadline, hasPartialAnswer: hasBegun,
+		then, poolKind, receivedAt, deadline, hasPartialAnswer,
 	} = input;
 	const {relay, target, class: serviceClass} = then;
 	if (relay === undefined) {
@@ -83,7 +83,7 @@
 		return {class: serviceClass, latestStart: Math.min(deadline, now + target.firstTokenMs), isSingleTry: false};
 	}
 
-	if (hasBegun) {
+	if (hasPartialAnswer) {
 		return {class: serviceClass, latestStart: Math.min(deadline, now + (relay.patienceMs * patienceShare)), isSingleTry: false};
 	}
 
--- a/src/domain/to-wait-policy/test.ts
+++ b/src/domain/to-wait-policy/test.ts
@@ -38,7 +38,10 @@
 			name: 'a retry asks once', over: {callerTimeoutMs: 11_000, deadline: 12_000}, now: 1000, expected: {class: 'batch', latestStart: 12_000, isSingleTry: true},
 		},
 		{
-			name: 'a request whose caller started with a slightly shorter timeout counts as new', over: {callerTimeoutMs: 11_900, deadline: 12_900}, now: 1000, expected: {class: 'quick', latestStart: 1900, isSingleTry: false},
+			name: 'a request whose caller started with a slightly shorter timeout counts as new',
+			over: {callerTimeoutMs: 11_900, deadline: 12_900},
+			now: 1000,
+			expected: {class: 'quick', latestStart: 1900, isSingleTry: false},
 		},
 		{
 			name: 'a request without a caller timeout counts as new', over: {callerTimeoutMs: undefined}, now: 1000, expected: {class: 'quick', latestStart: 1900, isSingleTry: false},
@@ -47,13 +50,19 @@
 			name: 'no wait exceeds the deadline', over: {deadline: 1400}, now: 1000, expected: {class: 'quick', latestStart: 1400, isSingleTry: false},
 		},
 		{
-			name: 'a stream that is resumed on another server waits for most of its caller\'s patience', over: {hasPartialAnswer: true}, now: 6000, expected: {class: 'quick', latestStart: 8880, isSingleTry: false},
+			name: 'a stream that is resumed on another server waits for most of its caller\'s patience',
+			over: {hasPartialAnswer: true},
+			now: 6000,
+			expected: {class: 'quick', latestStart: 8880, isSingleTry: false},
 		},
 		{
 			name: 'a request for a plain service waits for most of its caller\'s patience', over: {poolKind: 'plain'}, now: 1000, expected: {class: 'quick', latestStart: 3880, isSingleTry: false},
 		},
 		{
-			name: 'a request without a relay policy waits for its first-token target, counted from now', over: {then: ownThen, poolKind: 'plain'}, now: 2000, expected: {class: 'quick', latestStart: 2900, isSingleTry: false},
+			name: 'a request without a relay policy waits for its first-token target, counted from now',
+			over: {then: ownThen, poolKind: 'plain'},
+			now: 2000,
+			expected: {class: 'quick', latestStart: 2900, isSingleTry: false},
 		},
 	];
 	for (const {name, over, now, expected} of cases) {
@@ -65,6 +74,6 @@
 
 describe('toEarlierWaitMs', () => {
 	it('is the time that a caller has used up of its rule\'s target, and never negative', () => {
-		assert.deepEqual([14_000, 11_500, 20_000, undefined].map(waitsMs => toEarlierWaitMs({then, callerTimeoutMs: waitsMs})), [0, 2500, 0, 0]);
+		assert.deepEqual([14_000, 11_500, 20_000, undefined].map(callerTimeoutMs => toEarlierWaitMs({then, callerTimeoutMs})), [0, 2500, 0, 0]);
 	});
 });
