--- a/src/domain/omit-contacts/index.ts
+++ b/src/domain/omit-contacts/index.ts
@@ -1,19 +1,19 @@
 import {type HostStatus} from '../../ports/view.js';
 import {pickZoneContacts} from '../pick-zone-contacts/index.js';
 
-/** Live hosts from which on a zone does without its contacts; in a smaller one each is needed. */
-const manyHosts = 16;
+/** Minimum number of live hosts in a zone whose contacts are left out; in a smaller zone every host is needed. */
+const minHosts = 16;
 
 type Candidate = Pick<HostStatus, 'id' | 'zone' | 'life'>;
 
 /**
- * Leaves out the two contacts of each large zone, so that they poll no servers:
- * they speak for the zone with all others, and to tell polled loads as well
- * would take them over a host's bytes a second, while the others hardly notice
- * a sixteenth more.
+ * Leaves out the two contacts of each large zone, so that they poll no servers.
+ * Contacts exchange messages with all other zones; if they also sent the loads that
+ * they poll, they would exceed the limit of a host's bytes a second, while the load of
+ * the other hosts grows by about a sixteenth only.
  *
  * @param hosts - Live hosts.
- * @returns Those that poll.
+ * @returns The hosts that poll.
  *
  * @example
  * ```ts
@@ -28,6 +28,6 @@
 		byZone.set(host.zone, list);
 	}
 
-	const contacts = new Set([...byZone].flatMap(([zone, list]) => list.length < manyHosts ? [] : pickZoneContacts(zone, list)));
+	const contacts = new Set([...byZone].flatMap(([zone, list]) => list.length < minHosts ? [] : pickZoneContacts(zone, list)));
 	return hosts.filter(({id}) => !contacts.has(id));
 }
--- a/src/domain/parse-fleet-list/index.ts
+++ b/src/domain/parse-fleet-list/index.ts
@@ -23,10 +23,10 @@
 }
 
 /**
- * Reads the platform's `fleet` value.
+ * Parses the platform's `fleet` value.
  *
  * @param text - JSON text.
- * @returns The list, or what is wrong and where. A list with one bad item is refused whole: taking the rest would make the item's host look gone.
+ * @returns The list, or an error that says which item is invalid. A list with one invalid item is rejected as a whole: without the item, its host would count as gone.
  *
  * @example
  * ```ts
--- a/src/domain/parse-fleet-list/test.ts
+++ b/src/domain/parse-fleet-list/test.ts
@@ -6,7 +6,7 @@
 const host = {id: 'dvorana-a-1', state: 'live', peerAddress: '10.0.0.1:7401'};
 
 describe('parseFleetList', () => {
-	it('reads a whole list', () => {
+	it('parses a valid list', () => {
 		const list = {hosts: [host], servers: [{id: 's', state: 'leaving'}]};
 		assert.deepEqual(parseFleetList(JSON.stringify(list))._unsafeUnwrap(), list);
 	});
@@ -18,7 +18,7 @@
 		['an unknown state', JSON.stringify({hosts: [], servers: [{id: 's', state: 'gone'}]}), /Item 0 of servers/v],
 	];
 	for (const [name, text, says] of faults) {
-		it(`refuses ${name} whole and says where`, () => {
+		it(`rejects ${name} and says where the error is`, () => {
 			assert.match(parseFleetList(text)._unsafeUnwrapErr().message, says);
 		});
 	}
--- a/src/domain/pick-version/index.ts
+++ b/src/domain/pick-version/index.ts
@@ -1,4 +1,4 @@
-/** Shares requests by weight between versions of weights. */
+/** Splits requests by weight between versions of a model's weights. */
 import {pickWeighted} from '../../_lib/pick-weighted/index.js';
 import {type Random} from '../../ports/clock.js';
 import {type RuleThen} from '../../ports/config.js';
@@ -6,9 +6,9 @@
 /**
  * Picks a version by its weight.
  *
- * @param then - What the deciding rule says.
+ * @param then - The `then` part of the matching rule.
  * @param random - Source of one number in [0, 1).
- * @returns The version, or `undefined` when the rule names none, which means the pool's own.
+ * @returns The version, or `undefined` when the rule names none, so that the pool's own version applies.
  *
  * @example
  * ```ts
--- a/src/domain/pick-version/test.ts
+++ b/src/domain/pick-version/test.ts
@@ -4,7 +4,7 @@
 import {pickVersion} from './index.js';
 
 describe('pickVersion', () => {
-	it('leaves the choice to the pool when the rule names no version', () => {
+	it('returns no version when the rule names none', () => {
 		assert.equal(pickVersion({versions: []}, () => 0.5), undefined);
 	});
 
--- a/src/domain/plan-rollout/_lib/create-pairs.ts
+++ b/src/domain/plan-rollout/_lib/create-pairs.ts
@@ -4,28 +4,28 @@
 
 type ModelRole = 'prefill' | 'decode';
 
-/** Servers of a pool, or of one zone of it, by version of weights. */
+/** Number of servers in each role of a pool, or of one zone of it, by version of weights. */
 type Versions = Map<string, Record<ModelRole, number>>;
 
 export type PairsOptions = {
 	view: FleetView;
 	accepted: AcceptedConfig;
-	/** Whether a server serves as published. */
+	/** Whether a server serves in its published role. */
 	isCopy: (entry: ServerEntry) => boolean;
-	/** Version wanted on each server. */
+	/** Wanted version of each server. */
 	wanted: ReadonlyMap<ServerId, string>;
 };
 
 export type Pairs = {
-	/** Whether taking one more server leaves the pool without a pair that it has. */
+	/** Whether the pool has a pair now and would have none without this server. */
 	isLastOfPool: (entry: ServerEntry) => boolean;
 	/** The same for the server's zone. */
 	isLastOfZone: (entry: ServerEntry) => boolean;
 	hasZonePair: (pool: string, zone: ZoneId) => boolean;
-	/** Whether the zone has a pair once all its servers are as wanted. */
+	/** Whether the zone has a pair once all its servers have their wanted version. */
 	hasWantedPair: (pool: string, zone: ZoneId) => boolean;
-	/** Whether the zone cannot change weights without a while in which it has no pair: it has one server in a role, or what is wanted of it has no pair. */
-	isNarrow: (pool: string, zone: ZoneId) => boolean;
+	/** Whether the zone cannot change weights without a gap, a time in which it has no pair: it has one server in a role, or its wanted versions form no pair. */
+	needsGap: (pool: string, zone: ZoneId) => boolean;
 	/** Zones that have servers of the pool. */
 	zones: (pool: string) => ReadonlySet<ZoneId>;
 	/** Counts the server as out of service from here on. */
@@ -50,11 +50,11 @@
 	});
 
 /**
- * Knows the prefill and decode servers of a pool, and of each zone of it, that
- * can work together. A cache never goes to other weights, so a pool whose
- * prefill servers all have the new version and whose decode servers all have
- * the old one answers nobody, although each role has copies that serve. The
- * same holds of a zone that is cut off.
+ * Tracks the pairs of a pool, and of each zone of it: a prefill and a decode server
+ * with the same version of weights. A KV cache is never sent to a server with other
+ * weights, so a pool whose prefill servers all have the new version and whose decode
+ * servers all have the old one cannot answer any request, although each role has
+ * servers that serve. The same holds for a zone that is cut off.
  *
  * @param options - See {@link PairsOptions}.
  * @returns See {@link Pairs}.
@@ -95,7 +95,7 @@
 		isLastOfZone: entry => isLast(toZoneKey(entry.pool, entry.zone), entry),
 		hasZonePair: (pool, zone) => hasPair(serving.get(toZoneKey(pool, zone))),
 		hasWantedPair,
-		isNarrow(pool, zone) {
+		needsGap(pool, zone) {
 			const key = toZoneKey(pool, zone);
 			return !hasWantedPair(pool, zone) || countWanted(key, 'prefill') === 1 || countWanted(key, 'decode') === 1;
 		},
--- a/src/domain/plan-rollout/_lib/create-stand-ins.ts
+++ b/src/domain/plan-rollout/_lib/create-stand-ins.ts
@@ -12,7 +12,7 @@
 
 const roles = ['prefill', 'decode'] as const;
 
-/** Zones of which the view knows hosts and none is alive: cut off, or all gone, which look the same from here. */
+/** Returns the zones with known hosts of which none is alive. They may be cut off or down, which look the same to this host. */
 const toCutZones = (view: FleetView): ReadonlySet<ZoneId> => {
 	const living = new Map<ZoneId, boolean>();
 	for (const {zone, life} of view.hosts.values()) {
@@ -23,13 +23,13 @@
 };
 
 /**
- * Knows whether other zones can answer the callers of a zone that has no pair
- * of its own for the time of a load. Placement sends to other zones of the
- * region that are not cut off, so these count, with the slots that their
- * servers have free against those that the zone uses now.
+ * Determines whether other zones can serve the requests of a zone while a load leaves
+ * it without a pair of its own. Placement sends to other zones of the region that
+ * are not cut off, so only these count: their servers must have as many free slots
+ * as the zone uses now, in each role.
  *
- * @param options - The view, the configuration, and what serves.
- * @returns `canStandIn`: whether they can for that pool and zone; `toNeighbours`: other zones of the region with servers of the pool.
+ * @param options - The view, the configuration, the servers that serve, and the pairs.
+ * @returns `canStandIn`: whether other zones can serve the requests of that pool and zone; `toNeighbours`: other zones of the region with servers of the pool; `toRegion`: the region of a zone.
  */
 export const createStandIns = ({view, accepted, isCopy, pairs}: StandInsOptions) => {
 	const cut = toCutZones(view);
--- a/src/domain/plan-rollout/_lib/to-groups.ts
+++ b/src/domain/plan-rollout/_lib/to-groups.ts
@@ -6,7 +6,7 @@
 
 export type GroupState = {
 	size: number;
-	/** Servers that serve the pool's model in the role published, by fresh reports. */
+	/** Servers that serve the pool's model in the published role, by fresh reports. */
 	copies: ReadonlySet<ServerId>;
 };
 
@@ -24,7 +24,7 @@
  *
  * @param view - What servers report.
  * @param accepted - The configuration in force.
- * @param oldestAt - Reports from before this monotonic time prove nothing.
+ * @param oldestAt - Monotonic time before which reports are stale, and ignored.
  * @returns State by group, see `toGroup`.
  */
 export const toGroups = (view: FleetView, accepted: AcceptedConfig, oldestAt: Milliseconds): ReadonlyMap<string, GroupState> => {
--- a/src/domain/plan-rollout/_test/rollout-model.ts
+++ b/src/domain/plan-rollout/_test/rollout-model.ts
@@ -1,8 +1,8 @@
 /**
- * A fleet's rollout on a logical clock, for the properties and figures of
- * orders: hosts that see reports and editions late, sleep between decision and
- * sending, or stand on two sides of a cut, and servers that load. What each
- * order took away is judged by what the servers truly served.
+ * A model of a fleet's rollout on a logical clock, for property tests and benches of
+ * orders: hosts that see reports and editions late, pause between decision and
+ * sending, or are on two sides of a partition, and servers that load. The effect of
+ * each order is checked against the actual state of the servers.
  */
 import {type Milliseconds, type Random} from '../../../ports/clock.js';
 import {type AcceptedConfig, type RolloutPolicy, type ServerEntry} from '../../../ports/config.js';
@@ -21,31 +21,31 @@
 	/** Versions published, and when. */
 	editions: ReadonlyArray<{at: Milliseconds; version: string}>;
 	endAt: Milliseconds;
-	/** While it lasts, hosts of zones from the second on hear neither the platform nor the first zone. */
+	/** A partition: while it lasts, all zones but the first reach neither the platform nor the first zone. */
 	cut?: {from: Milliseconds; to: Milliseconds; reachesServers: boolean};
-	/** A server that is down for a while. */
+	/** A server that is down for some time. */
 	down?: {server: string; from: Milliseconds; to: Milliseconds};
 	rollout?: RolloutPolicy;
 	/** Whether a server refuses orders of an older edition. */
 	checksFence?: (index: number) => boolean;
-	/** Sleep of a host between its decision and the check, for each round of planning. */
+	/** Pause of a host between its decision and the check before sending, for each round of planning. */
 	toPauseMs?: (host: number, now: Milliseconds) => Milliseconds;
-	/** Time from the check to the arrival. */
+	/** Time from the check to the arrival of an order. */
 	toTravelMs?: (host: number, now: Milliseconds) => Milliseconds;
-	/** Delay with which a host hears of an edition. */
+	/** Delay with which a host receives an edition. */
 	toNewsMs?: (host: number) => Milliseconds;
-	/** Greatest age of what a host sees of a server. */
+	/** Maximum age of the server reports that a host sees. */
 	maxLagMs?: Milliseconds;
 	toLoadMs?: () => Milliseconds;
 	storeSlots?: number;
-	/** Loads beyond `storeSlots` that are no fault. */
+	/** Number of loads beyond `storeSlots` that do not count as a fault. */
 	slackLoads?: number;
-	/** Safeguards to take out. */
+	/** Safeguard to override. */
 	settleMs?: Milliseconds;
 	limits?: OrderLimits;
 };
 
-/** What an order did that none may do. */
+/** A violation by an order: `older` edition, last pair of a `pool` or a `zone`, `two-zones` without a pair, or store `rate` exceeded. */
 export type RolloutFault = {at: Milliseconds; server: string; kind: 'older' | 'pool' | 'zone' | 'two-zones' | 'rate'; version: string};
 
 export type Rollout = {
@@ -55,7 +55,7 @@
 	doneAt: Milliseconds;
 	/** Reasons for which orders were held at the end. */
 	held: readonly HeldReason[];
-	/** Orders that servers took with an effect. */
+	/** Number of orders that changed a server's version. */
 	loads: number;
 };
 
@@ -87,10 +87,10 @@
 };
 
 /**
- * Runs it.
+ * Runs a rollout.
  *
  * @param options - See {@link RolloutOptions}.
- * @returns What orders did, and how it ended.
+ * @returns The faults, the final versions, and the orders held at the end.
  */
 export function runRollout(options: RolloutOptions): Rollout {
 	const {
@@ -220,7 +220,7 @@
 			result.doneAt = server.loadingUntil;
 		}
 
-		// An engine without fences reports whatever it was told last.
+		// An engine that does not check fences reports the fence of its last order.
 		server.fence = order.fence;
 	};
 
@@ -231,7 +231,7 @@
 			const circumstances = toOrderCircumstances(toView(host, now), wanted, {at: pending!.at, version: pending!.version}, now);
 			if (isOrderAllowed(circumstances, options.limits)) {
 				const at = now + toTravelMs(host.index, now);
-				// A host waits for the answers, for so long, before it plans again.
+				// A host waits for answers, up to the call timeout, before it plans again.
 				host.nextPlanAt = Math.max(host.nextPlanAt, Math.min(at, now + callTimeoutMs) + stepMs);
 				flying.push({at, wanted});
 			}
@@ -258,7 +258,7 @@
 				continue;
 			}
 
-			// One who wakes sends before it hears anything new.
+			// A host that wakes up sends before it receives anything new.
 			send(host, now);
 			hear(host, now);
 			look(host, now);
--- a/src/domain/plan-rollout/index.ts
+++ b/src/domain/plan-rollout/index.ts
@@ -1,17 +1,18 @@
 /**
- * Which of the wanted orders may go out now: inside the weight store's rate, a
- * few servers of a group at a time, and never a group's last serving copy, or
- * the last pair of one version of a pool or of one of its zones.
+ * Plans which of the wanted orders may be sent now: within the weight store's rate,
+ * to a few servers of a group at a time, and never to a group's last serving copy, or
+ * to a server of the last pair (a prefill and a decode server with one version of
+ * weights) of a pool or of one of its zones.
  *
- * A zone with one server in a role cannot change weights without a while in
- * which it has no pair. It does so while other zones can stand in, one zone at
- * a time. A pool whose entry says `rollout: allow-gap` does it without them.
+ * A zone with one server in a role cannot change weights without a gap, a time in
+ * which it has no pair. It does so while other zones can serve its requests, one zone
+ * at a time. A pool with `rollout: allow-gap` does so without other zones.
  *
- * Hosts decide apart from one another and see reports late. They still agree,
- * because servers take turns in a fixed order: while the first has not been
- * seen at work or done, every host holds the second back. That, and a wait
- * after each new edition so that two editions are never rolled out at once,
- * keeps the last pair safe without messages between hosts.
+ * Hosts plan independently of one another and see reports late. Their plans are still
+ * consistent, because servers are ordered by a fixed rank: until the first server is
+ * reported as loading or done, every host holds the order of the second. That, and a
+ * wait after each new edition so that two editions are never rolled out at once, keeps
+ * the last pair in service without messages between hosts.
  */
 import {type Milliseconds} from '../../ports/clock.js';
 import {type AcceptedConfig, type ServerEntry} from '../../ports/config.js';
@@ -25,11 +26,11 @@
 import {toGroups, type GroupState} from './_lib/to-groups.js';
 
 export type RolloutPlanOptions = {
-	/** Monotonic time at which this host accepted the first configuration that wants of servers what the one in force does, see `toWeightsKey`. */
+	/** Monotonic time at which this host accepted the first configuration with the same wanted state of servers as the one in force, see `toWeightsKey`. */
 	acceptedAt: Milliseconds;
-	/** Time that must have passed since `acceptedAt`, so that all hosts want the same. */
+	/** Time that must have passed since `acceptedAt`, so that all hosts have the same wanted state. */
 	settleMs?: Milliseconds;
-	/** Age beyond which a report proves nothing. */
+	/** Age beyond which a report is stale, and ignored. */
 	maxReportAgeMs?: Milliseconds;
 	/** Bytes a second at which one server reads weights. */
 	serverBytesPerSecond?: number;
@@ -38,34 +39,34 @@
 };
 
 /**
- * Why an order waits.
+ * Why an order is held.
  *
  * - `settling`: the edition is new, and some hosts may not have it yet.
- * - `overtaken`: a server of the pool took an order of a later edition, so this host's is old.
- * - `unconfirmed`: the platform has not confirmed this host's configuration lately; `giveOrders` says so.
+ * - `overtaken`: a server of the pool accepted an order of a later edition, so this host's edition is old.
+ * - `unconfirmed`: the platform has not confirmed this host's configuration lately; `giveOrders` sets this reason.
  * - `stale-report`: the server has no recent load report.
- * - `last-copy`, `last-pair`, `last-zone-pair`: nothing would serve in the pool's role, the pool, the zone.
- * - `no-stand-in`: the zone would have no pair, and no other zone can answer for it.
+ * - `last-copy`, `last-pair`, `last-zone-pair`: no copy would serve in the pool's role, or no pair in the pool or the zone.
+ * - `no-stand-in`: the zone would have no pair, and no other zone can serve its requests.
  * - `zone-turn`: the zone would have no pair, and another zone has none or comes first.
- * - `turn`: enough servers of the role are out of service already.
- * - `store-rate`: enough servers load already.
+ * - `turn`: the maximum number of servers of the role is out of service already.
+ * - `store-rate`: the maximum number of servers loads already.
  */
 export type HeldReason = 'settling' | 'overtaken' | 'unconfirmed' | 'stale-report' | 'last-copy' | 'last-pair' | 'last-zone-pair' | 'no-stand-in' | 'zone-turn' | 'turn' | 'store-rate';
 
 export type HeldOrder = WantedOrder & {reason: HeldReason};
 
 export type RolloutPlan = {
-	/** Orders to send now, each by the host that looks after the server. */
+	/** Orders to send now, each by the host that is responsible for the server. */
 	orders: WantedOrder[];
-	/** Orders that wait, and for what. */
+	/** Orders that are held, with the reason. */
 	held: readonly HeldOrder[];
 };
 
 /**
- * Longest time after an edition came in force in which an order of the one
- * before may still change what a server reports: a view counts as confirmed for
- * 10 s, an order may be under way for 5 s, and a report may be 5 s old. Were
- * two editions rolled out at once, each could take what the other counts on.
+ * Maximum time after an edition came into force in which an order of the previous
+ * edition may still change a server's report: a view counts as confirmed for 10 s,
+ * an order may be in flight for 5 s, and a report may be 5 s old. If two editions were
+ * rolled out at once, each could take a server out of service that the other relies on.
  */
 const defaultSettleMs = 20_000;
 const defaultMaxReportAgeMs = 5000;
@@ -81,28 +82,30 @@
 	return loading;
 };
 
-/** Pools of which a server took an order of a later edition than the one in force here. */
+/** Returns the pools in which a server accepted an order of a later edition than the one in force on this host. */
 const toOvertakenPools = (view: FleetView, {config, version}: AcceptedConfig): ReadonlySet<string> =>
 	new Set(config.servers.filter(({id}) => (view.servers.get(id)?.load?.fence ?? 0) > version.edition).map(({pool}) => pool));
 
-/** Holds that `allow-gap` lifts: each waits for servers that may never be there. */
+/** Reasons that `allow-gap` overrides: each waits for servers that may never be available. */
 const gapReasons: ReadonlySet<HeldReason> = new Set(['last-copy', 'last-pair', 'last-zone-pair', 'no-stand-in', 'zone-turn', 'turn']);
 
-/** Wanted orders by the fixed order of servers, the same on every host. */
+/** Sorts wanted orders by the rank of their servers, which is the same on every host. */
 const toRanked = (wanted: readonly WantedOrder[]): WantedOrder[] => {
 	const ranks = new Map(wanted.map(({server}) => [server, toRank(server)]));
 	return wanted.toSorted((a, b) => ranks.get(a.server)! < ranks.get(b.server)! ? -1 : 1);
 };
 
 /**
- * @param view - What is known of servers; ages are judged by `now`.
+ * Plans which wanted orders to send now.
+ *
+ * @param view - Reports of servers; their ages are taken at `now`.
  * @param accepted - The configuration in force.
  * @param now - Monotonic milliseconds.
  * @param options - When the configuration was accepted, and limits.
  * @returns Orders to send now, and those held with the reason.
  *
  * @example
- * const {orders, held} = pickLoads(view, accepted, now, {acceptedAt});
+ * const {orders, held} = planRollout(view, accepted, now, {acceptedAt});
  */
 export const planRollout = (view: FleetView, accepted: AcceptedConfig, now: Milliseconds, options: RolloutPlanOptions): RolloutPlan => {
 	const oldestAt = now - (options.maxReportAgeMs ?? defaultMaxReportAgeMs);
@@ -124,14 +127,14 @@
 	const storeSlots = Math.max(1, Math.floor(accepted.config.weightStoreBytesPerSecond / (options.serverBytesPerSecond ?? defaultServerBytesPerSecond)));
 	let freeLoads = storeSlots - countLoading(view);
 
-	/** A server that does not serve as published is no copy, so an order takes nothing away. */
+	/** Whether an order takes a serving copy out of service; a server that does not serve in its published role is not a copy. */
 	const isCopyTaken = ({server, group, isDisruptive}: WantedOrder): boolean => isDisruptive && groups.get(group)?.copies.has(server) === true;
 
 	/**
-	 * Only one zone of a pool and region is without a pair at a time, and the
-	 * first in the fixed order has the turn also while it has to wait. Were it
-	 * passed over by the one host that sees no room for it, another host would
-	 * send its order at the same moment, and two zones would have no pair.
+	 * Returns why an order of the zone's last pair is held. Only one zone of a pool and
+	 * region may be without a pair at a time, and the first one by rank keeps its turn
+	 * also while it is held. If a host that sees no free slots for it passed it over,
+	 * another host could send its order at the same time, and two zones would have no pair.
 	 */
 	const toZoneReason = (entry: ServerEntry): HeldReason | undefined => {
 		const {pool, zone} = entry;
@@ -139,7 +142,7 @@
 			return undefined;
 		}
 
-		if (!pairs.isNarrow(pool, zone)) {
+		if (!pairs.needsGap(pool, zone)) {
 			return 'last-zone-pair';
 		}
 
@@ -156,7 +159,7 @@
 
 	const toCopyReason = ({group}: WantedOrder, entry: ServerEntry, state: GroupState): HeldReason | undefined => {
 		const takenHere = taken.get(group) ?? 0;
-		// Asked first, as it notes whose turn it is.
+		// Called first, because it records which zone has the turn.
 		const zoneReason = toZoneReason(entry);
 		if (state.copies.size - takenHere <= 1) {
 			return 'last-copy';
@@ -207,7 +210,7 @@
 		return isOrdered || [...view.servers.values()].some(({id, load}) => entries.get(id)?.pool === pool && load?.state === 'loading');
 	};
 
-	/** Where staff allow a gap: the first server that can't be loaded without one, once nothing else of its pool moves. */
+	/** Sends the first order of each pool with `allow-gap` that can't be sent without a gap, once no other order or load of the pool is in progress. */
 	const sendAllowedGaps = (): void => {
 		for (const {name} of accepted.config.pools.filter(({rollout}) => rollout === 'allow-gap')) {
 			const next = held.findIndex(({server, reason}) => entries.get(server)?.pool === name && gapReasons.has(reason));
--- a/src/domain/plan-rollout/safeguards.test.ts
+++ b/src/domain/plan-rollout/safeguards.test.ts
@@ -5,8 +5,8 @@
 import {runRollout, type RolloutOptions} from './_test/rollout-model.js';
 
 /*
- * Each case is a rollout on a logical clock that goes wrong with one safeguard
- * taken out, and right with it.
+ * Each case is a rollout on a logical clock that has no fault, and has one when
+ * a safeguard is disabled.
  */
 describe('the safeguards of orders', () => {
 	const zones = [{prefills: 2, decodes: 2}, {prefills: 2, decodes: 2}];
@@ -18,36 +18,36 @@
 		name: string;
 		scene: Partial<RolloutOptions>;
 		takenOut: Partial<RolloutOptions>;
-		/** What goes wrong without it. */
+		/** The fault without the safeguard. */
 		fault: string;
 	};
 	const cases: readonly SafeguardCase[] = [
 		{
-			name: 'the fence: an order that was under way when its edition was replaced',
+			name: 'the fence: an order that was in flight when its edition was replaced',
 			scene: {toTravelMs: (host, now) => host === 1 && now < 40_000 ? 100_000 : 0},
 			takenOut: {checksFence: () => false},
 			fault: 'older',
 		},
 		{
-			name: 'the age of the own view: a host that is cut off goes on with the edition before',
+			name: 'the age of the own view: a host that is cut off goes on with the previous edition',
 			scene: {cut: {from: 35_000, to: 150_000, reachesServers: true}, checksFence: () => false, maxLagMs: 3000},
 			takenOut: {limits: {maxConfirmedAgeMs: Infinity}},
 			fault: 'older',
 		},
 		{
-			name: 'the age of the own view, also before servers that check fences and have not heard of the next edition',
+			name: 'the age of the own view, also with servers that check fences and have had no order of the next edition',
 			scene: {cut: {from: 35_000, to: 150_000, reachesServers: true}, maxLagMs: 3000},
 			takenOut: {limits: {maxConfirmedAgeMs: Infinity}},
 			fault: 'older',
 		},
 		{
-			name: 'the settle time: a host that hears of an edition late goes on with the one before',
+			name: 'the settle time: a host that receives an edition late goes on with the previous one',
 			scene: {toNewsMs: host => host * 8000, checksFence: () => false, maxLagMs: 3000},
 			takenOut: {settleMs: 0},
 			fault: 'older',
 		},
 		{
-			name: 'the age of the decision: what remained has gone while the host slept',
+			name: 'the age of the decision: the remaining server goes down while the host is paused',
 			scene: {
 				zones: [{prefills: 2, decodes: 1}],
 				editions: twoEditions.slice(0, 1),
@@ -63,19 +63,19 @@
 	} of cases) {
 		it(name, () => {
 			assert.deepEqual(run(scene).faults, []);
-			assert.ok(run({...scene, ...takenOut}).faults.some(({kind}) => kind === fault), 'it goes right without the safeguard');
+			assert.ok(run({...scene, ...takenOut}).faults.some(({kind}) => kind === fault), 'there is no fault without the safeguard');
 		});
 	}
 
 	/**
 	 * Zones of one to three prefill and one to four decode servers, up to three
-	 * editions, hosts that hear up to 4 s late, see reports up to 3 s late and
-	 * sleep up to 40 s after one decision in seven, orders up to 5 s under way,
-	 * and in half of the runs a cut. What a zone with one server in a role gives
-	 * up, another zone has. The store's rate is kept but for one load: while an
-	 * order is under way, a host that sees the fleet otherwise can send another.
+	 * editions, hosts that receive editions up to 4 s late, see reports up to 3 s late
+	 * and pause up to 40 s after one decision in seven, orders in flight for up to 5 s,
+	 * and in part of the runs a partition. While a zone with one server in a role has no
+	 * pair, another zone has one. The store's rate is exceeded by one load at most:
+	 * while an order is in flight, a host that has another view can send another one.
 	 */
-	it('take no zone\'s and no pool\'s last pair and follow no older edition, whatever hosts see (property)', () => {
+	it('keep the last pair of each zone and pool and send no order of an older edition, whatever hosts see (property)', () => {
 		const toZone = fc.record({prefills: fc.integer({min: 1, max: 3}), decodes: fc.integer({min: 1, max: 4})});
 		const toGaps = fc.array(fc.integer({min: 500, max: 90_000}), {maxLength: 2});
 		const toCut = fc.option(fc.record({from: fc.integer({min: 0, max: 150_000}), lasts: fc.integer({min: 1000, max: 90_000}), reachesServers: fc.boolean()}), {nil: undefined});
@@ -106,7 +106,7 @@
 			});
 			assert.deepEqual(faults, []);
 			if (some.length > 1) {
-				assert.deepEqual([...new Set(Object.values(versions))], [editions.at(-1)!.version], 'the rollout stands still');
+				assert.deepEqual([...new Set(Object.values(versions))], [editions.at(-1)!.version], 'the rollout does not finish');
 			}
 		}), {numRuns: 150});
 	});
--- a/src/domain/plan-rollout/test.ts
+++ b/src/domain/plan-rollout/test.ts
@@ -21,21 +21,21 @@
 
 const settled = {acceptedAt: 0};
 
-describe('pickLoads', () => {
-	it('asks for nothing when all is as wanted', () => {
+describe('planRollout', () => {
+	it('sends no order when all servers are as wanted', () => {
 		const accepted = toAccepted(4, 'v1');
 		assert.deepEqual(planRollout(toFleet(accepted), accepted, 100_000, settled), {orders: [], held: []});
 	});
 
 	const cases: Array<[string, number, Readonly<Record<string, Partial<LoadReport>>>, Partial<Parameters<typeof planRollout>[3]>, number, string[]]> = [
-		['sends one order of four servers, the rest wait for their turn', 4, {}, {}, 1, ['turn']],
+		['sends an order to one of four servers and holds the others', 4, {}, {}, 1, ['turn']],
 		['takes a quarter of a larger group', 12, {}, {serverBytesPerSecond: 1e8}, 3, ['turn']],
-		['stays inside the weight store\'s rate', 12, {}, {}, 1, ['turn', 'store-rate']],
-		['counts loads that run already', 4, {d0: {state: 'loading'}}, {}, 0, ['turn', 'store-rate']],
+		['stays within the weight store\'s rate', 12, {}, {}, 1, ['turn', 'store-rate']],
+		['counts loads in progress', 4, {d0: {state: 'loading'}}, {}, 0, ['turn', 'store-rate']],
 		['never takes the only copy', 1, {}, {}, 0, ['last-copy']],
 		['never takes the last copy while the other loads', 2, {d0: {state: 'loading'}}, {}, 0, ['last-copy']],
-		['holds everything while an edition is new', 4, {}, {acceptedAt: 99_000}, 0, ['settling']],
-		['loads a server at once that serves another model', 2, {d0: {model: 'other'}, d1: {version: 'v2'}}, {}, 1, []],
+		['holds all orders while an edition is new', 4, {}, {acceptedAt: 99_000}, 0, ['settling']],
+		['loads a server that serves another model at once', 2, {d0: {model: 'other'}, d1: {version: 'v2'}}, {}, 1, []],
 	];
 	for (const [name, count, changes, options, sent, reasons] of cases) {
 		it(name, () => {
@@ -48,10 +48,10 @@
 	}
 
 	const pairCases: Array<[string, Readonly<Record<string, string>>, string[]]> = [
-		['begins with one of a pool', {}, ['d0', 'd1', 'p0', 'p1']],
-		['goes on with a role that keeps a pair', {p0: 'v2'}, ['d0', 'd1']],
-		['goes on with the other role', {d1: 'v2'}, ['p0', 'p1']],
-		['ends what is half done', {p0: 'v2', d0: 'v2'}, ['p1', 'd1']],
+		['begins with any server of a pool', {}, ['d0', 'd1', 'p0', 'p1']],
+		['continues with a role that keeps a pair', {p0: 'v2'}, ['d0', 'd1']],
+		['continues with the other role', {d1: 'v2'}, ['p0', 'p1']],
+		['completes the rollout', {p0: 'v2', d0: 'v2'}, ['p1', 'd1']],
 	];
 	for (const [name, loaded, allowed] of pairCases) {
 		it(`keeps a prefill and a decode server of one version: ${name}`, () => {
@@ -65,7 +65,7 @@
 		});
 	}
 
-	it('holds everything once a server of the pool has taken an order of a later edition', () => {
+	it('holds all orders once a server of the pool has accepted an order of a later edition', () => {
 		const accepted = toAccepted(4, 'v2');
 		const plan = planRollout(toFleet(accepted, {d3: {fence: 3}}), accepted, 100_000, settled);
 		assert.deepEqual([...new Set(plan.held.map(({reason}) => reason))], ['overtaken']);
@@ -76,13 +76,13 @@
 		name: string;
 		/** Prefill and decode servers of zone a, b, and so on. */
 		zones: readonly ModelZone[];
-		/** What servers report that differs; they are named by zone, role and number. */
+		/** Fields of server reports that differ from the default; servers are named by zone, role and number. */
 		reports?: Readonly<Record<string, Partial<LoadReport>>>;
 		/** Zones of which no host is alive. */
 		cut?: readonly string[];
 		regions?: Readonly<Record<string, string>>;
 		rollout?: 'allow-gap';
-		/** Servers that may be told; one of them is, or none where the list is empty. */
+		/** Servers of which exactly one must get an order; none must where the list is empty. */
 		allowed: readonly string[];
 		reason?: HeldReason;
 	};
@@ -94,13 +94,13 @@
 	};
 	const zoneCases: readonly ZoneCase[] = [
 		{
-			name: 'keeps the pair of a zone, also while another zone has pairs', zones: [two, two], reports: {ap0: v2, bp0: v2, bd0: v2}, allowed: ['ad0', 'ad1', 'bp1', 'bd1'],
+			name: 'keeps the last pair of a zone, also while another zone has pairs', zones: [two, two], reports: {ap0: v2, bp0: v2, bd0: v2}, allowed: ['ad0', 'ad1', 'bp1', 'bd1'],
 		},
 		{
 			name: 'waits in a zone with two of a role, one of which leaves', zones: [two, two], reports: {ap0: {state: 'leaving'}, ad0: v2, ...bDone}, allowed: [], reason: 'last-zone-pair',
 		},
 		{
-			name: 'loads a zone with one server in a role while another stands in', zones: [one, two], reports: bDone, allowed: ['ap0', 'ad0'],
+			name: 'loads a zone with one server in a role while another zone stands in', zones: [one, two], reports: bDone, allowed: ['ap0', 'ad0'],
 		},
 		{
 			name: 'waits when the zone that stands in is cut off', zones: [one, two], reports: bDone, cut: ['b'], allowed: [], reason: 'no-stand-in',
@@ -112,7 +112,7 @@
 			name: 'waits when only another region could stand in', zones: [one, two], reports: bDone, regions: {b: 'far'}, allowed: [], reason: 'no-stand-in',
 		},
 		{
-			name: 'waits when the zones that stand in have no room',
+			name: 'waits when the zones that stand in have too few free slots',
 			zones: [one, one],
 			reports: {bp0: v2, bd0: {...v2, slotsUsed: 12}, ad0: {slotsUsed: 9}},
 			allowed: [],
@@ -128,7 +128,7 @@
 			name: 'loads the only server of a role where a gap is allowed', zones: [{prefills: 1, decodes: 3}], reports: {ad0: v2, ad1: v2}, rollout: 'allow-gap', allowed: ['ap0', 'ad2'],
 		},
 		{
-			name: 'begins without a gap where one is allowed', zones: [{prefills: 1, decodes: 3}], rollout: 'allow-gap', allowed: ['ad0', 'ad1', 'ad2'],
+			name: 'begins with servers that need no gap where one is allowed', zones: [{prefills: 1, decodes: 3}], rollout: 'allow-gap', allowed: ['ad0', 'ad1', 'ad2'],
 		},
 		{
 			name: 'makes no second gap while a server loads', zones: [one], reports: {ap0: {...v2, state: 'loading'}}, rollout: 'allow-gap', allowed: [], reason: 'last-copy',
@@ -163,17 +163,17 @@
 		});
 	}
 
-	it('gives no order on a stale report, nor counts it as a copy', () => {
+	it('sends no order on a stale report, and counts no copy by it', () => {
 		const accepted = toAccepted(2, 'v2');
 		const plan = planRollout(toFleet(accepted, {}, 90_000), accepted, 100_000, settled);
 		assert.deepEqual(plan.orders, []);
 	});
 
 	/**
-	 * Three hosts see each server's report up to 3 s late, learn of an edition up
-	 * to 3 s apart, and all send every order they derive, some of them twice.
-	 * Whatever they send, a server that serves is never made to load while no
-	 * other serves; and in the end every server has the last version.
+	 * Three hosts see each server's report up to 3 s late, receive an edition up
+	 * to 3 s apart, and all send most of the orders that they plan. A server that
+	 * serves must never be made to load while no other server serves, and at the end
+	 * every server must have the last version.
 	 */
 	it('never takes the last serving copy, by any sequence of orders from several hosts (property)', () => {
 		const stepMs = 500;
--- a/src/domain/to-held-notices/test.ts
+++ b/src/domain/to-held-notices/test.ts
@@ -16,13 +16,13 @@
 });
 
 describe('toHeldNotices', () => {
-	it('sums up by pool, zone and reason, and names the first few servers', () => {
+	it('groups orders by pool, zone and reason, and names the first few servers', () => {
 		const notices = toHeldNotices([...servers.map(({id}) => toHeld(id, 'turn')), toHeld('d0', 'store-rate'), toHeld('stranger', 'turn')], {servers});
 		assert.deepEqual(notices.map(({zone, reason, count, servers: named}) => [zone, reason, count, named.length]), [['a', 'turn', 7, 5], ['b', 'turn', 1, 1], ['a', 'store-rate', 1, 1]]);
 	});
 
 	for (const reason of ['last-copy', 'last-pair', 'last-zone-pair', 'no-stand-in', 'zone-turn', 'turn'] as const) {
-		it(`names the way out of ${reason}`, () => {
+		it(`names allow-gap as a remedy for ${reason}`, () => {
 			const [notice] = toHeldNotices([toHeld('d0', reason)], {servers});
 			assert.ok(notice?.needsStaff);
 			assert.match(notice.remedy, /rollout: allow-gap/);
--- a/src/domain/to-orders/index.ts
+++ b/src/domain/to-orders/index.ts
@@ -1,8 +1,8 @@
 /**
- * The orders that bring servers from what they report to what the accepted
- * configuration wants. Nothing else enters: no earlier order, no plan of a
- * host, so every host derives the same orders, and a second sending changes
- * nothing.
+ * Derives the orders that bring servers from their reported state to the state that
+ * the accepted configuration wants. The orders depend on nothing else, such as
+ * earlier orders or a host's plans, so every host derives the same orders, and
+ * orders are idempotent.
  */
 import {createHash} from 'node:crypto';
 import {
@@ -14,20 +14,20 @@
 
 export type WantedOrder = {
 	server: ServerId;
-	/** The pool and role whose copy the server is by configuration. */
+	/** The server's pool and role by configuration, see `toGroup`. */
 	group: string;
 	order: EngineOrder;
-	/** Whether the server serves nothing while it carries the order out. */
+	/** Whether the server cannot serve while it carries the order out. */
 	isDisruptive: boolean;
 };
 
-/** Group of servers among which a copy must remain. */
+/** Returns the name of a server's group: the servers of one pool and role, of which one must go on serving. */
 export const toGroup = (entry: ServerEntry): string => `${entry.pool}/${entry.role}`;
 
-/** Position of a server among its peers, the same on every host and not by zone, so that one zone's servers are not taken together. */
+/** Returns a sort key by which servers are ordered. It is the same on every host and independent of zones, so that a zone's servers do not follow one another. */
 export const toRank = (server: ServerId): string => createHash('sha256').update(server).digest('hex');
 
-/** Weights of the versions that rules split a pool into; the pool's own version alone when none does. */
+/** Returns the weights of the versions into which rules split a pool; only the pool's own version when no rule does. */
 const toShares = (config: Config, pool: PoolEntry): ReadonlyArray<{version: string; weight: number}> => {
 	const weights = new Map<string, number>();
 	for (const {then} of config.rules.filter(rule => rule.then.pool === pool.name)) {
@@ -48,14 +48,14 @@
 	return [...weights].map(([version, weight]) => ({version, weight})).toSorted((a, b) => b.weight - a.weight || (a.version < b.version ? -1 : 1));
 };
 
-/** Servers for each version: at least one where they suffice, the rest by weight. */
+/** Assigns versions to a number of servers: each version at least once if there are enough servers, the rest by weight. */
 const toVersions = (shares: ReadonlyArray<{version: string; weight: number}>, count: number): string[] => {
 	const total = shares.reduce((sum, {weight}) => sum + weight, 0);
 	const assigned = shares.slice(0, count).map(({version}) => version);
 	const counts = new Map(assigned.map(version => [version, 1]));
 	while (shares.length > 0 && assigned.length < count) {
-		const lacks = shares.map(({version, weight}) => ({version, lack: (weight / total * count) - (counts.get(version) ?? 0)}));
-		const {version} = lacks.toSorted((a, b) => b.lack - a.lack)[0]!;
+		const deficits = shares.map(({version, weight}) => ({version, deficit: (weight / total * count) - (counts.get(version) ?? 0)}));
+		const {version} = deficits.toSorted((a, b) => b.deficit - a.deficit)[0]!;
 		counts.set(version, (counts.get(version) ?? 0) + 1);
 		assigned.push(version);
 	}
@@ -64,28 +64,28 @@
 };
 
 /**
- * Servers in the order in which versions of a split are dealt out: zone after
- * zone, so that prefill and decode servers of one zone get the same version
- * where the zones have as many of each, and a zone that is cut off has a pair.
+ * Sorts servers into the order in which versions of a split are assigned, round-robin
+ * over the zones. Prefill and decode servers of one zone then get the same version if
+ * zones have equal numbers of both, so that a zone that is cut off has a pair.
  */
-const toDealt = (servers: readonly ServerEntry[]): ServerEntry[] => {
-	const dealt = new Map<ZoneId, number>();
+const toRoundRobin = (servers: readonly ServerEntry[]): ServerEntry[] => {
+	const countByZone = new Map<ZoneId, number>();
 	const places = servers.map(entry => ({entry, rank: toRank(entry.id), zoneRank: toRank(entry.zone)})).toSorted((a, b) => a.rank < b.rank ? -1 : 1).map(place => {
-		const turn = dealt.get(place.entry.zone) ?? 0;
-		dealt.set(place.entry.zone, turn + 1);
-		return {...place, turn};
+		const round = countByZone.get(place.entry.zone) ?? 0;
+		countByZone.set(place.entry.zone, round + 1);
+		return {...place, round};
 	});
-	return places.toSorted((a, b) => a.turn - b.turn || (a.zoneRank < b.zoneRank ? -1 : 1)).map(({entry}) => entry);
+	return places.toSorted((a, b) => a.round - b.round || (a.zoneRank < b.zoneRank ? -1 : 1)).map(({entry}) => entry);
 };
 
-/** Version wanted on each server of model pools. */
+/** Returns the wanted version of each server of model pools. */
 export const toWantedVersions = (config: Config): ReadonlyMap<ServerId, string> => {
 	const wanted = new Map<ServerId, string>();
 	for (const pool of config.pools.filter(entry => entry.kind === 'model')) {
 		const shares = toShares(config, pool);
 		for (const role of ['prefill', 'decode']) {
 			const servers = config.servers.filter(entry => entry.pool === pool.name && entry.role === role);
-			const ranked = shares.length > 1 ? toDealt(servers) : servers;
+			const ranked = shares.length > 1 ? toRoundRobin(servers) : servers;
 			const versions = toVersions(shares, ranked.length);
 			for (const [i, {id}] of ranked.entries()) {
 				const version = versions[i];
@@ -100,12 +100,12 @@
 };
 
 /**
- * What of a configuration orders follow from, as a text to compare. Most
- * editions change rules alone; a wait after each of them would hold back
- * orders for ever where an edition comes every few seconds.
+ * Returns the part of a configuration that orders depend on, as a text to compare.
+ * Most editions change only rules; if orders waited after each of them, none would
+ * ever be sent where a new edition comes every few seconds.
  *
  * @param config - A configuration.
- * @returns A text that is equal for two configurations which want the same of all servers.
+ * @returns A text that is equal for two configurations with the same wanted state of all servers.
  */
 export const toWeightsKey = (config: Config): string => JSON.stringify([
 	config.pools.filter(pool => pool.kind === 'model').map(pool => [pool.name, pool.model, pool.version, pool.adapters]),
@@ -114,7 +114,7 @@
 	config.weightStoreBytesPerSecond,
 ]);
 
-/** The next order of one server, one at a time: role, weights, then adapters. */
+/** Returns the next order of one server: first its role, then weights, then adapters one at a time. */
 const toNextOrder = (entry: ServerEntry, pool: PoolEntry, version: string | undefined, load: LoadReport): Omit<EngineOrder, 'fence'> | undefined => {
 	const model = pool.model ?? load.model;
 	const none = {
@@ -138,7 +138,9 @@
 };
 
 /**
- * @param view - What servers report; those without a report, or that are loading or leaving, get no order.
+ * Derives the wanted orders.
+ *
+ * @param view - Reports of servers; a server that has no report, is not serving, is leaving or is unreachable gets no order.
  * @param accepted - The configuration in force; its edition is the fence.
  * @returns At most one order for each server.
  *
--- a/src/domain/to-orders/test.ts
+++ b/src/domain/to-orders/test.ts
@@ -17,15 +17,15 @@
 
 describe('toOrders', () => {
 	const rows: Array<[string, Partial<ServerStatus>, Record<string, unknown> | undefined]> = [
-		['nothing for a server as wanted', {}, undefined],
+		['no order for a server as wanted', {}, undefined],
 		['the role first', toLoad({role: 'prefill', version: 'v0'}), {kind: 'set-role', role: 'decode'}],
 		['the version', toLoad({version: 'v0'}), {kind: 'load-version', version: 'v1'}],
 		['the model', toLoad({model: 'other'}), {kind: 'load-version', model: 'm', version: 'v1'}],
 		['the unloading of an adapter no longer wanted', toLoad({adapters: ['old']}), {kind: 'unload-adapter', adapter: 'old'}],
-		['nothing for a server that loads', toLoad({version: 'v0', state: 'loading'}), undefined],
-		['nothing for a server that leaves', {...toLoad({version: 'v0'}), leaving: true}, undefined],
-		['nothing for a server that cannot be reached', {...toLoad({version: 'v0'}), reachable: false}, undefined],
-		['nothing without a report', {load: undefined}, undefined],
+		['no order for a server that loads', toLoad({version: 'v0', state: 'loading'}), undefined],
+		['no order for a server that leaves', {...toLoad({version: 'v0'}), leaving: true}, undefined],
+		['no order for a server that cannot be reached', {...toLoad({version: 'v0'}), reachable: false}, undefined],
+		['no order without a report', {load: undefined}, undefined],
 	];
 	for (const [name, first, expected] of rows) {
 		it(`gives ${name}`, () => {
@@ -37,7 +37,7 @@
 		});
 	}
 
-	it('shares servers between the versions of a split, each version on one at least', () => {
+	it('divides servers between the versions of a split, with each version on at least one server', () => {
 		const rule = {
 			name: 'all', when: {}, then: {
 				pool: 'main',
@@ -53,7 +53,7 @@
 		assert.deepEqual(orders.map(({order}) => order.version), ['v2']);
 	});
 
-	it('deals the versions of a split so that each zone has a pair', () => {
+	it('assigns the versions of a split so that each zone has a pair', () => {
 		const zones = ['a', 'b', 'c', 'd'];
 		const some = zones.flatMap(zone => [toServer(`${zone}p`, 'prefill', {zone}), toServer(`${zone}d`, 'decode', {zone})]);
 		const versions = [{version: 'v1', weight: 1}, {version: 'v2', weight: 1}];
@@ -65,14 +65,14 @@
 		assert.deepEqual([...wanted.values()].toSorted(), ['v1', 'v1', 'v1', 'v1', 'v2', 'v2', 'v2', 'v2']);
 	});
 
-	it('tells editions that want other weights from those that change rules alone', () => {
+	it('distinguishes editions that want other weights from those that change only rules', () => {
 		const {config} = toAccepted();
 		const other = {...config, pools: config.pools.map(pool => ({...pool, version: 'v9'}))};
 		assert.equal(toWeightsKey(config), toWeightsKey({...config, callerTokens: {x: 'w'}}));
 		assert.notEqual(toWeightsKey(config), toWeightsKey(other));
 	});
 
-	it('gives the same orders again, as they follow from the configuration alone', () => {
+	it('derives the same orders again from the same view and configuration', () => {
 		const view = toFleet(toLoad({version: 'v0'}));
 		assert.deepEqual(toOrders(view, toAccepted()), toOrders(view, toAccepted()));
 	});
--- a/src/domain/to-read-pace/test.ts
+++ b/src/domain/to-read-pace/test.ts
@@ -12,7 +12,7 @@
 		});
 	}
 
-	it('notices a connection gone silent equally soon whatever the pace (property)', () => {
+	it('detects a silent connection after the same time at any pace (property)', () => {
 		fc.assert(fc.property(fc.integer({min: 0, max: 100_000}), actWithinMs => {
 			const {pauseMs, waitMs} = toReadPace(actWithinMs);
 			assert.equal(pauseMs + waitMs, 1800);
