--- a/src/domain/claim-key/test.ts
+++ b/src/domain/claim-key/test.ts
@@ -100,7 +100,7 @@
 		assert.deepEqual(await unwrap(claim(toRequest('a', {isRepeatable: true}))), {kind: 'granted', isWitnessed: false});
 	});
 
-	it('tells a caller to mint a new key when restarted hosts cannot vouch for this one', async () => {
+	it('asks the caller for a new key when restarted witnesses abstain on this one', async () => {
 		const {claim, restart} = createFleet();
 		for (const slot of pickWitnesses('key', hosts).slots.slice(0, 3)) {
 			restart(slot);
--- a/src/domain/create-membership/_lib/create-prober.ts
+++ b/src/domain/create-membership/_lib/create-prober.ts
@@ -23,9 +23,9 @@
 };
 
 export type Prober = {
-	/** Starts a probe and returns its number; `undefined` while one of the target is under way. */
+	/** Starts a probe and returns its sequence number; `undefined` while a probe of the target is in flight. */
 	start: (target: HostId, now: Milliseconds) => number | undefined;
-	/** Records a ping on behalf of another host and returns its number; `undefined` when there are too many. */
+	/** Records a ping on behalf of another host and returns its sequence number; `undefined` when there are too many. */
 	startRelayedPing: (requester: HostId, requestSeq: number, target: HostId, now: Milliseconds) => number | undefined;
 	/** Records an answer. Returns the relayed ping that it completes, if any. */
 	takeAnswer: (seq: number, target: HostId) => RelayedPing | undefined;
--- a/src/domain/create-membership/_lib/create-targets.ts
+++ b/src/domain/create-membership/_lib/create-targets.ts
@@ -11,8 +11,9 @@
 import {type HostRecord} from './types.js';
 
 const pingsPerInterval = 2;
-/** Heartbeat intervals between two pings to another zone, and to a host that is dead or out of reach. */
+/** Heartbeat intervals between two pings to another zone. */
 const zoneIntervals = 3;
+/** Heartbeat intervals between two pings to a host that is dead or out of reach. */
 const unavailableIntervals = 5;
 const seedIntervals = 1;
 const maxSeedsPerRound = 2;
@@ -28,7 +29,10 @@
 	verify: (id: HostId) => void;
 	/** Live hosts that can probe a host: those of its zone, and bridges of other zones where its zone has fewer than two. */
 	observers: (id: HostId) => readonly HostRecord[];
-	/** Hosts to pass an update on to: hosts of this zone if the update comes from another one, and also bridges of other zones if it originates at this host. */
+	/**
+	 * Hosts to send an update to: if it originates at this host, the hosts of this zone and the bridges of other
+	 * zones; if it comes from another zone and this host is a bridge, the hosts of this zone; else none.
+	 */
 	spreadTo: (origin: HostId) => readonly HostRecord[];
 	sample: (records: readonly HostRecord[], count: number, random: Random) => HostRecord[];
 };
--- a/src/domain/create-membership/_lib/types.ts
+++ b/src/domain/create-membership/_lib/types.ts
@@ -21,7 +21,7 @@
 	entryIncarnation: Incarnation;
 	/** Entries of the host up to this incarnation have ended, as its own agent has seen. */
 	entryGone: Incarnation;
-	/** The host drains: it finishes what it has and takes nothing new. */
+	/** Whether the host drains: it finishes its requests and accepts no new ones. */
 	leaving: boolean;
 	/** Hosts that probed this host and got no answer; empty unless it is suspect. */
 	witnesses: readonly HostId[];
--- a/src/domain/create-membership/cuts.test.ts
+++ b/src/domain/create-membership/cuts.test.ts
@@ -27,7 +27,7 @@
 		},
 	];
 	for (const {name, zones, blocks, allowed} of cuts) {
-		it(`declares nobody dead over ${name}`, () => {
+		it(`declares no host dead over ${name}`, () => {
 			let isCut = false;
 			const network = createConverged(zones, link => !isCut || !blocks(link));
 			isCut = true;
@@ -57,7 +57,7 @@
 		assert.deepEqual(network.others('c-3', 'dead'), []);
 	});
 
-	it('never declares a live, connected host dead for good, whatever was cut, paused and restarted before', () => {
+	it('sees all live, connected hosts alive after any sequence of cuts, pauses and restarts', () => {
 		const ids = Object.entries(threeZones).flatMap(([zone, count]) => Array.from({length: count}, (_, i) => `${zone}-${i + 1}`));
 		const event = fc.oneof(
 			fc.record({kind: fc.constant('pause' as const), id: fc.constantFrom(...ids), ms: fc.integer({min: 100, max: 20_000})}),
--- a/src/domain/create-membership/test.ts
+++ b/src/domain/create-membership/test.ts
@@ -28,7 +28,7 @@
 		});
 	}
 
-	it('declares a host dead in a zone of two, whoever suspects it first', () => {
+	it('declares a host dead in a zone of two, whichever host suspects it first', () => {
 		fc.assert(fc.property(fc.integer(), fc.constantFrom('a-1', 'a-2', 'b-1', 'b-2'), (seed, victim) => {
 			const network = createConverged(twoZones, undefined, seed);
 			network.run(30_000);
@@ -45,7 +45,7 @@
 		assert.deepEqual(network.others('b-1', 'suspect'), []);
 	});
 
-	it('tells everybody at once when a host leaves, and never calls it suspect', () => {
+	it('informs all hosts at once when a host leaves, and never suspects it', () => {
 		const network = createConverged(threeZones);
 		network.leave('b-1');
 		network.run(100);
@@ -53,7 +53,7 @@
 		assert.deepEqual([...collectNotAlive(network, 10_000)], ['b-1 left']);
 	});
 
-	it('tells everybody at once that a host drains', () => {
+	it('informs all hosts at once that a host drains', () => {
 		const network = createConverged(threeZones);
 		const {membership} = network.nodes.get('a-1')!;
 		const messages = membership.state({leaving: true}, network.now());
--- a/src/domain/create-published-fleet/test.ts
+++ b/src/domain/create-published-fleet/test.ts
@@ -260,7 +260,7 @@
 	});
 
 	/* Guards against requests to a server that left and writes its entry again as ready before it writes it as leaving. */
-	it('ignores entries that say that a start that left or was gone serves, until all entries are written again', () => {
+	it('ignores entries that list a left or gone start as serving, until all entries are written again', () => {
 		const fleet = createPublishedFleet({zones});
 		fleet.replace([server('s1', true), server('s2'), server('s3')], 0);
 		fleet.apply([gone('s2')], 50);
--- a/src/domain/pick-orphans/test.ts
+++ b/src/domain/pick-orphans/test.ts
@@ -22,7 +22,7 @@
 	type Case = {name: string; hold?: Partial<Hold>; life: HostLife; entryGone?: number; deadForMs?: number; cause: string | undefined};
 	const cases: readonly Case[] = [
 		{name: 'a live owner', life: 'alive', cause: undefined},
-		{name: 'a suspected owner, which may be behind a cut', life: 'suspect', cause: undefined},
+		{name: 'a suspected owner, which may be behind a partition', life: 'suspect', cause: undefined},
 		{
 			name: 'an unknown owner', hold: {owner: {host: 'stranger', incarnation: 1}}, life: 'dead', cause: undefined,
 		},
--- a/src/domain/pick-witnesses/_lib/to-score.ts
+++ b/src/domain/pick-witnesses/_lib/to-score.ts
@@ -1,13 +1,13 @@
 import {mixBits32} from '../../../_lib/to-hash32/index.js';
 
 /**
- * Rendezvous score of a name for a key: the same on every host, and
- * independent between names, so that a name that comes or goes moves only the
- * keys that it itself won.
+ * Computes the rendezvous score of a name for a key. The score is the same on
+ * every host, and scores of names are independent, so that adding or removing a
+ * name moves only the keys for which that name has the highest score.
  *
- * @param keyHash - Hash of what is being placed.
+ * @param keyHash - Hash of the key to place.
  * @param nameHash - Hash of the candidate.
- * @returns 32 bits; the highest wins, and names decide between equals.
+ * @returns 32 bits; the highest score wins, and equal scores are ordered by name.
  */
 export function toScore(keyHash: number, nameHash: number): number {
 	// eslint-disable-next-line no-bitwise -- two hashes are mixed bit by bit
--- a/src/domain/plan-rollout/_lib/to-groups.ts
+++ b/src/domain/plan-rollout/_lib/to-groups.ts
@@ -22,7 +22,7 @@
 /**
  * Counts the servers of each pool and role, and which of them serve.
  *
- * @param view - What servers report.
+ * @param view - Reports of servers.
  * @param accepted - The configuration in force.
  * @param oldestAt - Monotonic time before which reports are stale, and ignored.
  * @returns State by group, see `toGroup`.
