--- a/src/adapters/load-datagrams/index.ts
+++ b/src/adapters/load-datagrams/index.ts
@@ -1,6 +1,7 @@
 /**
- * Messages between hosts about their loads and crashes, one datagram each. A lost one is
- * made good by the next, which says everything anew.
+ * Messages between hosts about their loads and crashes, one UDP datagram each.
+ * Each message contains the sender's whole state, so the next message makes up
+ * for a lost one.
  */
 import {createSocket} from 'node:dgram';
 import {once} from 'node:events';
@@ -10,16 +11,16 @@
 import {type CrashReport} from '../../ports/crash-reports.js';
 import {type LoadMessage} from '../../ports/shared-loads.js';
 
-/** What a datagram may hold without being split on the way. */
+/** Largest datagram that is not fragmented by the network. */
 export const maxDatagramBytes = 1400;
 
-/** First item of each datagram; a host of another version is not understood, and nothing depends on it. */
+/** Format number, the first item of each datagram. Datagrams of another format are dropped; no decision depends on them. */
 const format = 3;
 
-/** Longest name that is taken from another host. */
+/** Longest name that is accepted from another host. */
 const maxNameLength = 64;
 
-/** Reports that are taken from one message, and crashes of each. */
+/** Maximum number of crash reports that are accepted in one message, and of crashes in each report. */
 const maxReports = 64;
 const maxCrashesOfReport = 8;
 
@@ -41,12 +42,12 @@
 
 const toReportRow = ({fingerprint, idleMs, crashes}: CrashReport) => [fingerprint, Math.round(idleMs), crashes.map(({server, ageMs}) => [server, Math.round(ageMs)])];
 
-/** Part of what does not fit that is kept at each try. */
+/** Share of the rows that is kept each time the encoded message is too long. */
 const keptShare = 0.8;
 
 /**
- * Encodes a message. Loads that don't fit are left out, the smallest first, and
- * then reports of crashes, the last first.
+ * Encodes a message. If it does not fit into one datagram, loads are left out,
+ * the smallest first, and then crash reports, the last first.
  *
  * @param message - The message.
  * @returns One datagram.
@@ -71,10 +72,10 @@
 }
 
 /**
- * Decodes a datagram, whoever sent it.
+ * Decodes and validates a datagram from any sender.
  *
  * @param bytes - The datagram.
- * @returns The message, or what is wrong with it.
+ * @returns The message, or the reason why it is invalid.
  */
 export function decodeLoadMessage(bytes: Uint8Array): Result<LoadMessage, string> {
 	let value: unknown;
@@ -98,7 +99,7 @@
 }
 
 export type LoadDatagrams = {
-	/** Sends to each address; what can't be sent is dropped. */
+	/** Sends a message to each address; a datagram that can't be sent is dropped. */
 	send: (message: LoadMessage, addresses: readonly string[]) => void;
 	close: () => Promise<void>;
 };
@@ -107,7 +108,7 @@
 	/** `IP:port` to listen on. */
 	address: string;
 	onMessage: (message: LoadMessage, from: string) => void;
-	/** A datagram that is none of ours, or the socket's own fault. */
+	/** Called for a datagram that is not a valid message, and for an error of the socket. */
 	onFault: (reason: string) => void;
 };
 
@@ -119,8 +120,8 @@
 /**
  * Listens for datagrams.
  *
- * @param options - Where, and what to do with each.
- * @returns The socket, once it listens.
+ * @param options - Address, and handlers of messages and faults.
+ * @returns The socket once it listens; rejects when the address can't be bound.
  */
 export async function openLoadDatagrams({address, onMessage, onFault}: LoadDatagramsOptions): Promise<LoadDatagrams> {
 	const socket = createSocket('udp4');
--- a/src/adapters/load-datagrams/test.ts
+++ b/src/adapters/load-datagrams/test.ts
@@ -22,11 +22,11 @@
 };
 
 describe('load messages', () => {
-	it('come out as they went in', () => {
+	it('are the same after encoding and decoding', () => {
 		assert.deepEqual(decodeLoadMessage(encodeLoadMessage(message))._unsafeUnwrap(), message);
 	});
 
-	it('fit into one datagram, however much a host has under way, and keep the largest loads', () => {
+	it('fit into one datagram, however much a host has in flight, and keep the largest loads', () => {
 		const loads = Array.from({length: 500}, (_, i) => ({server: `i-${i}`, requests: 1, promptTokens: i}));
 		const bytes = encodeLoadMessage({...message, loads});
 		assert.ok(bytes.length <= maxDatagramBytes);
@@ -34,7 +34,7 @@
 		assert.ok(decoded.loads.some(({server}) => server === 'i-499'));
 	});
 
-	it('keep the first reports of crashes, and lose loads before them', () => {
+	it('keep the first crash reports, and drop loads before reports', () => {
 		const loads = Array.from({length: 500}, (_, i) => ({server: `i-${i}`, requests: 1, promptTokens: i}));
 		const crashes = Array.from({length: 40}, (_, i) => ({fingerprint: `fingerprint-${i}`, idleMs: 5000, crashes: [1, 2, 3].map(n => ({server: `i-93770e37e${n}`, ageMs: 5000}))}));
 		const bytes = encodeLoadMessage({...message, loads, crashes});
@@ -44,7 +44,7 @@
 		assert.ok(decoded.crashes.length >= 10, String(decoded.crashes.length));
 	});
 
-	it('are an error, and never a crash, when they are anything else', () => {
+	it('decode to an error, and never throw, when the bytes are anything else', () => {
 		fc.assert(fc.property(fc.oneof(fc.uint8Array(), fc.anything().map(value => {
 			try {
 				return encode(value);
@@ -56,7 +56,7 @@
 		}));
 	});
 
-	it('reach another host and tell where they came from; what is no message is reported', async () => {
+	it('reach another host with their source address; an invalid datagram is reported', async () => {
 		const [one, other] = await Promise.all([findUdpAddress(), findUdpAddress()]);
 		const heard: Array<{host: string; from: string}> = [];
 		const faults: string[] = [];
--- a/src/adapters/peer-tcp/_lib/create-call-answerer.ts
+++ b/src/adapters/peer-tcp/_lib/create-call-answerer.ts
@@ -6,7 +6,7 @@
 export type CallAnswererOptions = {
 	socket: Socket;
 	write: WriteFrame;
-	/** Absent when this side serves no calls: each is answered as failed. */
+	/** Absent when this side serves no calls; then every call is answered as failed. */
 	onCall: CallHandler | undefined;
 	limits: Pick<PeerLimits, 'handledCalls'>;
 	/** Ends the connection. */
@@ -14,10 +14,10 @@
 };
 
 /**
- * Creates what answers the peer's calls.
+ * Creates the handler that answers the peer's calls.
  *
- * Backpressure: at `handledCalls` calls in progress the socket is not read
- * until one has been answered, so that a peer cannot pile up work here.
+ * Backpressure: while `handledCalls` calls are in progress, the socket is not
+ * read, so that a peer can't queue an unbounded amount of work here.
  *
  * @param options - See {@link CallAnswererOptions}.
  * @returns A function that handles one call; it never rejects.
--- a/src/adapters/peer-tcp/_lib/create-call-sender.ts
+++ b/src/adapters/peer-tcp/_lib/create-call-sender.ts
@@ -15,17 +15,17 @@
 export type CallSender = {
 	/** Sends a call and waits for its reply, `timeoutMs` at most. */
 	call: (method: string, body: unknown, timeoutMs: number) => Promise<Outcome>;
-	/** Gives a reply to the call that waits for it. One whose call has timed out is dropped. */
+	/** Completes the call that waits for a reply. A reply whose call has timed out is dropped. */
 	handleReply: (reply: ReplyFrame) => void;
-	/** Fails all calls that wait, as the connection has ended. */
+	/** Fails all calls that wait for a reply, because the connection has ended. */
 	failAll: (reason: string) => void;
 };
 
 /**
- * Creates our calls of a peer and matches its replies to them by number.
+ * Creates the sender of calls to a peer, which matches replies to calls by id.
  *
- * @param write - Writes to the connection.
- * @param limits - `outstandingCalls`: calls that may wait for a reply at once.
+ * @param write - Writes a frame to the connection.
+ * @param limits - `outstandingCalls`: maximum number of calls that wait for a reply.
  * @returns See {@link CallSender}.
  */
 export function createCallSender(write: WriteFrame, limits: Pick<PeerLimits, 'outstandingCalls'>): CallSender {
@@ -85,6 +85,6 @@
 		return ok(reply.body);
 	}
 
-	const reason = isRecord(reply.body) && typeof reply.body.message === 'string' ? reply.body.message : 'the peer does not say why';
+	const reason = isRecord(reply.body) && typeof reply.body.message === 'string' ? reply.body.message : 'the peer gave no reason';
 	return err({kind: 'failed', sent: true, message: `Call ${method} failed: ${reason}.`});
 }
--- a/src/adapters/peer-tcp/_lib/create-frame-writer.ts
+++ b/src/adapters/peer-tcp/_lib/create-frame-writer.ts
@@ -3,18 +3,18 @@
 import {type PeerLimits} from './peer-types.js';
 
 /**
- * Writes a frame. Nothing of it is sent when it fails.
+ * Writes a frame, whole or not at all.
  *
- * @param frame - What to send.
- * @returns Why it was not sent; `undefined` once it is on its way.
+ * @param frame - The frame to send.
+ * @returns The reason why the frame was not written; `undefined` when it was handed to the socket.
  */
 export type WriteFrame = (frame: Frame) => string | undefined;
 
 /**
- * Creates the writing end of a connection.
+ * Creates the function that writes frames to a connection.
  *
- * A peer that reads too slowly makes what is written wait in this process.
- * Beyond the limit nothing more is taken, so that it costs no more memory.
+ * Frames for a peer that reads too slowly wait in this process. Above the limit
+ * further frames are refused, so that the peer costs a bounded amount of memory.
  *
  * @param socket - The connection's socket.
  * @param limits - `frameBytes` and `waitingBytes`, bytes.
@@ -28,7 +28,7 @@
 		}
 
 		if (socket.writableLength > limits.waitingBytes) {
-			return 'the peer takes its bytes too slowly';
+			return 'the peer reads too slowly';
 		}
 
 		const bytes = encodeFrame(frame, limits.frameBytes);
--- a/src/adapters/peer-tcp/_lib/frame.ts
+++ b/src/adapters/peer-tcp/_lib/frame.ts
@@ -1,6 +1,6 @@
 /**
- * Frames between our own processes: a 4-byte big-endian length, then that many
- * bytes of CBOR. See `docs/design/002-interfaces.md`.
+ * Frames between the processes of this system: a 4-byte big-endian length, then
+ * that many bytes of CBOR. See `docs/design/002-interfaces.md`.
  */
 import {Buffer} from 'node:buffer';
 import {Encoder} from 'cbor-x';
@@ -17,7 +17,7 @@
 
 export type PeerRole = 'agent' | 'entry';
 
-/** Who is at the other end, as its first frame says. */
+/** Identity of a process, sent in its first frame. */
 export type PeerHello = {
 	host: HostId;
 	zone: ZoneId;
@@ -31,7 +31,7 @@
 export type EventFrame = {type: 'event'; name: string; body: unknown};
 export type Frame = HelloFrame | CallFrame | ReplyFrame | EventFrame;
 
-/** What was wrong with received bytes; the connection is closed with it. */
+/** What is wrong with a frame. A fault in received bytes closes the connection. */
 export type FrameFault = {
 	kind: 'too-long' | 'not-cbor' | 'unknown-type' | 'bad-field';
 	message: string;
@@ -44,7 +44,7 @@
  *
  * @param frame - The frame.
  * @param limitBytes - Longest body allowed, bytes.
- * @returns The bytes, or a fault when the frame would be longer than a peer accepts.
+ * @returns The bytes, or a fault when the body is longer than `limitBytes`.
  */
 export function encodeFrame(frame: Frame, limitBytes = maxFrameBytes): Result<Buffer, FrameFault> {
 	const body = codec.encode(frame);
@@ -117,10 +117,10 @@
 
 export type FrameDecoder = {
 	/**
-	 * Takes received bytes.
+	 * Decodes received bytes.
 	 *
-	 * @param bytes - The next bytes of the connection, in any split.
-	 * @returns The frames that they complete, or the first fault, after which the decoder takes nothing more.
+	 * @param bytes - The next bytes of the connection, split anywhere.
+	 * @returns The frames that the bytes complete, or the first fault, after which the decoder accepts no more bytes.
 	 */
 	push: (bytes: Uint8Array) => Result<Frame[], FrameFault>;
 	/** Bytes that wait for the rest of their frame. */
@@ -128,9 +128,9 @@
 };
 
 /**
- * Cuts a byte stream into frames. Memory grows with the bytes received and not
- * with the length that a peer announces, so that four bytes cannot make a
- * process allocate a whole frame.
+ * Splits a byte stream into frames. The buffer grows with the bytes received and
+ * not with the length that the peer announces, so that a peer can't make this
+ * process allocate a whole frame by sending four bytes.
  *
  * @param options - `limitBytes`: longest frame body accepted, bytes.
  * @returns A decoder for one connection.
--- a/src/adapters/peer-tcp/_lib/open-connection.ts
+++ b/src/adapters/peer-tcp/_lib/open-connection.ts
@@ -1,6 +1,6 @@
 /**
- * The life of one connection between two of our processes, the same at both
- * ends once the hellos have crossed.
+ * One connection between two processes of this system. Both ends behave the same
+ * once the hellos have been exchanged.
  */
 import {type Socket} from 'node:net';
 import {ResultAsync} from 'neverthrow';
@@ -15,7 +15,7 @@
 
 const maxShownNameLength = 40;
 
-/** The peer's introduction, or why its first frame is none. */
+/** Returns the hello of the peer's first frame, or the reason why the frame is refused. */
 function toHello(frame: Frame): PeerHello | string {
 	if (frame.type !== 'hello') {
 		return `the first frame is a ${frame.type} and not a hello`;
@@ -35,10 +35,10 @@
  * Exchanges hellos on a socket and then serves it until it ends.
  *
  * @param socket - A connected socket, TLS handshake included.
- * @param options - `hello`: what to say of ourselves. `isInitiator`: whether to
- * send it at once; a listener waits for the peer's, so that a stranger learns
- * nothing. `handlers` and `limits`: see their types.
- * @returns The connection once the peer's hello has come; rejects with the reason otherwise.
+ * @param options - `hello`: identity of this process. `isInitiator`: whether to
+ * send the hello at once; a listener waits for the peer's hello first, so that an
+ * unknown client learns nothing. `handlers` and `limits`: see their types.
+ * @returns The connection once the peer's hello has arrived; rejects with the reason otherwise.
  */
 export async function openConnection(socket: Socket, {hello, isInitiator, handlers, limits}: {
 	hello: PeerHello;
@@ -67,9 +67,9 @@
 		try {
 			handlers.onEvent?.(current.peer, name, body, current);
 		} catch (error) {
-			// A body of an unexpected shape makes its handler throw. That is the
-			// peer's fault and must not end this process.
-			end(`event ${name.slice(0, maxShownNameLength)} was not understood: ${error instanceof Error ? error.message : 'unknown error'}`);
+			// A body of an unexpected shape makes the handler throw. The peer causes
+			// this error, which must not end this process.
+			end(`event ${name.slice(0, maxShownNameLength)} could not be handled: ${error instanceof Error ? error.message : 'unknown error'}`);
 		}
 	}
 
@@ -120,7 +120,7 @@
 			close() {
 				closeReason ??= 'closed by this side';
 				socket.end();
-				// A peer that does not close its half would keep the socket for ever.
+				// Without this timeout, a peer that does not close its half would keep the socket open for ever.
 				setTimeout(() => socket.destroy(), limits.helloTimeoutMs).unref();
 			},
 			closed: ended.promise,
--- a/src/adapters/peer-tcp/_lib/peer-types.ts
+++ b/src/adapters/peer-tcp/_lib/peer-types.ts
@@ -1,4 +1,4 @@
-/** What a connection between two of our processes offers, and its limits. */
+/** Types and limits of a connection between two processes of this system. */
 import {type ResultAsync} from 'neverthrow';
 import {bytesPerMebibyte} from '../../../ports/units.js';
 import {maxFrameBytes, type PeerHello} from './frame.js';
@@ -7,7 +7,7 @@
  * Why a call to a peer failed.
  *
  * - `unreachable`: no connection was made.
- * - `not-sent`: there was a connection, and no byte of the call went to it (closed, or too much is waiting).
+ * - `not-sent`: there was a connection, but no byte of the call was written to it (it is closed, or too many bytes or calls are waiting).
  * - `timed-out`: sent, and no reply came in time.
  * - `broken`: sent, and the connection ended before the reply.
  * - `failed`: the peer replied that the call failed.
@@ -24,15 +24,15 @@
 export type PeerLimits = {
 	/** Longest frame, bytes. */
 	frameBytes: number;
-	/** Calls of ours that wait for a reply on one connection. */
+	/** Calls sent on one connection that wait for a reply. */
 	outstandingCalls: number;
-	/** Calls of the peer that are handled at once; beyond it the connection is not read. */
+	/** Calls of the peer that are handled at once; while there are as many, the connection is not read. */
 	handledCalls: number;
 	/** Bytes that wait to be written on one connection. */
 	waitingBytes: number;
-	/** Time in which the peer's hello must come, milliseconds. */
+	/** Time in which the peer's hello must arrive, milliseconds. */
 	helloTimeoutMs: number;
-	/** Connections that a listener keeps. */
+	/** Connections that a listener accepts at once. */
 	connections: number;
 };
 
@@ -46,21 +46,21 @@
 };
 
 export type PeerConnection = {
-	/** The other end, as it introduced itself. */
+	/** Identity of the peer, from its hello. */
 	peer: PeerHello;
 	/** Sends a call and waits for its reply. */
 	call: (method: string, body: unknown, options: {timeoutMs: number}) => ResultAsync<unknown, PeerFailure>;
-	/** Sends an event; `false` when it was dropped because the connection is closed or too much is waiting. */
+	/** Sends an event; `false` when the event was dropped because the connection is closed or too many bytes are waiting. */
 	send: (name: string, body: unknown) => boolean;
-	/** Ends the connection after what was written has gone out. */
+	/** Closes the connection after all written frames have been sent. */
 	close: () => void;
-	/** Resolves with the reason once the connection has ended, from whichever side. Never rejects. */
+	/** Resolves with the reason once either side has ended the connection. Never rejects. */
 	closed: Promise<string>;
 	/** Bytes sent and received, framing included. */
 	bytes: () => {sent: number; received: number};
 };
 
-/** Handles one call of a peer. What it resolves to is the reply; a rejection becomes a failed reply. */
+/** Handles one call of a peer. The resolved value is the reply; a rejection is sent as a failed reply. */
 export type CallHandler = (peer: PeerHello, method: string, body: unknown, connection: PeerConnection) => Promise<unknown>;
 export type EventHandler = (peer: PeerHello, name: string, body: unknown, connection: PeerConnection) => void;
 
--- a/src/adapters/peer-tcp/index.ts
+++ b/src/adapters/peer-tcp/index.ts
@@ -1,6 +1,6 @@
 /**
- * Calls and events between our own processes over TCP, with mutual TLS when it
- * is set. The frames are in `docs/design/002-interfaces.md`.
+ * Calls and events between the processes of this system over TCP, with mutual
+ * TLS if configured. The frames are described in `docs/design/002-interfaces.md`.
  */
 import {type Buffer} from 'node:buffer';
 import net, {type AddressInfo, type Socket} from 'node:net';
@@ -18,14 +18,14 @@
 	type CallHandler, type EventHandler, type PeerConnection, type PeerFailure, type PeerFailureKind, type PeerLimits,
 } from './_lib/peer-types.js';
 
-/** PEM texts of this process's key and certificate and of the authority that signs those of its peers. */
+/** This process's key and certificate, and the certificate of the authority that signs its peers' certificates, PEM. */
 export type PeerKeys = {
 	key: string | Buffer;
 	cert: string | Buffer;
 	ca?: string | Buffer;
 };
 
-/** The value, or a function that gives the present one. */
+/** A value, or a function that returns the current value. */
 type ValueOrGetter<T> = T | (() => T);
 
 const defaultConnectTimeoutMs = 1000;
@@ -43,9 +43,9 @@
 	hello: ValueOrGetter<PeerHello>;
 	onCall?: CallHandler;
 	onEvent?: EventHandler;
-	/** A peer's hello has come. */
+	/** Called when a peer has connected and sent its hello. */
 	onConnect?: (connection: PeerConnection) => void;
-	/** A connection was turned away or failed before its hello. */
+	/** Called when a connection was refused or failed before the peer's hello. */
 	onRefused?: (reason: string) => void;
 	/** Mutual TLS with the keys that it returns; plain TCP when absent. */
 	tls?: () => PeerKeys;
@@ -54,11 +54,11 @@
 
 export type PeerListener = {
 	port: number;
-	/** Takes new keys for later connections; those that are open go on. */
+	/** Uses the current keys for later connections; open connections continue. */
 	reloadKeys: () => void;
 	/** Connections that are open now. */
 	connections: () => ReadonlySet<PeerConnection>;
-	/** Stops listening and ends all connections; resolves when all have ended. */
+	/** Stops listening and closes all connections; resolves when all are closed. */
 	close: () => Promise<void>;
 };
 
@@ -66,7 +66,7 @@
  * Listens for peers.
  *
  * @param options - See {@link ListenOptions}.
- * @returns The listener once it listens; rejects when the port cannot be had.
+ * @returns The listener once it listens; rejects when the port can't be bound.
  */
 export async function listenPeers(options: ListenOptions): Promise<PeerListener> {
 	const {bind, port, hello, onCall, onEvent, onConnect, onRefused} = options;
@@ -149,7 +149,7 @@
  * Splits an address.
  *
  * @param address - `IP:port`, or `[IP]:port` for IPv6.
- * @returns Its parts; `undefined` when it is neither.
+ * @returns Host and port; `undefined` when the address is invalid.
  */
 export function parseAddress(address: string): {host: string; port: number} | undefined {
 	const match = /^(?:\[(?<six>[\d:a-f]+)\]|(?<four>[^:\[\]]+)):(?<port>\d{1,5})$/iv.exec(address);
@@ -159,8 +159,8 @@
 }
 
 function openSocket({host, port}: {host: string; port: number}, keys: PeerKeys | undefined): Socket {
-	// Hosts are replaced at any time and known by number, so a certificate is
-	// judged by its authority alone and not by a name in it.
+	// Hosts are replaced at any time and addressed by IP, so a certificate is
+	// verified by its authority alone and not by the name in it.
 	return keys
 		? tls.connect({
 			host, port, ...keys, rejectUnauthorized: true, checkServerIdentity: () => undefined,
@@ -206,7 +206,7 @@
  * Connects to a peer and exchanges hellos.
  *
  * @param options - See {@link ConnectOptions}.
- * @returns The connection, or an `unreachable` failure that says why.
+ * @returns The connection, or an `unreachable` failure with the reason.
  */
 export function connectPeer(options: ConnectOptions): ResultAsync<PeerConnection, PeerFailure> {
 	return ResultAsync.fromPromise(connect(options), error => ({
--- a/src/adapters/view-feed/_lib/apply-update.test.ts
+++ b/src/adapters/view-feed/_lib/apply-update.test.ts
@@ -33,23 +33,23 @@
 const restarted = toUpdate(2000, {whole: true, hosts: [toHost('h1')], servers: [toServer('d1'), toServer('d2')]});
 
 describe('applyUpdate', () => {
-	it('keeps the hosts that a restarted agent has not heard of yet, until it names them', () => {
+	it('keeps hosts that a restarted agent has not heard of yet, until it names them', () => {
 		assert.deepEqual([...apply(before, restarted).hosts.keys()].sort(), ['h1', 'h2']);
 		const named = apply(before, restarted, toUpdate(2500, {hosts: [toHost('h2', 'dead')]}));
 		assert.equal(named.hosts.get('h2')?.life, 'dead');
 		assert.equal(apply(named, toUpdate(60_000)).hosts.size, 2, 'a host that was named stays');
 	});
 
-	it('forgets hosts that a restarted agent has not named for long, and those that it says are gone', () => {
+	it('removes hosts that a restarted agent does not name for too long, and those that it reports as gone', () => {
 		assert.deepEqual([...apply(before, restarted, toUpdate(60_000)).hosts.keys()], ['h1']);
 		assert.deepEqual([...apply(before, toUpdate(1100, {hostsGone: ['h2']})).hosts.keys()], ['h1']);
 	});
 
-	it('counts the time from the last start of an agent', () => {
+	it('measures that time from the last restart of an agent', () => {
 		assert.equal(apply(before, restarted, {...restarted, echoAt: 25_000}, toUpdate(40_000)).hosts.size, 2);
 	});
 
-	it('keeps what was found of a server, with its age, until the agent has found out itself', () => {
+	it('keeps the reachability of a server, with its age, until the agent has polled the server itself', () => {
 		const toFound = ({reachable, reachableAt}: ServerStatus) => ({reachable, reachableAt});
 		const kept = apply(before, restarted);
 		assert.deepEqual(toFound(kept.servers.get('d1')!), {reachable: false, reachableAt: 700});
@@ -58,7 +58,7 @@
 		assert.deepEqual(toFound(found.servers.get('d1')!), {reachable: true, reachableAt: 2450});
 	});
 
-	it('drops servers that a first update does not name: they have left the configuration', () => {
+	it('removes servers that a first update does not name, since they are no longer in the configuration', () => {
 		assert.deepEqual([...apply(before, {...restarted, servers: [toServer('d2')]}).servers.keys()], ['d2']);
 	});
 });
--- a/src/adapters/view-feed/_lib/apply-update.ts
+++ b/src/adapters/view-feed/_lib/apply-update.ts
@@ -1,4 +1,4 @@
-/** Turns an update of the agent into the entry's next view. */
+/** Applies an update of the agent to the entry's view. */
 import {type Result} from 'neverthrow';
 import {type Milliseconds} from '../../../ports/clock.js';
 import {collectParts} from '../../../domain/collect-parts/index.js';
@@ -10,10 +10,10 @@
 import {msPerSecond} from '../../../ports/units.js';
 import {type FeedServer, type FeedUpdate} from './messages.js';
 
-/** Time in which a restarted agent names the hosts that its entry knows, if it reaches any peer; the rest is forgotten then. */
+/** Time in which a restarted agent that reaches any peer names the hosts that its entry knows. Hosts not named by then are removed. */
 const unnamedLimitMs = 30 * msPerSecond;
 
-/** The entry's view, and the hosts in it that its agent has not named since it started. */
+/** The entry's view, and the hosts in it that the agent has not named since the agent's start. */
 export type FedView = FleetView & {
 	unnamed?: {hosts: ReadonlySet<HostId>; since: Milliseconds} | undefined;
 };
@@ -27,13 +27,13 @@
 };
 
 export type ApplyOptions = {
-	/** Parses the text of a configuration document, whose parts it finds. */
+	/** Parses the text of a configuration document; `findPart` finds its parts. */
 	parse: (text: string, findPart: FindPart) => Result<Config, unknown>;
 	/** Whether the first version replaces the second. */
 	isNewer: (candidate: ConfigVersion, current: ConfigVersion) => boolean;
-	/** A document that the agent sent did not parse here, or is older than the one in force. */
+	/** Called for a document of the agent that can't be parsed or is older than the one in force. */
 	onRefusedConfig?: (version: ConfigVersion, reason: string) => void;
-	/** A part that the agent took to be here is not. */
+	/** Called when a part that the agent left out is missing here. */
 	onMissingPart?: (version: ConfigVersion) => void;
 };
 
@@ -55,7 +55,7 @@
 }
 
 function toStatus({id, leaving, load, loadAgeMs, reachable, reachableAgeMs}: FeedServer, prev: ServerStatus | undefined, sentAt: Milliseconds): ServerStatus {
-	// An agent that has just started has polled nobody yet. Its entry keeps what it knew, with the age that this has.
+	// An agent that has just started has polled no server yet. The entry keeps its last load and reachability, with their age.
 	const isKept = load === undefined && prev?.load !== undefined;
 	const foundAt = reachableAgeMs === undefined ? undefined : sentAt - reachableAgeMs;
 	return {
@@ -69,10 +69,11 @@
 }
 
 /**
- * A running agent never drops a host from its table, so a host that is missing
- * in the first update of a new one is one of which it has not heard yet. Without
- * this an entry would, each time its agent restarts, find no witness for a key
- * and count on the places of all other hosts.
+ * Returns the hosts that the agent has not named since its start. A running agent
+ * never removes a host from its table, so a host that is missing in the first
+ * update of a restarted agent is one of which the agent has not heard yet.
+ * Without this rule, each restart of its agent would leave the entry without a
+ * witness for a key, and the entry would use the share of all other hosts.
  */
 function toUnnamed({unnamed, hosts}: FedView, update: FeedUpdate, sentAt: Milliseconds): FedView['unnamed'] {
 	const since = update.whole ? sentAt : unnamed?.since ?? sentAt;
@@ -86,7 +87,7 @@
 		return view.accepted;
 	}
 
-	// A restarted agent that has heard the platform alone may hold an older document than its entry.
+	// A restarted agent that has so far heard only from the platform may hold an older document than its entry.
 	if (view.accepted && !isNewer(config.version, view.accepted.version)) {
 		onRefusedConfig?.(config.version, 'it is older than the one in force');
 		return view.accepted;
@@ -121,14 +122,14 @@
  * Applies an update.
  *
  * @param view - The view so far; it is not changed.
- * @param update - What the agent sent.
- * @param options - How configuration documents are read and ordered.
+ * @param update - Update from the agent.
+ * @param options - How configuration documents are parsed and ordered.
  * @returns The next view, its times on the entry's monotonic clock.
  */
 export function applyUpdate(view: FedView, update: FeedUpdate, options: ApplyOptions): FedView {
-	// The update was sent at this time or later. Counting from the entry's own
-	// echoed clock keeps an entry that was paused, and wakes to a socket full of
-	// old updates, from taking them for fresh.
+	// The update was sent at this time or later. The time is based on the entry's own
+	// echoed clock: an entry that wakes up from a pause to a socket full of old
+	// updates must not treat them as fresh.
 	const sentAt = update.echoAt + update.echoAgeMs;
 	const statuses = update.servers.map(server => toStatus(server, view.servers.get(server.id), sentAt));
 	const confirmedAt = update.confirmedAgeMs === undefined ? undefined : sentAt - update.confirmedAgeMs;
--- a/src/adapters/view-feed/_lib/messages.ts
+++ b/src/adapters/view-feed/_lib/messages.ts
@@ -1,6 +1,6 @@
 /**
- * What an agent and its entry tell each other. Times travel as ages, because
- * the two processes have no common clock.
+ * Messages between an agent and its entry. Times are sent as ages, because the
+ * two processes have no common clock.
  */
 import {type ConfigVersion} from '../../../ports/config.js';
 import {type Milliseconds} from '../../../ports/clock.js';
@@ -8,20 +8,20 @@
 import {type HostId, type Incarnation, type ServerId} from '../../../ports/ids.js';
 import {type HostStatus, type ZoneSummary} from '../../../ports/view.js';
 
-/** Event from the entry, each second: its own clock, to be echoed. */
+/** Event from the entry, every second, with its clock, which the agent echoes. */
 export type FeedPing = {
 	at: Milliseconds;
-	/** `IP:port` on which the entry takes calls of peers. */
+	/** `IP:port` on which the entry accepts calls from peers. */
 	entryAddress: string;
-	/** The entry's present incarnation; it may have been raised since its hello. */
+	/** The entry's present incarnation, which may have been raised since its hello. */
 	incarnation: Incarnation;
-	/** Version that the entry decides with; lets a restarted agent learn it from its entry. */
+	/** Version of the configuration that the entry uses; a restarted agent can recover the configuration from its entry. */
 	configVersion: ConfigVersion | undefined;
-	/** The entry finishes what it has and takes nothing new; absent means no. */
+	/** Whether the entry drains: it completes its requests and accepts no new ones; absent means no. */
 	stopping?: boolean;
 };
 
-/** A part under its digest. */
+/** A part of a document, identified by its digest. */
 export type FeedPart = {
 	sha256: string;
 	text: string;
@@ -31,7 +31,7 @@
 	version: ConfigVersion;
 	/** The document, or its root. */
 	text: string;
-	/** Those of its parts that the entry may not have; absent for a document in one file. */
+	/** Parts of the document that the entry may lack; absent for a document in one file. */
 	parts?: readonly FeedPart[];
 };
 
@@ -51,24 +51,24 @@
 	ageMs: Milliseconds;
 };
 
-/** Event from the agent: what changed since the update before. */
+/** Event from the agent with the changes since the previous update. */
 export type FeedUpdate = {
 	/** The last clock value that the entry sent. */
 	echoAt: Milliseconds;
 	/** Time between the arrival of that value and the sending of this update, on the agent's clock. */
 	echoAgeMs: Milliseconds;
-	/** First update of a connection: it holds everything that the agent knows. Servers that it does not name are gone, hosts may not be known to it yet. */
+	/** Whether this is the first update of a connection, which contains everything that the agent knows. Servers that it does not name are gone; hosts that it does not name may just be unknown to the agent yet. */
 	whole: boolean;
 	config: FeedConfig | undefined;
 	hosts: readonly HostStatus[];
 	hostsGone: readonly HostId[];
 	servers: readonly FeedServer[];
 	serversGone: readonly ServerId[];
-	/** Summaries of other zones, all of them when any has changed; absent when none has. */
+	/** Summaries of all other zones if any of them has changed; absent otherwise. */
 	zones?: readonly FeedZone[];
 	/** Age of the platform's last confirmation; `undefined` if there was none. */
 	confirmedAgeMs: Milliseconds | undefined;
-	/** Least incarnation that the entry may use: above those of the entries before it. */
+	/** Lowest incarnation that the entry may use, above those of earlier entries. */
 	incarnationFloor: Incarnation;
 };
 
@@ -81,7 +81,7 @@
 /** Call from the agent to its entry for the configuration that the entry holds. */
 export const feedConfigCall = 'feed-config';
 
-/** Event from the entry: a server said itself that it is leaving. */
+/** Event from the entry: a server refused work with `leaving`. */
 export type FeedLeaving = {
 	server: ServerId;
 };
--- a/src/adapters/view-feed/index.ts
+++ b/src/adapters/view-feed/index.ts
@@ -1,5 +1,5 @@
 /**
- * The entry's view of the fleet, fed by its host's agent over the peer
+ * The entry's view of the fleet, which its host's agent updates over the peer
  * protocol.
  */
 import {waitFor} from '../../_lib/wait-for/index.js';
@@ -31,13 +31,13 @@
 	/** `IP:port` of the agent's peer port. */
 	agentAddress: string;
 	hello: PeerHello | (() => PeerHello);
-	/** `IP:port` of the entry's own peer port, for the agent to tell peers. */
+	/** `IP:port` of the entry's own peer port, which the agent announces to peers. */
 	entryAddress: string;
-	/** Called with each new view; never with an older one than before. */
+	/** Called with each new view, in order. */
 	onView: (view: FleetView) => void;
-	/** Least incarnation that this entry may use, above those of the entries before it; 0 when any will do. */
+	/** Called with the lowest incarnation that this entry may use, above those of earlier entries; 0 when any is allowed. */
 	onIncarnationSeen?: (incarnation: Incarnation) => void;
-	/** The connection was made, lost, or could not be made, with the reason. */
+	/** Called with the reason when the connection was made or lost, or could not be made. */
 	onState?: (state: 'connected' | 'disconnected', reason: string) => void;
 	/** Monotonic milliseconds. */
 	now: () => Milliseconds;
@@ -46,29 +46,29 @@
 };
 
 export type ViewFeed = {
-	/** The last view; empty until the first. */
+	/** The last view; empty until the first update. */
 	view: () => FleetView;
 	isConnected: () => boolean;
-	/** Tells the agent, and through it the fleet, that a server refused with `leaving`. */
+	/** Reports to the agent, and through it to the fleet, that a server refused work with `leaving`. */
 	reportLeaving: (server: ServerId) => void;
-	/** Tells the agent, and through it the fleet, that this entry takes nothing new any more. */
+	/** Reports to the agent, and through it to the fleet, that this entry accepts no new requests any more. */
 	reportStopping: () => void;
 	close: () => Promise<void>;
 };
 
 /**
- * Connects to the agent and stays connected until closed. While the agent is
- * away the last view stays, and its `receivedAt` tells how old it is.
+ * Connects to the agent, and reconnects until closed. While there is no
+ * connection the last view stays, and its `receivedAt` tells how old it is.
  *
  * @param options - See {@link ViewFeedOptions}.
- * @returns The feed at once; it connects in the background.
+ * @returns The feed, immediately; it connects in the background.
  */
 export function connectViewFeed(options: ViewFeedOptions): ViewFeed {
 	const {now, random} = options;
 	const applyOptions: ApplyOptions = {
 		parse: createConfigReader(),
 		isNewer: (candidate, current) => compareConfigVersions(candidate, current) > 0,
-		// The first update of a connection has all parts.
+		// Reconnects, because the first update of a connection contains all parts.
 		onMissingPart() {
 			current?.close();
 		},
@@ -126,7 +126,7 @@
 	}
 
 	async function run() {
-		// Told once for each new reason: an entry with wrong keys or a wrong address would else just never be ready.
+		// Each new reason is reported once. Without the report, an entry with wrong keys or a wrong address would never get ready and not say why.
 		let reportedReason: string | undefined;
 		while (!stop.signal.aborted) {
 			const connected = await connectPeer({
@@ -146,7 +146,7 @@
 				options.onState?.('disconnected', reportedReason);
 			}
 
-			// Half of the wait is random, so that entries do not come back together.
+			// Half of the delay is random, so that entries do not reconnect all at once.
 			await waitFor(backoffMs * (0.5 + (random() / 2)), stop.signal);
 			backoffMs = Math.min(backoffMs * 2, maxBackoffMs);
 		}
--- a/src/adapters/view-feed/publish-view.ts
+++ b/src/adapters/view-feed/publish-view.ts
@@ -1,6 +1,4 @@
-/**
- * The agent's end of the view feed: sends the entry what changed.
- */
+/** The agent's end of the view feed: sends changes of the view to the entry. */
 import {type Milliseconds} from '../../ports/clock.js';
 import {type AcceptedConfig} from '../../ports/config.js';
 import {type Incarnation} from '../../ports/ids.js';
@@ -10,7 +8,7 @@
 	feedEvents, type FeedConfig, type FeedPing, type FeedUpdate,
 } from './_lib/messages.js';
 
-/** An update without news still goes out this often, so that the entry knows that its agent lives. */
+/** Interval at which an update is sent even without changes, so that the entry knows that its agent is alive. */
 const keepAliveMs = 500;
 
 type Subscriber = {
@@ -18,16 +16,16 @@
 	ping: {at: Milliseconds; receivedAt: Milliseconds} | undefined;
 	sent: FleetView | undefined;
 	sentAt: Milliseconds;
-	/** The last configuration with which the entry said that it decides. */
+	/** The last configuration that the entry confirmed to use. */
 	confirmed: AcceptedConfig | undefined;
 };
 
 export type ViewPublisher = {
-	/** A connection of this host's entry has opened. */
+	/** Adds a new connection of this host's entry. */
 	add: (connection: PeerConnection) => void;
-	/** The entry has sent its clock; until then nothing is sent to it. */
+	/** Handles a ping with the entry's clock; nothing is sent to the entry before its first ping. */
 	notePing: (connection: PeerConnection, ping: FeedPing, now: Milliseconds) => void;
-	/** Sends each entry what changed since its last update. Statuses that did not change must be the same objects as before. */
+	/** Sends each connected entry the changes since its last update. Changes are found by identity, so statuses that did not change must be the same objects as before. */
 	publish: (view: FleetView, incarnationFloor: Incarnation, now: Milliseconds) => void;
 };
 
@@ -51,10 +49,11 @@
 }
 
 /**
- * The entry decides with what it confirmed last, or with something that was sent
- * since: what was sent last, or, had it refused that, one before. A part that
- * stands in the first and in the last of these is there in all but an odd case,
- * in which the entry connects anew and gets everything.
+ * Selects the parts that the entry may lack. The entry uses the configuration
+ * that it confirmed last, or a later one that was sent since: the last one, or an
+ * earlier one if it refused the last. A part that is both in the confirmed and in
+ * the last sent configuration is almost always present at the entry. If it is
+ * missing after all, the entry reconnects and gets all parts.
  */
 function toFeedConfig({version, text, parts}: AcceptedConfig, {sent, confirmed}: Subscriber): FeedConfig {
 	if (!parts) {
