--- a/src/programs/entry/claims/_lib/create-claimer.ts
+++ b/src/programs/entry/claims/_lib/create-claimer.ts
@@ -8,8 +8,8 @@
 import {type Claimed, type KeyedRequest} from '../types.js';
 import {toClaimProblem, toJoinProblem, toLostProblem} from './to-claim-problem.js';
 
-const rounds = 6;
-const roundWaitMs = 40;
+const maxRounds = 6;
+const roundBackoffMs = 40;
 
 export type ClaimerOptions = Pick<ClaimKeyOptions, 'ask' | 'release'> & {
 	/** Names this process; its claims begin with it. */
@@ -105,7 +105,7 @@
 	async function claim(request: KeyedRequest): Promise<Claimed> {
 		const text = toScopedKey(request);
 		let replaces: string | undefined;
-		for (let round = 1; round <= rounds; round++) {
+		for (let round = 1; round <= maxRounds; round++) {
 			const local = joinLocal(request);
 			if (local !== undefined) {
 				return local;
@@ -132,7 +132,7 @@
 			}
 
 			replaces = joined === 'lost' ? claimed.holder.claimId : undefined;
-			await sleep(joined === 'lost' ? 0 : roundWaitMs * round * (0.5 + random()));
+			await sleep(joined === 'lost' ? 0 : roundBackoffMs * round * (0.5 + random()));
 		}
 
 		return {kind: 'refused', problem: toLostProblem(undefined)};
--- a/src/programs/entry/claims/_lib/create-hand-overs.ts
+++ b/src/programs/entry/claims/_lib/create-hand-overs.ts
@@ -5,10 +5,10 @@
 import {type HandOverPart, type TakeOverReply} from './messages.js';
 
 const claimsPerPart = 2000;
-const keptForMs = 10 * msPerMinute;
+const retentionMs = 10 * msPerMinute;
 /** Long enough for a successor that lost a reply to ask for the parts again. */
-const keptOnceTakenMs = 30 * msPerSecond;
-const maxSlots = 8;
+const takenRetentionMs = 30 * msPerSecond;
+const maxTables = 8;
 
 /** Tables of witnesses that left, held for their successors. */
 export type HandOvers = {
@@ -24,12 +24,12 @@
 	sweep: () => void;
 };
 
-type Held = {
+type HeldTable = {
 	parts: Array<HandOverPart | undefined>;
 	incarnation: number;
-	keptUntil: Milliseconds;
+	expiresAt: Milliseconds;
 	/** Incarnation of the successor that takes it. */
-	taker: number | undefined;
+	successor: number | undefined;
 };
 
 /**
@@ -52,19 +52,19 @@
  * @returns Functions that close over the store.
  */
 export function createHandOvers(now: () => Milliseconds): HandOvers {
-	const held = new Map<HostId, Held>();
+	const held = new Map<HostId, HeldTable>();
 
 	return {
 		put(part) {
 			const known = held.get(part.slot);
 			const isNew = known?.incarnation !== part.incarnation;
-			if (isNew && (part.part !== 0 || (known === undefined && held.size >= maxSlots))) {
+			if (isNew && (part.part !== 0 || (known === undefined && held.size >= maxTables))) {
 				return false;
 			}
 
-			const entry: Held = isNew || known === undefined
+			const entry: HeldTable = isNew || known === undefined
 				? {
-					parts: Array.from({length: part.parts}), incarnation: part.incarnation, keptUntil: now() + keptForMs, taker: undefined,
+					parts: Array.from({length: part.parts}), incarnation: part.incarnation, expiresAt: now() + retentionMs, successor: undefined,
 				}
 				: known;
 			if (part.part >= entry.parts.length) {
@@ -78,20 +78,20 @@
 		take(slot, taker, part) {
 			const found = held.get(slot);
 			const isWhole = found?.parts.every(piece => piece !== undefined) ?? false;
-			if (found === undefined || !isWhole || taker === found.incarnation || (found.taker ?? taker) !== taker) {
+			if (found === undefined || !isWhole || taker === found.incarnation || (found.successor ?? taker) !== taker) {
 				return {kind: 'nothing'};
 			}
 
-			if (found.taker === undefined) {
-				found.taker = taker;
-				found.keptUntil = Math.min(found.keptUntil, now() + keptOnceTakenMs);
+			if (found.successor === undefined) {
+				found.successor = taker;
+				found.expiresAt = Math.min(found.expiresAt, now() + takenRetentionMs);
 			}
 
 			const piece = found.parts[part];
 			return piece === undefined ? {kind: 'nothing'} : {kind: 'part', ...piece};
 		},
 		sweep() {
-			for (const [slot, {keptUntil}] of held) {
+			for (const [slot, {expiresAt: keptUntil}] of held) {
 				if (now() > keptUntil) {
 					held.delete(slot);
 				}
--- a/src/programs/entry/claims/_lib/create-peer-pool.ts
+++ b/src/programs/entry/claims/_lib/create-peer-pool.ts
@@ -23,7 +23,7 @@
 	idleMs: Milliseconds;
 };
 
-type Pooled = {
+type PooledConnection = {
 	connecting: ResultAsync<PeerConnection, PeerFailure>;
 	usedAt: Milliseconds;
 };
@@ -36,10 +36,10 @@
  * @returns The pool.
  */
 export function createPeerPool({connect, now, idleMs}: PeerPoolOptions): PeerPool {
-	const pooled = new Map<string, Pooled>();
+	const pooled = new Map<string, PooledConnection>();
 	let isClosed = false;
 
-	async function forgetWhenEnded(address: string, entry: Pooled) {
+	async function removeWhenClosed(address: string, entry: PooledConnection) {
 		const connected = await entry.connecting;
 		if (connected.isOk()) {
 			await connected.value.closed;
@@ -50,14 +50,14 @@
 		}
 	}
 
-	function open(address: string): Pooled {
+	function open(address: string): PooledConnection {
 		const entry = {connecting: connect(address), usedAt: now()};
 		pooled.set(address, entry);
-		void forgetWhenEnded(address, entry);
+		void removeWhenClosed(address, entry);
 		return entry;
 	}
 
-	async function end(entry: Pooled) {
+	async function end(entry: PooledConnection) {
 		const connected = await entry.connecting;
 		if (connected.isOk()) {
 			connected.value.close();
--- a/src/programs/entry/claims/_lib/create-remote-reader.ts
+++ b/src/programs/entry/claims/_lib/create-remote-reader.ts
@@ -6,7 +6,7 @@
 /** Longer than a peer holds a read that finds nothing new. */
 const readTimeoutMs = 15 * msPerSecond;
 
-const broken: RunPart = {kind: 'end', end: 'broken'};
+const brokenEnd: RunPart = {kind: 'end', end: 'broken'};
 
 /**
  * Reads the answer of a run on another host. A reply that is lost takes bytes
@@ -25,7 +25,7 @@
 			const reply = await connection.call(methods.read, {readId}, {timeoutMs: readTimeoutMs});
 			const part = readReplySchema.safeParse(reply.unwrapOr(undefined));
 			if (!part.success) {
-				last = broken;
+				last = brokenEnd;
 			} else if (part.data.kind === 'end' || part.data.kind === 'taken-over') {
 				last = part.data;
 			} else if (part.data.kind !== 'idle') {
@@ -39,7 +39,7 @@
 	return {
 		next,
 		close() {
-			last ??= broken;
+			last ??= brokenEnd;
 			connection.send(events.closeRead, {readId});
 		},
 	};
--- a/src/programs/entry/claims/_lib/create-served-reads.ts
+++ b/src/programs/entry/claims/_lib/create-served-reads.ts
@@ -6,11 +6,11 @@
 import {type ReadReply} from './messages.js';
 
 /** Time for which a read that finds nothing new is held. */
-const holdMs = 5 * msPerSecond;
+const longPollMs = 5 * msPerSecond;
 /** A peer that has not read for this long is gone, whatever its connection looks like. */
-const idleMs = 30 * msPerSecond;
+const idleTimeoutMs = 30 * msPerSecond;
 
-type Served = {
+type ServedRead = {
 	reader: RunReader;
 	connection: PeerConnection;
 	/** The part being waited for; kept over calls, since a part is given out once. */
@@ -34,7 +34,7 @@
  * @returns Functions that close over the set.
  */
 export function createServedReads(now: () => Milliseconds): ServedReads {
-	const served = new Map<number, Served>();
+	const served = new Map<number, ServedRead>();
 	let nextId = 1;
 
 	function end(readId: number) {
@@ -65,7 +65,7 @@
 			found.usedAt = now();
 			found.waiting ??= found.reader.next();
 			const timer = new AbortController();
-			const idle = sleep(holdMs, {kind: 'idle'} as const, {signal: timer.signal, ref: false});
+			const idle = sleep(longPollMs, {kind: 'idle'} as const, {signal: timer.signal, ref: false});
 			const part = await Promise.race([found.waiting, idle]);
 			if (part.kind === 'idle') {
 				return part;
@@ -88,7 +88,7 @@
 		},
 		sweep() {
 			for (const [readId, {usedAt}] of served) {
-				if (now() - usedAt > idleMs) {
+				if (now() - usedAt > idleTimeoutMs) {
 					end(readId);
 				}
 			}
--- a/src/programs/entry/claims/_lib/create-table-transfer.ts
+++ b/src/programs/entry/claims/_lib/create-table-transfer.ts
@@ -14,12 +14,12 @@
 } from './messages.js';
 
 const handOverTimeoutMs = 2 * msPerSecond;
-const handOverCandidates = 3;
-const takeOverForMs = 30 * msPerSecond;
+const maxHandOverPeers = 3;
+const takeOverTimeoutMs = 30 * msPerSecond;
 /** The first rounds come fast: right after a start the view lacks the peers' addresses for a moment. */
-const takeOverWaitMs = {first: 50, longest: 500} as const;
+const takeOverBackoffMs = {first: 50, longest: 500} as const;
 /** A peer that can't be reached must not keep this host out of service. */
-const settleForMs = 5 * msPerSecond;
+const settleTimeoutMs = 5 * msPerSecond;
 
 export type TableTransferOptions = {
 	slot: HostId;
@@ -45,10 +45,10 @@
 };
 
 /** What became of a table at a peer; after `failed` a part of it may be there. */
-type HandedOver = 'done' | 'unreachable' | 'refused' | 'failed';
+type HandOverResult = 'done' | 'unreachable' | 'refused' | 'failed';
 
 /** What a peer has of this slot's table. */
-type Search = 'taken' | 'nothing' | 'unreachable';
+type SearchResult = 'taken' | 'nothing' | 'unreachable';
 
 /**
  * Creates the transfer of one entry.
@@ -59,19 +59,19 @@
 export function createTableTransfer({
 	slot, witness, connectTo, toView, clock, log, closing,
 }: TableTransferOptions): TableTransfer {
-	let soughtSince: Milliseconds | undefined;
-	let hasEnded = false;
+	let searchStartedAt: Milliseconds | undefined;
+	let isSearchDone = false;
 	const leaving = new AbortController();
-	let round: Promise<Search> | undefined;
+	let currentRound: Promise<SearchResult> | undefined;
 
 	/** Peers that hold this slot's table between two of its processes, in an order that both know. */
-	function listHolders(): HostId[] {
+	function listHandOverPeers(): HostId[] {
 		const hosts = toView()?.accepted?.config.hosts.filter(host => host.id !== slot) ?? [];
 		return [...pickWitnesses(`hand-over\n${slot}`, hosts).slots];
 	}
 
 	/** A part that may have arrived ends the search: with a second copy about, two successors could take the table. */
-	async function handTo(host: HostId, parts: readonly HandOverPart[]): Promise<HandedOver> {
+	async function sendTable(host: HostId, parts: readonly HandOverPart[]): Promise<HandOverResult> {
 		const connected = await connectTo(host);
 		if (connected.isErr()) {
 			return 'unreachable';
@@ -99,7 +99,7 @@
 	 */
 	async function endSearch(): Promise<void> {
 		leaving.abort();
-		await round;
+		await currentRound;
 	}
 
 	async function leave(): Promise<boolean> {
@@ -110,8 +110,8 @@
 		}
 
 		const parts = toHandOverParts(handOver);
-		for (const host of listHolders().slice(0, handOverCandidates)) {
-			const handed = await handTo(host, parts);
+		for (const host of listHandOverPeers().slice(0, maxHandOverPeers)) {
+			const handed = await sendTable(host, parts);
 			if (handed === 'done' || handed === 'failed') {
 				log.info(handed === 'done' ? 'claims handed over' : 'claims may not have been handed over', {peer: host, count: handOver.claims.length});
 				return handed === 'done';
@@ -122,26 +122,26 @@
 		return false;
 	}
 
-	async function takePart(connection: PeerConnection, part: number): Promise<TakeOverReply> {
+	async function fetchPart(connection: PeerConnection, part: number): Promise<TakeOverReply> {
 		const replied = await connection.call(methods.takeOver, {part}, {timeoutMs: handOverTimeoutMs});
 		const reply = takeOverReplySchema.safeParse(replied.unwrapOr(undefined));
 		return reply.success ? reply.data : {kind: 'nothing'};
 	}
 
-	async function takeFrom(host: HostId): Promise<Search> {
+	async function fetchTable(host: HostId): Promise<SearchResult> {
 		const connected = await connectTo(host);
 		if (connected.isErr()) {
 			return 'unreachable';
 		}
 
-		const first = await takePart(connected.value, 0);
+		const first = await fetchPart(connected.value, 0);
 		if (first.kind !== 'part') {
 			return 'nothing';
 		}
 
 		const claims = [...first.claims];
 		for (let part = 1; part < first.parts; part++) {
-			const next = await takePart(connected.value, part);
+			const next = await fetchPart(connected.value, part);
 			if (next.kind !== 'part') {
 				return 'nothing';
 			}
@@ -152,21 +152,21 @@
 		return witness.adopt({...first, claims}) ? 'taken' : 'nothing';
 	}
 
-	function isThoughtGone(host: HostId): boolean {
+	function isBelievedDown(host: HostId): boolean {
 		const life = toView()?.hosts.get(host)?.life;
 		return life === 'dead' || life === 'left';
 	}
 
-	async function takeFromAny(): Promise<Search> {
-		let worst: Search = 'nothing';
-		for (const host of listHolders().slice(0, handOverCandidates)) {
-			const search = await takeFrom(host);
+	async function fetchFromPeers(): Promise<SearchResult> {
+		let worst: SearchResult = 'nothing';
+		for (const host of listHandOverPeers().slice(0, maxHandOverPeers)) {
+			const search = await fetchTable(host);
 			if (search === 'taken') {
 				log.info('claims taken over', {peer: host, count: witness.stats().claims});
 				return search;
 			}
 
-			worst = search === 'unreachable' && !isThoughtGone(host) ? search : worst;
+			worst = search === 'unreachable' && !isBelievedDown(host) ? search : worst;
 		}
 
 		return worst;
@@ -174,16 +174,16 @@
 
 	/** Asks for a while: the first view may lack addresses, and the old process may leave after this one has started. */
 	async function takeOver(): Promise<boolean> {
-		if (soughtSince !== undefined) {
+		if (searchStartedAt !== undefined) {
 			return false;
 		}
 
-		soughtSince = clock.now();
-		const giveUpAt = soughtSince + takeOverForMs;
-		for (let waitMs: number = takeOverWaitMs.first; !closing.aborted && !leaving.signal.aborted && clock.now() < giveUpAt; waitMs = Math.min(2 * waitMs, takeOverWaitMs.longest)) {
-			round = takeFromAny();
-			const search = await round;
-			hasEnded ||= search !== 'unreachable';
+		searchStartedAt = clock.now();
+		const giveUpAt = searchStartedAt + takeOverTimeoutMs;
+		for (let waitMs: number = takeOverBackoffMs.first; !closing.aborted && !leaving.signal.aborted && clock.now() < giveUpAt; waitMs = Math.min(2 * waitMs, takeOverBackoffMs.longest)) {
+			currentRound = fetchFromPeers();
+			const search = await currentRound;
+			isSearchDone ||= search !== 'unreachable';
 			if (search === 'taken') {
 				return true;
 			}
@@ -198,6 +198,6 @@
 	return {
 		leave,
 		takeOver,
-		isSettled: () => hasEnded || (soughtSince !== undefined && clock.now() - soughtSince > settleForMs),
+		isSettled: () => isSearchDone || (searchStartedAt !== undefined && clock.now() - searchStartedAt > settleTimeoutMs),
 	};
 }
--- a/src/programs/entry/claims/_lib/create-witness-client.ts
+++ b/src/programs/entry/claims/_lib/create-witness-client.ts
@@ -14,7 +14,7 @@
 import {claimAnswerSchema, events, methods} from './messages.js';
 
 /** A witness that is thought dead gets the time-out divided by this. */
-const goneHostShare = 5;
+const downHostTimeoutDivisor = 5;
 
 export type WitnessClientOptions = {
 	/** This host's own slot, whose witness is called directly. */
@@ -57,7 +57,7 @@
 			: errAsync({message: `the entry of host ${host} is not at the address known`}));
 	}
 
-	function isThoughtGone(host: HostId): boolean {
+	function isBelievedDown(host: HostId): boolean {
 		const life = toView()?.hosts.get(host)?.life;
 		return life === 'dead' || life === 'left';
 	}
@@ -67,8 +67,8 @@
 	 * all wait out the time-out for their refusal. Such a witness is asked none the
 	 * less, since a host may be thought dead whose entry serves, but for less time.
 	 */
-	async function giveUpSoon(host: HostId): Promise<Result<ClaimAnswer, AskFailure>> {
-		await sleep(askTimeoutMs / goneHostShare, undefined, {ref: false});
+	async function failEarly(host: HostId): Promise<Result<ClaimAnswer, AskFailure>> {
+		await sleep(askTimeoutMs / downHostTimeoutDivisor, undefined, {ref: false});
 		return err({message: `host ${host} is thought dead and did not answer soon`});
 	}
 
@@ -85,7 +85,7 @@
 					? okAsync<ClaimAnswer, AskFailure>(answer.data as ClaimAnswer)
 					: errAsync<ClaimAnswer, AskFailure>({message: `host ${host} sent no valid answer to a claim`});
 			});
-		return isThoughtGone(host) ? new ResultAsync(Promise.race([answered, giveUpSoon(host)])) : answered;
+		return isBelievedDown(host) ? new ResultAsync(Promise.race([answered, failEarly(host)])) : answered;
 	}
 
 	function release(host: HostId, request: {workspace: string; key: string; claimId: string}) {
--- a/src/programs/entry/claims/_lib/create-witness-sets.ts
+++ b/src/programs/entry/claims/_lib/create-witness-sets.ts
@@ -5,7 +5,7 @@
 /** Lists in force during the time for which keys are kept; more changes within it drop the oldest. */
 const maxLists = 4;
 
-type Listed = {
+type HostList = {
 	hosts: readonly HostEntry[];
 	fingerprint: string;
 	/** When the next list took its place; `undefined` for the present one. */
@@ -28,11 +28,11 @@
  * a change could find other witnesses, none of which knows it; it would run
  * twice. While such keys are in use, a claim needs a quorum by both lists.
  *
- * @param keptForMs - Longest age at which a key is still taken.
+ * @param keyLifetimeMs - Longest age at which a key is still taken.
  * @returns Functions that close over the lists.
  */
-export function createWitnessSets(keptForMs: Milliseconds): WitnessSets {
-	let lists: Listed[] = [];
+export function createWitnessSets(keyLifetimeMs: Milliseconds): WitnessSets {
+	let lists: HostList[] = [];
 
 	return {
 		setHosts(hosts, now) {
@@ -48,7 +48,7 @@
 			}
 		},
 		pick(scopedText, now) {
-			const inUse = lists.filter(list => list.replacedAt === undefined || now - list.replacedAt < keptForMs);
+			const inUse = lists.filter(list => list.replacedAt === undefined || now - list.replacedAt < keyLifetimeMs);
 			const sets = inUse.map(list => pickWitnesses(scopedText, list.hosts));
 			const isFirstOfItsSlots = (set: WitnessSet, i: number) => sets.findIndex(other => other.slots.join(',') === set.slots.join(',')) === i;
 			return sets.filter((set, i) => set.slots.length > 0 && isFirstOfItsSlots(set, i));
--- a/src/programs/entry/claims/index.ts
+++ b/src/programs/entry/claims/index.ts
@@ -70,7 +70,7 @@
 	} = options;
 	const retentionMs = defaultRetentionMs - defaultClockBoundMs + clockBoundMs;
 	/** Names this process: a later one at the same address did not make its claims and cannot say what became of them. */
-	const instance = randomUUID();
+	const processId = randomUUID();
 	const slot = hello().host;
 	const witness = createClaimWitness({
 		slot, incarnation: hello().incarnation, startedAt: clock.wallNow(), clockBoundMs, retentionMs,
@@ -107,7 +107,7 @@
 	}
 
 	const {claim, waitForDecision} = createClaimer({
-		instance,
+		instance: processId,
 		slot,
 		toClaimant: () => ({host: slot, incarnation: hello().incarnation, address: toAddress()}),
 		toSets,
@@ -123,7 +123,7 @@
 
 	async function serveJoin(body: unknown, connection: PeerConnection): Promise<JoinReply> {
 		const request = joinRequestSchema.parse(body);
-		if (!request.claimId.startsWith(instance)) {
+		if (!request.claimId.startsWith(processId)) {
 			return {kind: 'foreign'};
 		}
 
--- a/src/programs/entry/claims/serve-keyed.ts
+++ b/src/programs/entry/claims/serve-keyed.ts
@@ -47,7 +47,7 @@
 };
 
 /** Where a delivery stands, by what was passed on last. */
-type Position = {
+type DeliveryState = {
 	isEventStream: boolean;
 	/** Whether the last event is whole, so that another one may follow it. */
 	isBetweenEvents: boolean;
@@ -57,11 +57,11 @@
 };
 
 /** Status from which on a server takes the blame. */
-const firstServerFault = 500;
+const minServerErrorStatus = 500;
 const tooManyRequests = 429;
 
-function toStarted(status: number, type: string, now: Milliseconds): Position {
-	const isRefusal = type.startsWith('application/problem+json') && (status === tooManyRequests || status >= firstServerFault);
+function toInitialState(status: number, type: string, now: Milliseconds): DeliveryState {
+	const isRefusal = type.startsWith('application/problem+json') && (status === tooManyRequests || status >= minServerErrorStatus);
 	return {
 		isEventStream: type.startsWith('text/event-stream'), isBetweenEvents: true, isRefusal, startedAt: now,
 	};
@@ -73,7 +73,7 @@
 	return Buffer.from(bytes.subarray(-eventEnd.length)).equals(eventEnd);
 }
 
-function toBreakProblem(isTakenOver: boolean, isStarted: boolean): Problem {
+function toAbortProblem(isTakenOver: boolean, isStarted: boolean): Problem {
 	const outcome = isStarted ? 'ran' : 'may-have-run';
 	return isTakenOver
 		? {kind: 'key-used', detail: 'A later request with the same Idempotency-Key took the answer over.', outcome}
@@ -85,9 +85,9 @@
  * event. Any other answer that has begun is cut off, since a connection that
  * closed normally after a part of it would pass it off as whole.
  */
-function breakOff(exchange: CallerExchange, isTakenOver: boolean, {isEventStream, isBetweenEvents}: Position) {
+function abortDelivery(exchange: CallerExchange, isTakenOver: boolean, {isEventStream, isBetweenEvents}: DeliveryState) {
 	const isStarted = exchange.isStarted();
-	const problem = toBreakProblem(isTakenOver, isStarted);
+	const problem = toAbortProblem(isTakenOver, isStarted);
 	if (!isStarted) {
 		exchange.sendProblem(problem);
 	} else if (isEventStream && isBetweenEvents) {
@@ -100,23 +100,23 @@
 
 /** Passes an answer on to a caller until it ends, the caller goes, or another connection takes the delivery over. */
 async function deliver(reader: RunReader, exchange: CallerExchange, {writeTimeoutMs, now}: ServeKeyedOptions): Promise<JoinEnd> {
-	const onGone = () => {
+	const onDisconnect = () => {
 		reader.close(now());
 	};
 
-	let position: Position = {
+	let state: DeliveryState = {
 		isEventStream: false, isBetweenEvents: true, isRefusal: false, startedAt: undefined,
 	};
-	const toEnd = (kind: JoinEnd['kind']): JoinEnd => ({kind, startedAt: position.startedAt});
-	exchange.disconnectSignal.addEventListener('abort', onGone, {once: true});
+	const toEnd = (kind: JoinEnd['kind']): JoinEnd => ({kind, startedAt: state.startedAt});
+	exchange.disconnectSignal.addEventListener('abort', onDisconnect, {once: true});
 	try {
 		while (!exchange.disconnectSignal.aborted) {
 			const part = await reader.next();
 			if (part.kind === 'head') {
-				position = toStarted(part.status, String(part.headers['content-type']), now());
+				state = toInitialState(part.status, String(part.headers['content-type']), now());
 				exchange.startStream(part.status, part.headers);
 			} else if (part.kind === 'bytes') {
-				position.isBetweenEvents = isWholeEvent(part.bytes);
+				state.isBetweenEvents = isWholeEvent(part.bytes);
 				const isFree = exchange.write(part.bytes);
 				if (!isFree && !await exchange.drained(writeTimeoutMs)) {
 					exchange.destroy();
@@ -124,21 +124,21 @@
 				}
 			} else if (part.kind === 'end' && part.end !== 'broken' && exchange.isStarted()) {
 				exchange.end();
-				return toEnd(position.isRefusal ? 'refused' : 'complete');
+				return toEnd(state.isRefusal ? 'refused' : 'complete');
 			} else {
-				breakOff(exchange, part.kind === 'taken-over', position);
+				abortDelivery(exchange, part.kind === 'taken-over', state);
 				return toEnd(part.kind === 'taken-over' ? 'taken-over' : 'broken');
 			}
 		}
 
 		return toEnd('caller-gone');
 	} finally {
-		exchange.disconnectSignal.removeEventListener('abort', onGone);
+		exchange.disconnectSignal.removeEventListener('abort', onDisconnect);
 		reader.close(now());
 	}
 }
 
-type Recorded = {
+type RecordedExchange = {
 	exchange: CallerExchange;
 	/** Whether the answer was ended as whole. */
 	isWhole: () => boolean;
@@ -149,7 +149,7 @@
  * delivery. Its end is told to the run only with the verdict: a failure that is
  * told in a whole answer must not be kept as the answer of repeatable work.
  */
-function toRecorded(exchange: CallerExchange, writer: RunWriter, gone: AbortSignal): Recorded {
+function createRecordedExchange(exchange: CallerExchange, writer: RunWriter, abandonedSignal: AbortSignal): RecordedExchange {
 	let isStarted = false;
 	let isWhole = false;
 
@@ -168,13 +168,13 @@
 
 	const recorded: CallerExchange = {
 		...exchange,
-		disconnectSignal: gone,
+		disconnectSignal: abandonedSignal,
 		isStarted: () => isStarted,
 		startStream: start,
 		write: piece => writer.write(typeof piece === 'string' ? Buffer.from(piece) : piece),
 		async drained() {
 			await writer.drained();
-			return !gone.aborted;
+			return !abandonedSignal.aborted;
 		},
 		sendAnswer: send,
 		sendProblem(problem) {
@@ -234,7 +234,7 @@
 	}
 
 	const work = async () => {
-		const recorded = toRecorded(exchange, claimed.writer, abandoned.signal);
+		const recorded = createRecordedExchange(exchange, claimed.writer, abandoned.signal);
 		try {
 			const verdict = await options.serve(recorded.exchange);
 			claimed.writer.end(toRunEnd(verdict, recorded.isWhole(), request.isRepeatable), options.now());
