--- a/src/programs/entry/claims/_lib/create-claimer.ts
+++ b/src/programs/entry/claims/_lib/create-claimer.ts
@@ -12,16 +12,16 @@
 const roundBackoffMs = 40;
 
 export type ClaimerOptions = Pick<ClaimKeyOptions, 'ask' | 'release'> & {
-	/** Names this process; its claims begin with it. */
-	instance: string;
+	/** Identifies this process; the ids of its claims begin with it. */
+	processId: string;
 	/** This host's slot. */
 	slot: string;
-	/** Who claims, as its process is now. */
+	/** Returns this host as claimant, with its current incarnation and address. */
 	toClaimant: () => Claim['claimant'];
-	/** Witnesses of a scoped key. */
+	/** Returns the witness sets of a scoped key. */
 	toSets: (scopedKey: string) => ClaimKeyOptions['sets'];
 	runs: RunTable;
-	/** Begins the run of a granted claim, without a wait. */
+	/** Starts the run of a granted claim, synchronously. */
 	startRun: (request: KeyedRequest, claimId: string) => Claimed;
 	/** Joins the run of another host's claim. */
 	joinRemote: (request: KeyedRequest, holder: Claim) => Promise<Claimed | 'again' | 'lost'>;
@@ -31,37 +31,37 @@
 };
 
 export type Claimer = {
-	/** Claims a key and starts its run, or joins the run of whoever has it. */
+	/** Claims a key and starts its run, or joins the run of the process that holds the key. */
 	claim: (request: KeyedRequest) => Promise<Claimed>;
-	/** Waits until this claim of ours is decided, if it is not. */
+	/** Waits until a claim of this process is decided; resolves at once if none is pending. */
 	waitForDecision: (request: ScopedKey & {claimId: string}) => Promise<void>;
 };
 
 /**
- * Creates what claims keys for this entry.
+ * Creates the function that claims keys for this entry.
  *
  * @param options - See {@link ClaimerOptions}.
  * @returns See {@link Claimer}.
  */
 export function createClaimer(options: ClaimerOptions): Claimer {
-	const {instance, slot, toClaimant, toSets, ask, release, runs, startRun, joinRemote, releaseEverywhere, clock, random} = options;
-	/** Claims of this process that are not decided yet, by scoped key. */
+	const {processId, slot, toClaimant, toSets, ask, release, runs, startRun, joinRemote, releaseEverywhere, clock, random} = options;
+	/** Undecided claims of this process, by scoped key. */
 	const pending = new Map<string, {claimId: string; decided: Promise<void>}>();
 	let claimCount = 0;
 
 	async function claimOnce(request: KeyedRequest, replaces: string | undefined): Promise<Claimed | {kind: 'held'; holder: Claim}> {
 		const {workspace, key, digest, isRepeatable} = request;
-		const text = toScopedKey(request);
+		const scopedKey = toScopedKey(request);
 		claimCount++;
-		const claimId = `${instance}-${claimCount}`;
+		const claimId = `${processId}-${claimCount}`;
 		const decided = createDeferred();
-		pending.set(text, {claimId, decided: decided.promise});
+		pending.set(scopedKey, {claimId, decided: decided.promise});
 		try {
 			const granted = await claimKey({
 				request: {
 					workspace, key, digest, isRepeatable, claimId, replaces, claimant: toClaimant(),
 				},
-				sets: toSets(text),
+				sets: toSets(scopedKey),
 				ask,
 				release,
 				wait: async ms => sleep(ms),
@@ -71,21 +71,21 @@
 				return {kind: 'refused', problem: toClaimProblem(granted.error)};
 			}
 
-			// Without a wait in between: whoever asks to join finds the claim pending or the run in the table.
+			// No `await` between the grant and the start: a peer that asks to join finds either the pending claim or the run in the table.
 			return granted.value.kind === 'granted' ? startRun(request, claimId) : {kind: 'held', holder: granted.value.claim};
 		} finally {
-			pending.delete(text);
+			pending.delete(scopedKey);
 			decided.resolve();
 		}
 	}
 
-	/** What to do about a key that another claim holds. */
+	/** Joins the run of the claim that holds the key; `again` and `lost` as in `createRemoteJoiner`. */
 	async function joinHolder(request: KeyedRequest, holder: Claim): Promise<Claimed | 'again' | 'lost'> {
-		if (!holder.claimId.startsWith(instance)) {
+		if (!holder.claimId.startsWith(processId)) {
 			return joinRemote(request, holder);
 		}
 
-		// Our own claim, and no run of it: it was given back and a witness did not hear of it.
+		// This process holds the claim but has no run of it: the claim was released, and a witness missed the release.
 		if (!runs.has(request)) {
 			releaseEverywhere({workspace: request.workspace, key: request.key, claimId: holder.claimId});
 		}
@@ -103,7 +103,7 @@
 	}
 
 	async function claim(request: KeyedRequest): Promise<Claimed> {
-		const text = toScopedKey(request);
+		const scopedKey = toScopedKey(request);
 		let replaces: string | undefined;
 		for (let round = 1; round <= maxRounds; round++) {
 			const local = joinLocal(request);
@@ -111,9 +111,9 @@
 				return local;
 			}
 
-			const undecided = pending.get(text);
-			if (undecided !== undefined) {
-				await undecided.decided;
+			const pendingClaim = pending.get(scopedKey);
+			if (pendingClaim !== undefined) {
+				await pendingClaim.decided;
 				continue;
 			}
 
@@ -141,9 +141,9 @@
 	return {
 		claim,
 		async waitForDecision(request) {
-			const undecided = pending.get(toScopedKey(request));
-			if (undecided?.claimId === request.claimId) {
-				await undecided.decided;
+			const pendingClaim = pending.get(toScopedKey(request));
+			if (pendingClaim?.claimId === request.claimId) {
+				await pendingClaim.decided;
 			}
 		},
 	};
--- a/src/programs/entry/claims/_lib/create-hand-overs.test.ts
+++ b/src/programs/entry/claims/_lib/create-hand-overs.test.ts
@@ -29,7 +29,7 @@
 		assert.equal(handOvers.take('host-1', 3, 0).kind, 'nothing');
 	});
 
-	it('gives the same successor its parts again for a while, for a reply may be lost', () => {
+	it('gives the same successor its parts again for 30 seconds, as a reply may be lost', () => {
 		let now = 0;
 		const handOvers = createHandOvers(() => now);
 		handOvers.put(toParts(1)[0]!);
@@ -49,7 +49,7 @@
 		assert.equal(handOvers.take('host-1', 2, 0).kind, 'part');
 	});
 
-	it('gives no half table, none of another slot, and none that is too old', () => {
+	it('gives no incomplete table, none of another slot, and none that has expired', () => {
 		let now = 0;
 		const handOvers = createHandOvers(() => now);
 		const [first, second] = toParts(2001);
@@ -63,7 +63,7 @@
 		assert.equal(handOvers.take('host-1', 2, 0).kind, 'nothing');
 	});
 
-	it('takes no table beyond its bound of slots', () => {
+	it('stores tables of eight slots at most', () => {
 		const handOvers = createHandOvers(() => 0);
 		const [part] = toParts(1);
 		const taken = Array.from({length: 20}, (_, i) => handOvers.put({...part!, slot: `host-${i}`}));
--- a/src/programs/entry/claims/_lib/create-hand-overs.ts
+++ b/src/programs/entry/claims/_lib/create-hand-overs.ts
@@ -6,19 +6,20 @@
 
 const claimsPerPart = 2000;
 const retentionMs = 10 * msPerMinute;
-/** Long enough for a successor that lost a reply to ask for the parts again. */
+/** Long enough for a successor to ask for the parts again after a reply was lost. */
 const takenRetentionMs = 30 * msPerSecond;
 const maxTables = 8;
 
-/** Tables of witnesses that left, held for their successors. */
+/** Tables of witnesses that have left, stored for their successors. */
 export type HandOvers = {
-	/** Takes in a part of a table; `false` when there is no room. */
+	/** Stores a part of a table; `false` if it is not accepted, as when the store is full. */
 	put: (part: HandOverPart) => boolean;
 	/**
-	 * Gives a part out. The first part gives the table away: no second successor
-	 * gets it, while the same one may ask again, for a reply may be lost. Nor does
-	 * the process that left it, whose own search may still be under way: its table
-	 * would end with it, and the slot would vouch for nothing for minutes.
+	 * Returns a part of a table. The first request reserves the table for its
+	 * sender: no other successor gets it, but the same one may ask again, as a reply
+	 * may be lost. The process that handed the table over gets `nothing`, since its
+	 * own search may still be running: the table would be lost when that process
+	 * ends, and the slot would vouch for no key for minutes.
 	 */
 	take: (slot: HostId, taker: number, part: number) => TakeOverReply;
 	sweep: () => void;
@@ -28,12 +29,12 @@
 	parts: Array<HandOverPart | undefined>;
 	incarnation: number;
 	expiresAt: Milliseconds;
-	/** Incarnation of the successor that takes it. */
+	/** Incarnation of the successor for which the table is reserved. */
 	successor: number | undefined;
 };
 
 /**
- * Cuts a table into parts that fit a frame.
+ * Splits a table into parts that fit a frame.
  *
  * @param handOver - The frozen table.
  * @returns At least one part.
@@ -46,7 +47,7 @@
 }
 
 /**
- * Creates the store of tables that this host holds for others.
+ * Creates the store of the tables that other hosts have handed to this one.
  *
  * @param now - Monotonic milliseconds.
  * @returns Functions that close over the store.
@@ -91,8 +92,8 @@
 			return piece === undefined ? {kind: 'nothing'} : {kind: 'part', ...piece};
 		},
 		sweep() {
-			for (const [slot, {expiresAt: keptUntil}] of held) {
-				if (now() > keptUntil) {
+			for (const [slot, {expiresAt}] of held) {
+				if (now() > expiresAt) {
 					held.delete(slot);
 				}
 			}
--- a/src/programs/entry/claims/_lib/create-peer-pool.ts
+++ b/src/programs/entry/claims/_lib/create-peer-pool.ts
@@ -3,15 +3,16 @@
 import {type Milliseconds} from '../../../../ports/clock.js';
 
 export type PeerPool = {
-	/** The open connection to an address, or a new one. */
+	/** Returns the open connection to an address, or opens one. */
 	get: (address: string) => ResultAsync<PeerConnection, PeerFailure>;
 	/**
-	 * Calls a peer; once more over a new connection when the one at hand turns out
-	 * to be dead. A peer that was restarted leaves such connections behind, and the
-	 * first call after it would fail for no other reason. For idempotent calls alone.
+	 * Calls a peer, and retries once over a new connection if the pooled connection
+	 * turns out to be dead. A peer that restarts leaves dead connections behind, and
+	 * without the retry the first call after its restart would fail. Only for
+	 * idempotent calls.
 	 */
 	callWithRetry: (address: string, method: string, body: unknown, timeoutMs: Milliseconds) => ResultAsync<{connection: PeerConnection; reply: unknown}, PeerFailure>;
-	/** Closes connections that were not used for a while. */
+	/** Closes connections that have been unused for longer than `idleMs`. */
 	closeIdle: () => void;
 	close: () => void;
 };
@@ -29,10 +30,11 @@
 };
 
 /**
- * Keeps one connection to each peer in use. Keys are witnessed by hosts all
- * over the fleet, so connections come as they are needed and go when idle.
+ * Creates a pool with one connection to each peer in use. The witnesses of keys
+ * are spread over the fleet, so connections are opened on demand and closed when
+ * idle.
  *
- * @param options - How to connect, and how long an idle connection stays.
+ * @param options - How to connect, and how long an idle connection stays open.
  * @returns The pool.
  */
 export function createPeerPool({connect, now, idleMs}: PeerPoolOptions): PeerPool {
--- a/src/programs/entry/claims/_lib/create-remote-joiner.ts
+++ b/src/programs/entry/claims/_lib/create-remote-joiner.ts
@@ -7,7 +7,7 @@
 import {joinReplySchema, methods, type JoinReply} from './messages.js';
 import {toJoinProblem} from './to-claim-problem.js';
 
-/** A join waits for the claimant's own claim to be decided. */
+/** The claimant answers a join only after its own claim is decided. */
 const joinTimeoutMs = 8 * msPerSecond;
 
 async function callJoin(pool: PeerPool, request: KeyedRequest, holder: Claim): Promise<{connection: PeerConnection; reply: JoinReply} | undefined> {
@@ -27,7 +27,7 @@
  * Creates the function that joins another host's run.
  *
  * @param pool - Connections to other entries.
- * @returns What the claim comes to; `again` when the holder's claim was given back, `lost` when what became of it cannot be learnt.
+ * @returns The function; it resolves to `again` if the holder has released its claim, and to `lost` if the outcome of that claim cannot be learnt.
  */
 export function createRemoteJoiner(pool: PeerPool): (request: KeyedRequest, holder: Claim) => Promise<Claimed | 'again' | 'lost'> {
 	return async (request, holder) => {
--- a/src/programs/entry/claims/_lib/create-remote-reader.ts
+++ b/src/programs/entry/claims/_lib/create-remote-reader.ts
@@ -3,18 +3,18 @@
 import {msPerSecond} from '../../../../ports/units.js';
 import {events, methods, readReplySchema} from './messages.js';
 
-/** Longer than a peer holds a read that finds nothing new. */
+/** Longer than a peer holds a read while it has nothing new. */
 const readTimeoutMs = 15 * msPerSecond;
 
 const brokenEnd: RunPart = {kind: 'end', end: 'broken'};
 
 /**
- * Reads the answer of a run on another host. A reply that is lost takes bytes
- * with it, so any failure ends the answer as broken and never as whole; the
- * caller may call again with the same key.
+ * Creates a reader of a run on another host. A lost reply loses the bytes in it,
+ * so any failed call ends the answer as `broken`; the caller may call again with
+ * the same key.
  *
- * @param connection - Connection to the host that runs it.
- * @param readId - The reader that the host opened for us.
+ * @param connection - Connection to the host of the run.
+ * @param readId - Id of the reader that the host opened for this one.
  * @returns The reader.
  */
 export function createRemoteReader(connection: PeerConnection, readId: number): RunReader {
--- a/src/programs/entry/claims/_lib/create-run-starter.ts
+++ b/src/programs/entry/claims/_lib/create-run-starter.ts
@@ -11,13 +11,13 @@
 };
 
 /**
- * Creates the function that begins the run of a granted claim.
+ * Creates the function that starts the run of a granted claim.
  *
- * @param options - The table, and how to give a claim back.
- * @returns The function; it does not wait, so that whoever asks to join finds either the claim undecided or the run in the table.
+ * @param options - The run table, and how to release a claim.
+ * @returns The function. It is synchronous, so that a peer that asks to join finds either the pending claim or the run in the table.
  */
 export function createRunStarter({runs, clock, releaseEverywhere}: RunStarterOptions): (request: KeyedRequest, claimId: string) => Claimed {
-	/** Gives the claim back when the run left the table, so that the same key may be sent again to any host. */
+	/** Wraps a writer so that ending it releases the claim if the table dropped the run; any host may then claim the key again. */
 	function toReleasingWriter(writer: RunWriter, request: {workspace: string; key: string; claimId: string}): RunWriter {
 		let isEnded = false;
 		return {
@@ -55,7 +55,7 @@
 			return refuseStart(request, claimId);
 		}
 
-		// Never fails: the run has just begun, and nothing of it was dropped.
+		// Cannot fail: the run has just started, and none of its bytes was dropped.
 		const reader = runs.join(request, clock.now())._unsafeUnwrap();
 		return {kind: 'run', writer: toReleasingWriter(started.value, {workspace, key, claimId}), reader};
 	};
--- a/src/programs/entry/claims/_lib/create-served-reads.ts
+++ b/src/programs/entry/claims/_lib/create-served-reads.ts
@@ -5,20 +5,20 @@
 import {msPerSecond} from '../../../../ports/units.js';
 import {type ReadReply} from './messages.js';
 
-/** Time for which a read that finds nothing new is held. */
+/** Time for which a read is held while there is nothing new. */
 const longPollMs = 5 * msPerSecond;
-/** A peer that has not read for this long is gone, whatever its connection looks like. */
+/** Time without a read after which a peer's reader is closed, even if its connection is open. */
 const idleTimeoutMs = 30 * msPerSecond;
 
 type ServedRead = {
 	reader: RunReader;
 	connection: PeerConnection;
-	/** The part being waited for; kept over calls, since a part is given out once. */
+	/** The pending part; it outlives a call that timed out, since the reader returns each part only once. */
 	waiting: Promise<RunPart> | undefined;
 	usedAt: Milliseconds;
 };
 
-/** Readers of our runs that other hosts have opened for their callers. */
+/** Readers of this host's runs, opened by other hosts for their callers. */
 export type ServedReads = {
 	open: (reader: RunReader, connection: PeerConnection) => number;
 	read: (readId: number, connection: PeerConnection) => Promise<ReadReply>;
@@ -28,7 +28,7 @@
 
 /**
  * Creates the set of reads served to peers. A read belongs to the connection
- * that opened it, and ends with it.
+ * that opened it, and is closed with that connection.
  *
  * @param now - Monotonic milliseconds.
  * @returns Functions that close over the set.
@@ -59,7 +59,7 @@
 		async read(readId, connection) {
 			const found = served.get(readId);
 			if (found?.connection !== connection) {
-				throw new Error('no such read');
+				throw new Error('no open read with this id on this connection');
 			}
 
 			found.usedAt = now();
--- a/src/programs/entry/claims/_lib/create-table-transfer.test.ts
+++ b/src/programs/entry/claims/_lib/create-table-transfer.test.ts
@@ -1,8 +1,8 @@
 /*
- * A host is restarted in a release. Its callers send keys again the moment it
- * is ready, and hear `claim-unavailable` for minutes if its table was lost: the
- * process that ended fetched it back, a peer without room was taken for one that
- * holds it, or the host was ready before it had asked.
+ * A host is restarted in a release, and callers send their keys again as soon as
+ * it is ready. They get `claim-unavailable` for minutes if its table was lost:
+ * the ending process fetched the table back, a peer without room was assumed to
+ * store it, or the host was ready before it had asked its peers.
  */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
@@ -22,7 +22,7 @@
 const quiet = () => undefined;
 const log = {info: quiet, warn: quiet} as unknown as Log;
 
-/** A host before three peers; a peer without a reply can't be reached. */
+/** Creates a host with three peers; a peer for which `toReply` returns `undefined` is unreachable. */
 function createHost(toReply: (peer: string) => Reply | undefined, lives: Readonly<Record<string, HostStatus['life']>> = {}) {
 	let now = 0;
 	const calls: string[] = [];
--- a/src/programs/entry/claims/_lib/create-table-transfer.ts
+++ b/src/programs/entry/claims/_lib/create-table-transfer.ts
@@ -16,9 +16,9 @@
 const handOverTimeoutMs = 2 * msPerSecond;
 const maxHandOverPeers = 3;
 const takeOverTimeoutMs = 30 * msPerSecond;
-/** The first rounds come fast: right after a start the view lacks the peers' addresses for a moment. */
+/** Rounds follow each other quickly at first: right after a start the view may lack the peers' addresses for a moment. */
 const takeOverBackoffMs = {first: 50, longest: 500} as const;
-/** A peer that can't be reached must not keep this host out of service. */
+/** Bounds the wait for peers that can't be reached, which would otherwise keep this host out of service. */
 const settleTimeoutMs = 5 * msPerSecond;
 
 export type TableTransferOptions = {
@@ -31,23 +31,23 @@
 	closing: AbortSignal;
 };
 
-/** Moves a witness's table from one process of a slot to the next, by way of a peer. */
+/** Moves a witness's table from one process of a slot to the next, through a peer. */
 export type TableTransfer = {
 	leave: () => Promise<boolean>;
 	takeOver: () => Promise<boolean>;
 	/**
-	 * Whether the search has come to something: the table is here, no peer that
-	 * could hold it has one, or five seconds have passed. A host that takes requests
-	 * earlier abstains on keys it should vouch for and can't ask its own witnesses;
-	 * callers of a rolling restart see `claim-unavailable` for no other reason.
+	 * Whether the search is over: the table was found, no peer that could hold it has
+	 * it, or five seconds have passed. A host that accepted requests earlier would
+	 * abstain on keys for which it should vouch and could not reach its own
+	 * witnesses; callers would get `claim-unavailable` during a rolling restart.
 	 */
 	isSettled: () => boolean;
 };
 
-/** What became of a table at a peer; after `failed` a part of it may be there. */
+/** Result of sending a table to a peer; after `failed` the peer may hold a part of it. */
 type HandOverResult = 'done' | 'unreachable' | 'refused' | 'failed';
 
-/** What a peer has of this slot's table. */
+/** Result of asking peers for this slot's table. */
 type SearchResult = 'taken' | 'nothing' | 'unreachable';
 
 /**
@@ -64,13 +64,13 @@
 	const leaving = new AbortController();
 	let currentRound: Promise<SearchResult> | undefined;
 
-	/** Peers that hold this slot's table between two of its processes, in an order that both know. */
+	/** Peers that may store this slot's table between two of its processes. Both processes compute the same order. */
 	function listHandOverPeers(): HostId[] {
 		const hosts = toView()?.accepted?.config.hosts.filter(host => host.id !== slot) ?? [];
 		return [...pickWitnesses(`hand-over\n${slot}`, hosts).slots];
 	}
 
-	/** A part that may have arrived ends the search: with a second copy about, two successors could take the table. */
+	/** Sends the table to a peer. After `failed`, no other peer is tried: with a second copy in the fleet, two successors could take the table. */
 	async function sendTable(host: HostId, parts: readonly HandOverPart[]): Promise<HandOverResult> {
 		const connected = await connectTo(host);
 		if (connected.isErr()) {
@@ -93,9 +93,10 @@
 	}
 
 	/**
-	 * A search that goes on while the table is handed over would fetch it back into
-	 * the process that ends: the successor would find nothing and vouch for no key
-	 * for four minutes. What it fetches at this moment is handed on with the rest.
+	 * Ends the search before the table is handed over. A search still running then
+	 * would fetch the table back into the process that ends: the successor would find
+	 * nothing and vouch for no key for four minutes. A table that the current round
+	 * still fetches is handed over with the rest.
 	 */
 	async function endSearch(): Promise<void> {
 		leaving.abort();
@@ -118,7 +119,7 @@
 			}
 		}
 
-		log.warn('claims not handed over: no peer was reached that has room for them', {count: handOver.claims.length});
+		log.warn('claims not handed over: none of the peers asked was reachable and had room for them', {count: handOver.claims.length});
 		return false;
 	}
 
@@ -172,7 +173,7 @@
 		return worst;
 	}
 
-	/** Asks for a while: the first view may lack addresses, and the old process may leave after this one has started. */
+	/** Asks repeatedly for up to 30 seconds: the first view may lack addresses, and the old process may leave only after this one has started. */
 	async function takeOver(): Promise<boolean> {
 		if (searchStartedAt !== undefined) {
 			return false;
@@ -191,7 +192,7 @@
 			await sleep(waitMs, undefined, {ref: false});
 		}
 
-		log.info('no claims taken over');
+		log.info('search for claims to take over ended, none were taken over');
 		return false;
 	}
 
--- a/src/programs/entry/claims/_lib/create-witness-client.ts
+++ b/src/programs/entry/claims/_lib/create-witness-client.ts
@@ -13,11 +13,11 @@
 import {type PeerPool} from './create-peer-pool.js';
 import {claimAnswerSchema, events, methods} from './messages.js';
 
-/** A witness that is thought dead gets the time-out divided by this. */
+/** The timeout of a witness that is believed to be dead is divided by this. */
 const downHostTimeoutDivisor = 5;
 
 export type WitnessClientOptions = {
-	/** This host's own slot, whose witness is called directly. */
+	/** This host's own slot; its witness is called without a connection. */
 	slot: HostId;
 	witness: ClaimWitness;
 	pool: PeerPool;
@@ -26,7 +26,7 @@
 	askTimeoutMs: Milliseconds;
 };
 
-/** Reaches witnesses by their host slots. */
+/** Connects to witnesses by their host slots. */
 export type WitnessClient = {
 	connectTo: (host: HostId) => ResultAsync<PeerConnection, AskFailure>;
 	ask: (host: HostId, request: ClaimRequest) => ResultAsync<ClaimAnswer, AskFailure>;
@@ -37,12 +37,12 @@
  * Creates the client of one entry.
  *
  * @param options - See {@link WitnessClientOptions}.
- * @returns Functions to ask witnesses and to give claims back.
+ * @returns Functions to ask witnesses and to release claims.
  */
 export function createWitnessClient({
 	slot, witness, pool, toView, clock, askTimeoutMs,
 }: WitnessClientOptions): WitnessClient {
-	/** Empty while unknown, which no connection can be made to. */
+	/** Returns an empty address while it is unknown; connecting to that fails. */
 	function toAddressOf(host: HostId): string {
 		return toView()?.hosts.get(host)?.entryAddress ?? '';
 	}
@@ -54,7 +54,7 @@
 	function connectTo(host: HostId): ResultAsync<PeerConnection, AskFailure> {
 		return pool.get(toAddressOf(host)).andThen(connection => isEntryOf(connection, host)
 			? okAsync(connection)
-			: errAsync({message: `the entry of host ${host} is not at the address known`}));
+			: errAsync({message: `the process at the known address of host ${host} is not that host's entry`}));
 	}
 
 	function isBelievedDown(host: HostId): boolean {
@@ -63,13 +63,14 @@
 	}
 
 	/**
-	 * On the small side of a cut most witnesses are thought dead, and callers would
-	 * all wait out the time-out for their refusal. Such a witness is asked none the
-	 * less, since a host may be thought dead whose entry serves, but for less time.
+	 * Fails after a fraction of the timeout. On the minority side of a partition most
+	 * witnesses are believed to be dead, and every caller would wait for the full
+	 * timeout to be refused. Such a witness is still asked, since the entry of a host
+	 * that is believed to be dead may be serving.
 	 */
 	async function failEarly(host: HostId): Promise<Result<ClaimAnswer, AskFailure>> {
 		await sleep(askTimeoutMs / downHostTimeoutDivisor, undefined, {ref: false});
-		return err({message: `host ${host} is thought dead and did not answer soon`});
+		return err({message: `host ${host} is believed to be dead and did not answer within a fifth of the usual timeout`});
 	}
 
 	function ask(host: HostId, request: ClaimRequest): ResultAsync<ClaimAnswer, AskFailure> {
@@ -94,7 +95,7 @@
 			return;
 		}
 
-		// A release that is lost is made up for when the next claimant asks to join: see `join`.
+		// A lost release does no lasting harm: when the next claimant asks to join, the holder finds no run and releases the claim again.
 		void connectTo(host).map(connection => connection.send(events.release, request));
 	}
 
--- a/src/programs/entry/claims/_lib/create-witness-sets.test.ts
+++ b/src/programs/entry/claims/_lib/create-witness-sets.test.ts
@@ -11,7 +11,7 @@
 		assert.deepEqual(sets.pick('key', 0), []);
 	});
 
-	it('asks the witnesses of the old list too, as long as its keys are taken', () => {
+	it('asks the witnesses of the old list too, as long as its keys are accepted', () => {
 		const sets = createWitnessSets(100);
 		sets.setHosts(hosts, 0);
 		sets.setHosts([...hosts], 10);
--- a/src/programs/entry/claims/_lib/create-witness-sets.ts
+++ b/src/programs/entry/claims/_lib/create-witness-sets.ts
@@ -2,21 +2,21 @@
 import {type Milliseconds} from '../../../../ports/clock.js';
 import {type HostEntry} from '../../../../ports/config.js';
 
-/** Lists in force during the time for which keys are kept; more changes within it drop the oldest. */
+/** Bound on the host lists that are remembered; further changes within the lifetime of a key drop the oldest list. */
 const maxLists = 4;
 
 type HostList = {
 	hosts: readonly HostEntry[];
 	fingerprint: string;
-	/** When the next list took its place; `undefined` for the present one. */
+	/** When the next list replaced this one; `undefined` for the current list. */
 	replacedAt: Milliseconds | undefined;
 };
 
 export type WitnessSets = {
-	/** Tells the host list of the accepted configuration; the same one again changes nothing. */
+	/** Sets the host list of the accepted configuration; an unchanged list has no effect. */
 	setHosts: (hosts: readonly HostEntry[], now: Milliseconds) => void;
-	/** Witnesses of a key, by the present list and by those that a key still in use may have been claimed by. */
-	pick: (scopedText: string, now: Milliseconds) => WitnessSet[];
+	/** Returns the witnesses of a key by the current list, and by each earlier list under which a key that is still valid may have been claimed. */
+	pick: (scopedKey: string, now: Milliseconds) => WitnessSet[];
 };
 
 function toFingerprint(hosts: readonly HostEntry[]): string {
@@ -24,11 +24,12 @@
 }
 
 /**
- * Follows the host list. A key claimed by an earlier list and sent again after
- * a change could find other witnesses, none of which knows it; it would run
- * twice. While such keys are in use, a claim needs a quorum by both lists.
+ * Tracks the host list. If a key was claimed under an earlier list and is sent
+ * again after a change, the new list may give it other witnesses, none of which
+ * knows the key, and the work would run twice. While such keys are valid, a claim
+ * needs a quorum by both lists.
  *
- * @param keyLifetimeMs - Longest age at which a key is still taken.
+ * @param keyLifetimeMs - Greatest age at which a key is still accepted.
  * @returns Functions that close over the lists.
  */
 export function createWitnessSets(keyLifetimeMs: Milliseconds): WitnessSets {
@@ -47,9 +48,9 @@
 				lists = [...earlier, {hosts, fingerprint, replacedAt: undefined}].slice(-maxLists);
 			}
 		},
-		pick(scopedText, now) {
+		pick(scopedKey, now) {
 			const inUse = lists.filter(list => list.replacedAt === undefined || now - list.replacedAt < keyLifetimeMs);
-			const sets = inUse.map(list => pickWitnesses(scopedText, list.hosts));
+			const sets = inUse.map(list => pickWitnesses(scopedKey, list.hosts));
 			const isFirstOfItsSlots = (set: WitnessSet, i: number) => sets.findIndex(other => other.slots.join(',') === set.slots.join(',')) === i;
 			return sets.filter((set, i) => set.slots.length > 0 && isFirstOfItsSlots(set, i));
 		},
--- a/src/programs/entry/claims/_lib/detach-text.ts
+++ b/src/programs/entry/claims/_lib/detach-text.ts
@@ -2,20 +2,22 @@
 import {type ClaimRequest} from '../../../../domain/create-claim-witness/index.js';
 
 /**
- * Copies a text that came off the wire. The codec cuts texts out of the frame's
- * own, and V8 keeps the whole frame alive for each of them; a table of claims
- * would hold about three times its size.
+ * Copies a string that was decoded from a frame. The codec slices strings out of
+ * the frame's text, and V8 keeps the whole frame alive for each slice; a table of
+ * claims would take about three times its size.
  *
  * @param text - A decoded text.
- * @returns The same text in memory of its own.
+ * @returns A copy that does not reference the frame.
  */
 export function detachText(text: string): string {
 	return Buffer.from(text, 'utf8').toString('utf8');
 }
 
 /**
- * @param request - A claim off the wire.
- * @returns The same claim, its texts in memory of their own.
+ * Copies the strings of a claim that was decoded from a frame; see {@link detachText}.
+ *
+ * @param request - A decoded claim.
+ * @returns A copy whose strings do not reference the frame.
  */
 export function detachRequest(request: ClaimRequest): ClaimRequest {
 	const {workspace, key, claimId, digest, claimant} = request;
--- a/src/programs/entry/claims/_lib/messages.ts
+++ b/src/programs/entry/claims/_lib/messages.ts
@@ -1,4 +1,4 @@
-/** What entries of different hosts say to each other about keys; every body of a peer is checked before use. */
+/** Messages about keys between entries of different hosts. Every body that a peer sends is validated before use. */
 import {z} from 'zod';
 
 const claimant = z.object({host: z.string(), incarnation: z.number(), address: z.string()});
@@ -28,8 +28,8 @@
 
 /**
  * - `reading`: the answer can be read under `readId`.
- * - `released`: this process gave the claim back and will not run the key for it.
- * - `foreign`: this process did not make the claim; the one that did is gone.
+ * - `released`: this process has released the claim and will not run the key under it.
+ * - `foreign`: this process did not make the claim; the process that made it has ended.
  */
 export const joinReplySchema = z.discriminatedUnion('kind', [
 	z.object({kind: z.literal('reading'), readId: z.number()}),
@@ -40,7 +40,7 @@
 
 export const readRequestSchema = z.object({readId: z.number()});
 
-/** One part of an answer, or `idle` when none came within the time for which the call is held. */
+/** One part of an answer, or `idle` if none arrived while the call was held. */
 export const readReplySchema = z.discriminatedUnion('kind', [
 	z.object({kind: z.literal('head'), status: z.number(), headers: z.record(z.string(), z.union([z.string(), z.array(z.string())]))}),
 	z.object({kind: z.literal('bytes'), bytes: z.custom<Uint8Array>(value => value instanceof Uint8Array)}),
@@ -51,7 +51,7 @@
 
 export type ReadReply = z.infer<typeof readReplySchema>;
 
-/** A part of a leaving witness's table; frames are bounded, so a large one goes in several. */
+/** A part of a leaving witness's table; as frames are bounded, a large table is sent in several parts. */
 export const handOverSchema = z.object({
 	slot: z.string(),
 	incarnation: z.number(),
@@ -62,7 +62,7 @@
 	claims: z.array(z.object({...scoped, ...claim})),
 });
 
-/** `isTaken` is `false` where the peer has no room. */
+/** `isTaken` is `false` if the peer has no room or refuses the part. */
 export const handOverReplySchema = z.object({isTaken: z.boolean()});
 
 export type HandOverPart = z.infer<typeof handOverSchema>;
--- a/src/programs/entry/claims/_lib/to-claim-problem.ts
+++ b/src/programs/entry/claims/_lib/to-claim-problem.ts
@@ -4,7 +4,7 @@
 import {type HostId} from '../../../../ports/ids.js';
 import {msPerSecond} from '../../../../ports/units.js';
 
-/** Says to the caller why its key could not be claimed. */
+/** Returns the problem for a caller whose key could not be claimed. */
 export function toClaimProblem(refusal: ClaimRefusal): Problem {
 	return refusal.kind === 'conflict'
 		? {kind: 'key-reused', detail: refusal.message, outcome: 'not-run'}
@@ -19,12 +19,12 @@
 	broken: {kind: 'key-used', detail: 'The work of this Idempotency-Key was broken off while it ran; as it is not repeatable, it is not run again.', outcome: 'may-have-run'},
 };
 
-/** Says to the caller why a run with its key cannot be joined. */
+/** Returns the problem for a caller whose key belongs to a run that cannot be joined. */
 export function toJoinProblem(fault: Exclude<JoinFault, 'unknown'>): Problem {
 	return joinProblems[fault];
 }
 
-/** Says to the caller that the host that claimed its key is gone, or that the hosts could not agree in time. */
+/** Returns the problem for a caller whose key is held by an unreachable host, or, if `host` is `undefined`, was contended for too long. */
 export function toLostProblem(host: HostId | undefined): Problem {
 	const detail = host === undefined
 		? 'Several requests with this Idempotency-Key came at once, and none could claim it in time. Send the same key again.'
--- a/src/programs/entry/claims/_test/start-fleet.ts
+++ b/src/programs/entry/claims/_test/start-fleet.ts
@@ -1,4 +1,4 @@
-/** Entries of a fleet in one process, for the tests of the claims. */
+/** Starts the entries of a fleet in one process, for the tests of claims. */
 import {type TestContext} from 'node:test';
 import {v7} from 'uuid';
 import {listenPeers, type PeerHello} from '../../../../adapters/peer-tcp/index.js';
@@ -14,13 +14,13 @@
 export type Host = {
 	claims: Claims;
 	port: number;
-	/** Ends the process without a word. */
+	/** Ends the process without handing its table over. */
 	kill: () => Promise<void>;
 	/** Starts a new process in the slot, at the same address; its memory began `ageMs` ago. */
 	replace: (ageMs: number) => Promise<void>;
 };
 
-/** Entries of a fleet in one process, over real sockets, that all began long ago. */
+/** Starts entries over real sockets, each with a witness whose memory began an hour ago. */
 export async function startFleet(context: TestContext, count = 8): Promise<Host[]> {
 	const slots = Array.from({length: count}, (_, i) => ({id: `host-${i}`, zone: `zone-${i % 4}`}));
 	const statuses = new Map<string, HostStatus>();
@@ -70,7 +70,7 @@
 	return hosts;
 }
 
-/** A request with a key of its own. */
+/** Creates a request with a new key. */
 export function toRequest(extra: Partial<KeyedRequest> = {}): KeyedRequest {
 	return {
 		workspace: 'glossworks', key: v7(), digest: 'digest', isRepeatable: false, ...extra,
--- a/src/programs/entry/claims/chaos.test.ts
+++ b/src/programs/entry/claims/chaos.test.ts
@@ -1,9 +1,9 @@
 /*
- * Callers send billed scenes with a few keys to any of eight entries, again and
- * again, while hosts are killed and come back with a clock two minutes off, are
- * replaced with the old process running on, are cut off from each other, and
- * sleep between their grant and the dispatch. Whatever the order, each key is
- * dispatched once at most, and nobody says "not run" of one that was.
+ * Callers send a few keys of unrepeatable work to eight entries, over and over.
+ * Meanwhile hosts are killed and restarted with a clock that is off, replaced
+ * while the old process still runs, partitioned from each other, and delayed
+ * between the grant and the dispatch. In any order of faults each key must be
+ * dispatched at most once, and no host may report "not run" for a dispatched key.
  */
 import assert from 'node:assert/strict';
 import {setTimeout as sleep} from 'node:timers/promises';
@@ -16,7 +16,7 @@
 
 const seed = 20_261_202;
 const steps = 250;
-/** Clocks are off by 25 ms within a bound of 60, as they are by two minutes within one of four: a restart is over soon enough to meet the next fault. */
+/** Scaled down from an error of two minutes within a bound of four, so that the wait after a restart is short enough to overlap with the next fault. */
 const clockErrorMs = 25;
 const clockBoundMs = 60;
 const hour = 3_600_000;
@@ -43,7 +43,7 @@
 	level: 'error', program: 'test', host: 'test', zone: 'test', incarnation: 1,
 });
 
-/** Processes that see, at each moment, only those of their own side of the cut, and the last one of a slot there. */
+/** Creates processes that see only those on their own side of the partition, and of each slot only the last one started there. */
 function createFleet() {
 	const processes: Process[] = [];
 	let incarnation = 0;
@@ -62,9 +62,9 @@
 	}
 
 	async function start(slot: string, {side, ageMs, clockMs}: {side: number; ageMs: number; clockMs: number}): Promise<void> {
-		const own = ++incarnation;
+		const ownIncarnation = ++incarnation;
 		const hello = (): PeerHello => ({
-			host: slot, zone: '', role: 'entry', incarnation: own,
+			host: slot, zone: '', role: 'entry', incarnation: ownIncarnation,
 		});
 		let startOffset = -ageMs;
 		const process: Process = {
@@ -85,7 +85,7 @@
 			bind: '127.0.0.1',
 			port: 0,
 			hello,
-			// The sockets of this process outlive a cut, so calls over it are dropped here.
+			// The sockets of this process stay open across a partition, so calls from the other side are rejected here.
 			async onCall(peer, method, body, connection) {
 				const from = processes.find(({slot: other, side: otherSide}) => other === peer.host && otherSide === process.side);
 				if (from === undefined) {
@@ -151,7 +151,7 @@
 
 		const failures: unknown[] = [];
 
-		async function callAndNote(process: Process, key: string) {
+		async function callAndCollectFailure(process: Process, key: string) {
 			try {
 				await call(process, key);
 			} catch (error) {
@@ -159,7 +159,7 @@
 			}
 		}
 
-		async function disturb() {
+		async function injectFault() {
 			const found = processes[pick(processes.length)]!;
 			const twin = processes.find(other => other !== found && other.slot === found.slot);
 			switch (pick(6)) {
@@ -219,11 +219,11 @@
 			}
 
 			for (let i = 0; i < 4; i++) {
-				calls.push(callAndNote(processes[pick(processes.length)]!, keys[pick(keys.length)]!));
+				calls.push(callAndCollectFailure(processes[pick(processes.length)]!, keys[pick(keys.length)]!));
 			}
 
 			if (step % 5 === 0) {
-				await disturb();
+				await injectFault();
 			}
 
 			await sleep(pick(10));
--- a/src/programs/entry/claims/index.ts
+++ b/src/programs/entry/claims/index.ts
@@ -1,7 +1,8 @@
 /**
- * Keyed requests over the fleet: claims a key at its witnesses, witnesses the
- * keys of others, and lets a second call join the first one's run, on whichever
- * host it is. The reasoning is in `docs/design/007-at-most-once.md`.
+ * Idempotency keys across the fleet: claims a key at its witnesses, acts as a
+ * witness for the claims of other hosts, and lets a second call join the run of
+ * the first one, on whichever host that run is. The reasoning is in
+ * `docs/design/007-at-most-once.md`.
  */
 import {randomUUID} from 'node:crypto';
 import {
@@ -69,7 +70,7 @@
 		hello, toAddress, toView, clock, random, log, askTimeoutMs = defaultAskTimeoutMs, clockBoundMs = defaultClockBoundMs,
 	} = options;
 	const retentionMs = defaultRetentionMs - defaultClockBoundMs + clockBoundMs;
-	/** Names this process: a later one at the same address did not make its claims and cannot say what became of them. */
+	/** Identifies this process in its claims. A later process at the same address did not make them and cannot know their outcome. */
 	const processId = randomUUID();
 	const slot = hello().host;
 	const witness = createClaimWitness({
@@ -94,9 +95,9 @@
 		slot, witness, connectTo, toView, clock, log, closing: closing.signal,
 	});
 
-	function toSets(text: string) {
+	function toSets(scopedKey: string) {
 		witnessSets.setHosts(toView()?.accepted?.config.hosts ?? [], clock.now());
-		return witnessSets.pick(text, clock.now());
+		return witnessSets.pick(scopedKey, clock.now());
 	}
 
 	function releaseEverywhere(request: {workspace: string; key: string; claimId: string}) {
@@ -107,7 +108,7 @@
 	}
 
 	const {claim, waitForDecision} = createClaimer({
-		instance: processId,
+		processId,
 		slot,
 		toClaimant: () => ({host: slot, incarnation: hello().incarnation, address: toAddress()}),
 		toSets,
--- a/src/programs/entry/claims/serve-keyed-fleet.test.ts
+++ b/src/programs/entry/claims/serve-keyed-fleet.test.ts
@@ -10,12 +10,12 @@
 
 const text = new TextDecoder();
 
-function createExchange(): {exchange: CallerExchange; sent: string[]; leave: () => void} {
+function createExchange(): {exchange: CallerExchange; sent: string[]; disconnectCaller: () => void} {
 	const sent: string[] = [];
-	const gone = new AbortController();
+	const disconnect = new AbortController();
 	const exchange = {
 		requestId: 'r',
-		disconnectSignal: gone.signal,
+		disconnectSignal: disconnect.signal,
 		isStarted: () => sent.length > 0,
 		startStream(status: number) {
 			sent.push(`${status}:`);
@@ -36,8 +36,8 @@
 		},
 	} as unknown as CallerExchange;
 	return {
-		exchange, sent, leave() {
-			gone.abort();
+		exchange, sent, disconnectCaller() {
+			disconnect.abort();
 		},
 	};
 }
@@ -66,15 +66,15 @@
 		}
 	});
 
-	it('tells the work when its caller has gone and nobody came back', async context => {
+	it('aborts the work\'s signal when its caller has disconnected and none has joined', async context => {
 		const hosts = await startFleet(context);
-		const {exchange, leave} = createExchange();
+		const {exchange, disconnectCaller} = createExchange();
 		let hasEnded = false;
 		await serve(hosts[0]!, toRequest(), exchange, async recorded => {
 			const gone = new Promise(resolve => {
 				recorded.disconnectSignal.addEventListener('abort', resolve);
 			});
-			leave();
+			disconnectCaller();
 			await gone;
 			hasEnded = true;
 			return 'not-run';
@@ -109,7 +109,7 @@
 		{status: 503, type: 'application/problem+json', kind: 'refused'},
 	];
 	for (const {status, type, kind} of kept) {
-		it(`tells that a call joined an answer of ${status} as ${kind}, with the host that ran it`, async context => {
+		it(`reports a joined answer of ${status} as ${kind}, with the host that ran it`, async context => {
 			const hosts = await startFleet(context);
 			const request = toRequest();
 			const told: unknown[] = [];
@@ -150,7 +150,7 @@
 		{name: 'within an event', pieces: ['data: sce\n\n', 'data: s'], isTold: false},
 	];
 	for (const {name, pieces, isTold} of cuts) {
-		it(`${isTold ? 'says so in a stream of events' : 'cuts a stream of events off'} that another connection takes over ${name}`, async context => {
+		it(`${isTold ? 'ends a stream of events with an error event' : 'destroys the connection of a stream of events'} when another connection takes over ${name}`, async context => {
 			const hosts = await startFleet(context);
 			const request = toRequest();
 			const first = createExchange();
--- a/src/programs/entry/claims/serve-keyed.test.ts
+++ b/src/programs/entry/claims/serve-keyed.test.ts
@@ -1,7 +1,7 @@
 /*
- * A caller that sends its key again at another host gets the kept answer passed
- * on: head, bytes, end, each asked for apart. The host that keeps it may be lost
- * after any of them. The caller must then have a whole answer or a word.
+ * A caller that sends its key again to another host gets the kept answer relayed
+ * in separate calls for head, bytes and end. The host that keeps the answer may be
+ * lost after any of them. The caller must then get a complete answer or a problem.
  */
 import assert from 'node:assert/strict';
 import {describe, it, type TestContext} from 'node:test';
@@ -19,7 +19,7 @@
 
 const noServe: ServeKeyedOptions['serve'] = async () => assert.fail('the work was run');
 
-/** Answers each request at one host by the claim. */
+/** Sends a request to a caller server whose handler gets the given claim. */
 async function fetchAnswer(context: TestContext, toClaimed: () => Claimed, options: ServeKeyedOptions): Promise<{status: number; body: string}> {
 	const claims = {claim: async () => toClaimed()} as unknown as Claims;
 	const server = await startCallerServer({
@@ -43,7 +43,7 @@
 	return {status: response.status, body: await response.text()};
 }
 
-/** What a host records of an answer in one piece, as others read it. */
+/** Returns the parts that a host records of an answer sent in one piece, as other hosts read them. */
 async function recordAnswer(context: TestContext): Promise<readonly RunPart[]> {
 	const parts: RunPart[] = [];
 	const writer: RunWriter = {
@@ -70,8 +70,8 @@
 	const losses: ReadonlyArray<[string, number, RunPart, number, RegExp]> = [
 		['whole when its host is lost after the last byte', 2, {kind: 'end', end: 'broken'}, 200, /^\{"text":"Zdravo"\}$/v],
 		['whole when another connection takes over after the last byte', 2, {kind: 'taken-over'}, 200, /^\{"text":"Zdravo"\}$/v],
-		['as lost, in words, when its host is lost after the head', 1, {kind: 'end', end: 'broken'}, 502, /answer-lost.*may-have-run/v],
-		['as taken over, in words, when that happens after the head', 1, {kind: 'taken-over'}, 409, /key-used.*may-have-run/v],
+		['as a problem when its host is lost after the head', 1, {kind: 'end', end: 'broken'}, 502, /answer-lost.*may-have-run/v],
+		['as a problem when another connection takes over after the head', 1, {kind: 'taken-over'}, 409, /key-used.*may-have-run/v],
 	];
 	for (const [name, count, last, status, body] of losses) {
 		it(`gives a kept answer in one piece ${name}`, async context => {
--- a/src/programs/entry/claims/serve-keyed.ts
+++ b/src/programs/entry/claims/serve-keyed.ts
@@ -1,6 +1,6 @@
 /**
- * Serves a caller's keyed request: claims the key, runs the work or joins its
- * run, and passes the answer on, whoever computes it.
+ * Serves a request with an idempotency key: claims the key, runs the request
+ * here or joins the run on another host, and relays the answer to the caller.
  */
 import {Buffer} from 'node:buffer';
 import {type CallerExchange} from '../../../adapters/caller-http/index.js';
@@ -11,52 +11,52 @@
 import {type Claims, type KeyedRequest} from './types.js';
 
 /**
- * What became of the work, beside what was answered.
+ * Outcome of the work, which the answer alone does not show.
  *
- * - `complete`: its whole answer was written.
- * - `not-run`: nothing was dispatched.
+ * - `complete`: the answer was written to its end.
+ * - `not-run`: nothing was dispatched to a server.
  * - `failed`: anything else.
  */
 export type KeyedVerdict = 'complete' | 'not-run' | 'failed';
 
 /** How the delivery of a joined run's answer ended. */
 export type JoinEnd = {
-	/** `refused` is a whole answer that tells that the work could not be done. */
+	/** `refused`: the answer arrived complete and says that the work could not be done. */
 	kind: 'complete' | 'refused' | 'broken' | 'taken-over' | 'caller-gone';
-	/** When the answer began, monotonic. */
+	/** Monotonic time at which the answer began; `undefined` if it never did. */
 	startedAt: Milliseconds | undefined;
 };
 
 export type ServeKeyedOptions = {
-	/** Time for which a caller may read nothing before it counts as gone. */
+	/** Time without reading after which a caller counts as disconnected. */
 	writeTimeoutMs: Milliseconds;
 	/** Monotonic milliseconds. */
 	now: () => Milliseconds;
 	/**
-	 * Does the work and answers the exchange that it is given, which stands for
-	 * whoever reads the answer. Its `gone` fires when nobody does any more. Called
-	 * on one host alone.
+	 * Does the work and answers the given exchange, which stands for all readers of
+	 * the answer. The exchange's `disconnectSignal` fires when the last reader has
+	 * left. Of all hosts, only the one that was granted the claim calls this.
 	 */
 	serve: (recorded: CallerExchange) => Promise<KeyedVerdict>;
 	/** Called when the answer comes from a run that an earlier call started. */
 	onJoin?: (host: string) => void;
 	/** Called when the delivery of such an answer has ended. */
 	onJoinEnded?: (host: string, end: JoinEnd) => void;
-	/** Called when the key is refused, before the caller is told. */
+	/** Called when the key is refused, before the problem is sent to the caller. */
 	onRefused?: (problem: Problem) => void;
 };
 
-/** Where a delivery stands, by what was passed on last. */
+/** State of a delivery after the last part that was relayed. */
 type DeliveryState = {
 	isEventStream: boolean;
-	/** Whether the last event is whole, so that another one may follow it. */
+	/** Whether the last event was relayed to its end, so that another event may follow. */
 	isBetweenEvents: boolean;
-	/** Whether the answer is a problem of this system, not of the caller's. */
+	/** Whether the answer reports a failure of this system rather than of the caller's request. */
 	isRefusal: boolean;
 	startedAt: Milliseconds | undefined;
 };
 
-/** Status from which on a server takes the blame. */
+/** Lowest HTTP status of a server error. */
 const minServerErrorStatus = 500;
 const tooManyRequests = 429;
 
@@ -81,9 +81,9 @@
 }
 
 /**
- * Ends a delivery that can't go on. A stream of events says so in an `error`
- * event. Any other answer that has begun is cut off, since a connection that
- * closed normally after a part of it would pass it off as whole.
+ * Ends a delivery that can't go on. A stream of events ends with an `error`
+ * event. For any other answer that has begun, the connection is destroyed: if it
+ * closed normally, the caller would take the partial answer for a complete one.
  */
 function abortDelivery(exchange: CallerExchange, isTakenOver: boolean, {isEventStream, isBetweenEvents}: DeliveryState) {
 	const isStarted = exchange.isStarted();
@@ -98,7 +98,7 @@
 	}
 }
 
-/** Passes an answer on to a caller until it ends, the caller goes, or another connection takes the delivery over. */
+/** Relays an answer to a caller until the answer ends, the caller disconnects, or another connection takes the delivery over. */
 async function deliver(reader: RunReader, exchange: CallerExchange, {writeTimeoutMs, now}: ServeKeyedOptions): Promise<JoinEnd> {
 	const onDisconnect = () => {
 		reader.close(now());
@@ -140,14 +140,15 @@
 
 type RecordedExchange = {
 	exchange: CallerExchange;
-	/** Whether the answer was ended as whole. */
+	/** Whether the answer was written to its end. */
 	isWhole: () => boolean;
 };
 
 /**
- * An exchange whose answer goes into a run, to be read by whoever has the
- * delivery. Its end is told to the run only with the verdict: a failure that is
- * told in a whole answer must not be kept as the answer of repeatable work.
+ * Creates an exchange that writes its answer into a run, for whichever connection
+ * has the delivery to read. The run is ended only when the verdict is known: a
+ * complete answer that reports a failure must not be kept as the answer of
+ * repeatable work.
  */
 function createRecordedExchange(exchange: CallerExchange, writer: RunWriter, abandonedSignal: AbortSignal): RecordedExchange {
 	let isStarted = false;
@@ -160,7 +161,7 @@
 
 	function send(status: number, headers: Readonly<Record<string, string>>, body: string) {
 		const bytes = Buffer.from(body);
-		// The caller's host may hear of the end much later than of the last byte, or never.
+		// With a content-length, a caller on another host needs no end part, which may arrive much later than the last byte or never.
 		start(status, {...headers, 'content-length': String(bytes.length)});
 		writer.write(bytes);
 		isWhole = true;
@@ -207,10 +208,10 @@
  * Serves one keyed request.
  *
  * @param claims - Claims of this entry.
- * @param exchange - The caller's request, its body read.
- * @param request - The key and what it names.
- * @param options - How to do the work; see {@link ServeKeyedOptions}.
- * @returns Resolves when both the delivery and, if it is here, the work have ended.
+ * @param exchange - The caller's request, with its body already read.
+ * @param request - The key and the work that it identifies.
+ * @param options - See {@link ServeKeyedOptions}.
+ * @returns Resolves when the delivery has ended, and the work too if it runs on this host.
  */
 export async function serveKeyed(claims: Claims, exchange: CallerExchange, request: Omit<KeyedRequest, 'onAbandoned'>, options: ServeKeyedOptions): Promise<void> {
 	const abandoned = new AbortController();
@@ -239,7 +240,7 @@
 			const verdict = await options.serve(recorded.exchange);
 			claimed.writer.end(toRunEnd(verdict, recorded.isWhole(), request.isRepeatable), options.now());
 		} finally {
-			// A fault of the program must not leave readers waiting; after a proper end this changes nothing.
+			// If `serve` throws, readers would wait forever. After a regular end this call has no effect.
 			claimed.writer.end('broken', options.now());
 		}
 	};
--- a/src/programs/entry/claims/test.ts
+++ b/src/programs/entry/claims/test.ts
@@ -106,7 +106,7 @@
 		await runAt(hosts[1]!, toRequest({isRepeatable: true}));
 	});
 
-	it('costs no claim when hosts are restarted gracefully, and makes up for it when they are not', async context => {
+	it('loses no claim when hosts are restarted gracefully, and refuses a claim when they are not', async context => {
 		const hosts = await startFleet(context);
 		const request = toRequest();
 		const {writer} = await runAt(hosts[7]!, request);
--- a/src/programs/entry/claims/types.ts
+++ b/src/programs/entry/claims/types.ts
@@ -9,7 +9,7 @@
 import {type FleetView} from '../../../ports/view.js';
 
 export type ClaimsOptions = {
-	/** How this entry introduces itself; its `host` is the slot that it witnesses for. */
+	/** The entry's hello message to peers; its `host` is the slot for which the entry acts as a witness. */
 	hello: () => PeerHello;
 	/** `IP:port` of this entry's own peer port. */
 	toAddress: () => string;
@@ -18,45 +18,45 @@
 	random: Random;
 	log: Log;
 	tls?: () => PeerKeys;
-	/** Time for one witness to answer; 1,000 by default. */
+	/** Timeout of a request to one witness; 1,000 by default. */
 	askTimeoutMs?: Milliseconds;
-	/** Greatest difference between a caller's clock and a host's; 241,000 by default. Work that is not repeatable is refused for this long after all hosts have lost their memory. */
+	/** Greatest difference between a caller's clock and a host's; 241,000 by default. After all hosts have lost their memory, work that is not repeatable is refused for this long. */
 	clockBoundMs?: Milliseconds;
 	runs?: RunTableOptions;
 };
 
 export type KeyedRequest = {
 	workspace: WorkspaceId;
-	/** As `parseIdempotencyKey` gives it. */
+	/** Key as returned by `parseIdempotencyKey`. */
 	key: string;
-	/** Digest of the body, and of all else that makes it other work, such as the path. */
+	/** Digest of the body and of everything else that distinguishes the work, such as the path. */
 	digest: string;
 	isRepeatable: boolean;
-	/** Nobody reads the answer any more: the run may be cancelled. */
+	/** Called when the answer has no reader left; the run may be cancelled. */
 	onAbandoned?: () => void;
 };
 
 export type Claimed =
-	/** This process alone may dispatch the work, and must end the writer. An end that frees the key gives the claim back. */
+	/** Only this process may dispatch the work, and it must end the writer. Ending the run as `retryable` releases the claim. */
 	| {kind: 'run'; writer: RunWriter; reader: RunReader}
-	/** The work runs or ran; its answer is read from the first byte. */
+	/** The work is running or has run; the reader gives its answer from the first byte. */
 	| {kind: 'join'; reader: RunReader; host: HostId}
 	| {kind: 'refused'; problem: Problem};
 
 export type Claims = {
-	/** Calls of other entries; throws on methods that are not of this part. */
+	/** Handles calls from other entries; throws if the method does not belong to claims. */
 	onCall: CallHandler;
 	onEvent: EventHandler;
-	/** Whether a call is of this part. */
+	/** Whether a method belongs to claims. */
 	isOwnMethod: (method: string) => boolean;
 	claim: (request: KeyedRequest) => Promise<Claimed>;
-	/** Takes over the table that the previous process of this slot left with a peer, if any; to be called once, after the first view. Asks for up to 30 seconds. */
+	/** Takes over the table that the previous process of this slot handed to a peer, if any. Call it once, after the first view; it asks peers for up to 30 seconds. */
 	takeOver: () => Promise<boolean>;
-	/** Whether the take-over has come to an end, or has had its time; a host takes requests from then on. */
+	/** Whether the take-over has finished or timed out; the host accepts requests from then on. */
 	isSettled: () => boolean;
-	/** Housekeeping; to be called every second or so. */
+	/** Removes expired state; call it about once a second. */
 	tick: () => void;
-	/** Ends vouching and hands the table to one peer. The last thing before `close`. */
+	/** Stops vouching for keys and hands the table to one peer. Call it last, before `close`. */
 	leave: () => Promise<boolean>;
 	/** Closes the connections to peers. */
 	close: () => void;
