--- a/src/programs/entry/follow-published/_test/create-scripted-platform.ts
+++ b/src/programs/entry/follow-published/_test/create-scripted-platform.ts
@@ -18,34 +18,34 @@
 	/** Nothing of before is told to watches any more. */
 	forget: () => void;
 	/** What becomes of reads from now on; a read that waits when they go silent is never answered. */
-	setPath: (path: 'well' | 'refusing' | 'silent') => void;
+	setReachability: (path: 'well' | 'refusing' | 'silent') => void;
 	/** Breaks off the read that waits; the next one is answered. */
-	cutWaiting: () => void;
+	breakWaitingRead: () => void;
 	/** What is published now, to come back from. */
-	copy: () => PlatformCopy;
+	backup: () => PlatformBackup;
 	/** Loses all that was written since the copy; its revisions are given out again. */
-	comeBackFrom: (copy: PlatformCopy) => void;
+	restoreFrom: (copy: PlatformBackup) => void;
 	/** Names another era from now on, and loses nothing. */
 	setEra: (next: PublishedEra) => void;
 	/** A read that waits since before the last return is answered from before, once the way is open. */
-	answerLate: () => void;
+	delayAnswer: () => void;
 	/** The open connection goes silent for good; the next one works. */
-	silenceConnection: () => void;
+	hangConnection: () => void;
 	reads: () => number;
 };
 
 /** What the platform had at a moment. */
-export type PlatformCopy = {
+export type PlatformBackup = {
 	items: ReadonlyMap<string, PublishedChange>;
 	history: ReadonlyArray<{revision: number; change: PublishedChange}>;
 	revision: number;
 };
 
 /** How long the platform takes for an answer. */
-const answerMs: Milliseconds = 4;
+const answerLatencyMs: Milliseconds = 4;
 
 /** Between two looks at what a waiting read could be answered with. */
-const lookMs: Milliseconds = 20;
+const pollMs: Milliseconds = 20;
 
 const unreachable = (message: string, era?: PublishedEra): Result<never, PublishedFailure> => err({kind: 'unreachable', message, era});
 
@@ -92,7 +92,7 @@
 		const cutsBefore = cuts;
 		const eraBefore = era;
 		for (;;) {
-			await sleep(answerMs, signal);
+			await sleep(answerLatencyMs, signal);
 			if (signal.aborted) {
 				return unreachable('ended by this process');
 			}
@@ -122,7 +122,7 @@
 				return ok(answer);
 			}
 
-			await sleep(Math.min(lookMs, Math.max(0, endsAt - clock.now())), signal);
+			await sleep(Math.min(pollMs, Math.max(0, endsAt - clock.now())), signal);
 		}
 	}
 
@@ -169,8 +169,8 @@
 			forgotten = revision;
 			history = [];
 		},
-		copy: () => ({items: new Map(items), history: [...history], revision}),
-		comeBackFrom(copy) {
+		backup: () => ({items: new Map(items), history: [...history], revision}),
+		restoreFrom(copy) {
 			lost = {changes: findChanges(copy.revision), position: {era, revision}};
 			items = new Map(copy.items);
 			history = [...copy.history];
@@ -181,16 +181,16 @@
 		setEra(next) {
 			era = next;
 		},
-		answerLate() {
+		delayAnswer() {
 			isLate = true;
 		},
-		setPath(next) {
+		setReachability(next) {
 			path = next;
 		},
-		cutWaiting() {
+		breakWaitingRead() {
 			cuts++;
 		},
-		silenceConnection() {
+		hangConnection() {
 			isConnectionDead = true;
 		},
 		reads: () => reads,
--- a/src/programs/entry/follow-published/_test/create-virtual-time.ts
+++ b/src/programs/entry/follow-published/_test/create-virtual-time.ts
@@ -9,7 +9,7 @@
 	/** Lets time pass up to a moment. */
 	runUntil: (at: Milliseconds) => Promise<void>;
 	/** Time passes and nothing runs, as in a process that is paused; what was due meanwhile happens next. */
-	freeze: (ms: Milliseconds) => void;
+	suspend: (ms: Milliseconds) => void;
 };
 
 type Sleeper = {at: Milliseconds; wake: () => void};
@@ -58,7 +58,7 @@
 
 			now = Math.max(now, at);
 		},
-		freeze(ms) {
+		suspend(ms) {
 			now += ms;
 		},
 	};
--- a/src/programs/entry/follow-published/eras.test.ts
+++ b/src/programs/entry/follow-published/eras.test.ts
@@ -38,20 +38,20 @@
 		const followed = startFollowed(() => 0.5);
 		const {time, platform} = followed;
 		await time.runUntil(3000);
-		const copy = platform.copy();
+		const copy = platform.backup();
 		for (const name of ['lost-1', 'lost-2', 'lost-3']) {
 			platform.put(name);
 		}
 
 		await time.runUntil(6000);
-		platform.setPath('refusing');
-		platform.comeBackFrom(copy);
+		platform.setReachability('refusing');
+		platform.restoreFrom(copy);
 		await time.runUntil(7000);
 		for (const name of ['below', 'above-1', 'above-2', 'above-3']) {
 			platform.put(name);
 		}
 
-		platform.setPath('well');
+		platform.setReachability('well');
 		await time.runUntil(7500);
 		assert.ok(followed.used().includes('below'), followed.used().join(' '));
 		await followed.stop();
--- a/src/programs/entry/follow-published/index.ts
+++ b/src/programs/entry/follow-published/index.ts
@@ -51,23 +51,23 @@
  * or a living server would be dropped for want of a platform to write to. It costs
  * up to eight reads a host after an outage (worked out: 2.5 s of them).
  */
-const missingWaitMs = 300;
+const maxWaitWhileMissingMs = 300;
 
 /** Time from the platform's return in which this host must act on what it says, less what a request is on its way. */
-const onTheWayMs: Milliseconds = 150;
-const afterReturnMs: Milliseconds = 3000 - onTheWayMs;
+const requestTransitMs: Milliseconds = 150;
+const returnDeadlineMs: Milliseconds = 3000 - requestTransitMs;
 
 /** Longest pause between two reads, of those that `toReadPace` gives. */
-const longestReadMs: Milliseconds = 1500;
+const maxReadPauseMs: Milliseconds = 1500;
 
 /** Answers of an older era that may be late. More in a row are not: the platform counts its eras anew. */
-const maxOlderAnswers = 10;
+const maxStaleAnswers = 10;
 
 /** Time over which hosts spread the whole read that follows the platform's return from a copy. */
 const resetSpreadMs: Milliseconds = 300;
 
 /** Longest pause after a read that failed by itself: it is usually its connection, and the next one is answered. */
-const firstPauseMs = 100;
+const maxFirstRetryDelayMs = 100;
 
 /**
  * Pause between two attempts while the platform does not answer, and what chance
@@ -77,11 +77,11 @@
  * servers have two of them to publish themselves anew. 400 hosts that are all
  * refused read 1,800 times a second, of the 2,000 that the platform allows.
  */
-const pauseMs = 200;
-const pauseJitterMs = 50;
+const retryDelayMs = 200;
+const retryJitterMs = 50;
 
-const toPauseMs = (failures: number, random: Random): Milliseconds =>
-	failures === 1 ? random() * firstPauseMs : pauseMs + (random() * pauseJitterMs);
+const toRetryDelayMs = (failures: number, random: Random): Milliseconds =>
+	failures === 1 ? random() * maxFirstRetryDelayMs : retryDelayMs + (random() * retryJitterMs);
 
 async function sleepUnlessAborted(ms: Milliseconds, signal: AbortSignal): Promise<void> {
 	try {
@@ -122,14 +122,14 @@
 	/** A new era was named by an answer that was no read: the platform may not be back yet. */
 	let isReturning = false;
 	/** Answers in a row that named an older era. */
-	let olderAnswers = 0;
+	let staleAnswers = 0;
 	let isConnected = false;
 	let failures = 0;
 	let answeredAt: Milliseconds | undefined;
 	/** Start of the last read that failed: what tells how long the platform may have been back unnoticed. */
 	let failedReadAt: Milliseconds | undefined;
 	/** Last time at which the platform was away, as far as this host can tell: a read that got no answer tells of its start alone, one that was broken off of its end. */
-	let awayAt: Milliseconds | undefined;
+	let lastOutageSignAt: Milliseconds | undefined;
 
 	function report(change: FleetChange): void {
 		logFleetChange(log, change, position?.revision);
@@ -139,7 +139,7 @@
 		}
 	}
 
-	function take(read: PublishedRead, {isWhole}: {isWhole: boolean}): void {
+	function acceptRead(read: PublishedRead, {isWhole}: {isWhole: boolean}): void {
 		position = read.position;
 		const now = clock.now();
 		if (!isConnected) {
@@ -154,7 +154,7 @@
 		failures = 0;
 		answeredAt = now;
 		failedReadAt = undefined;
-		awayAt = undefined;
+		lastOutageSignAt = undefined;
 		if (isWhole && fleet.fullReadAt() !== undefined) {
 			logWholeRead(log, read, fleet.countDifferences(read.changes));
 		}
@@ -169,11 +169,11 @@
 	 * noticed up to a watch and its pause late, and callers' requests broke at a
 	 * server that had ended meanwhile.
 	 */
-	function toWaitMs(longestMs: Milliseconds): Milliseconds {
+	function toWaitMs(maxMs: Milliseconds): Milliseconds {
 		const missingUntil = fleet.missingUntil();
-		const leftMs = missingUntil === undefined ? Infinity : Math.min(missingWaitMs, Math.ceil(missingUntil - clock.now()));
+		const missingLeftMs = missingUntil === undefined ? Infinity : Math.min(maxWaitWhileMissingMs, Math.ceil(missingUntil - clock.now()));
 		const toWholeReadMs = Math.ceil((fleet.fullReadAt() ?? Infinity) - clock.now());
-		return Math.min(longestMs, Math.max(1, Math.min(leftMs, toWholeReadMs)));
+		return Math.min(maxMs, Math.max(1, Math.min(missingLeftMs, toWholeReadMs)));
 	}
 
 	/** Without rules nobody can be served: they may be published any moment. */
@@ -188,7 +188,7 @@
 		return source.watch(position, waitMs, signal);
 	}
 
-	async function noteFailed({kind, message}: PublishedFailure, {startedAt, isUnanswered}: {startedAt: Milliseconds; isUnanswered: boolean}): Promise<void> {
+	async function handleFailure({kind, message}: PublishedFailure, {startedAt, isUnanswered}: {startedAt: Milliseconds; isUnanswered: boolean}): Promise<void> {
 		if (kind === 'forgotten') {
 			log.warn('platform no longer knows what changed, reading all anew', {revision: position?.revision, reason: message});
 			position = undefined;
@@ -202,8 +202,8 @@
 
 		failures++;
 		failedReadAt = startedAt;
-		awayAt = isUnanswered ? startedAt : clock.now();
-		await sleep(toPauseMs(failures, random), stopping.signal);
+		lastOutageSignAt = isUnanswered ? startedAt : clock.now();
+		await sleep(toRetryDelayMs(failures, random), stopping.signal);
 	}
 
 	/**
@@ -213,25 +213,25 @@
 	 * missing before had left before. A process that stood still can't tell when it
 	 * was, and has its time from now.
 	 */
-	function toLatestAct(startedAt: Milliseconds): Milliseconds {
-		if (awayAt !== undefined) {
-			return awayAt + afterReturnMs;
+	function toLatestActAt(startedAt: Milliseconds): Milliseconds {
+		if (lastOutageSignAt !== undefined) {
+			return lastOutageSignAt + returnDeadlineMs;
 		}
 
-		const stoodStill = answeredAt === undefined || startedAt - answeredAt > 2 * longestReadMs;
-		const sinceAnswerMs = fleet.missingUntil() === undefined ? Math.max(afterReturnMs, options.actWithinMs - onTheWayMs) : afterReturnMs;
-		return stoodStill ? Infinity : answeredAt! + sinceAnswerMs;
+		const wasSuspended = answeredAt === undefined || startedAt - answeredAt > 2 * maxReadPauseMs;
+		const sinceAnswerMs = fleet.missingUntil() === undefined ? Math.max(returnDeadlineMs, options.actWithinMs - requestTransitMs) : returnDeadlineMs;
+		return wasSuspended ? Infinity : answeredAt! + sinceAnswerMs;
 	}
 
 	/** All that is known by revision ends here: the platform gives the same ones out again, for other changes. */
-	function noteNewEra(next: PublishedEra, {position: answered, startedAt}: Answer): void {
+	function startEra(next: PublishedEra, {position: answered, startedAt}: Answer): void {
 		const now = clock.now();
 		if (answeredAt !== undefined) {
 			log.warn('platform came back from an older copy, reading all anew', {
 				era: next, eraBefore: era, revision: answered?.revision, revisionBefore: position?.revision, edition: view?.accepted?.version.edition,
 			});
 			onReset();
-			fleet.noteReset({latestActAt: toLatestAct(startedAt)}, now);
+			fleet.noteReset({latestActAt: toLatestActAt(startedAt)}, now);
 		}
 
 		era = next;
@@ -242,10 +242,10 @@
 	/** Whether the answer counts. One of an older era was under way for long; one of a newer era counts only if it is a whole read. */
 	function isUsable(answer: Answer): boolean {
 		const order = compareEras(answer.era, era);
-		olderAnswers = order === 'older' ? olderAnswers + 1 : 0;
-		const isNewEra = order === 'newer' || olderAnswers > maxOlderAnswers;
+		staleAnswers = order === 'older' ? staleAnswers + 1 : 0;
+		const isNewEra = order === 'newer' || staleAnswers > maxStaleAnswers;
 		if (isNewEra) {
-			noteNewEra(answer.era!, answer);
+			startEra(answer.era!, answer);
 		}
 
 		return order === 'same' || (isNewEra && answer.isWhole);
@@ -272,7 +272,7 @@
 			});
 			const isReturn = read.error.kind === 'forgotten' && era !== eraBefore;
 			const isUnanswered = clock.now() - startedAt >= platformTimeoutMs + (isWhole ? 0 : waitMs);
-			await (isReturn ? pauseBeforeReset(signal) : noteFailed(read.error, {startedAt, isUnanswered}));
+			await (isReturn ? pauseBeforeReset(signal) : handleFailure(read.error, {startedAt, isUnanswered}));
 			return;
 		}
 
@@ -286,10 +286,10 @@
 
 		if (isReturning) {
 			isReturning = false;
-			fleet.noteReset({latestActAt: toLatestAct(startedAt)}, clock.now());
+			fleet.noteReset({latestActAt: toLatestActAt(startedAt)}, clock.now());
 		}
 
-		take(read.value, {isWhole});
+		acceptRead(read.value, {isWhole});
 		await sleep(toWaitMs(toPauseAfterRead()), signal);
 	}
 
--- a/src/programs/entry/follow-published/pace.test.ts
+++ b/src/programs/entry/follow-published/pace.test.ts
@@ -7,7 +7,7 @@
 const heartbeatMs: Milliseconds = 50;
 
 /** Lets time pass in which servers write heartbeats. */
-async function passBeating({time, platform}: Followed, ms: Milliseconds): Promise<void> {
+async function advanceWithHeartbeats({time, platform}: Followed, ms: Milliseconds): Promise<void> {
 	const until = time.clock.now() + ms;
 	while (time.clock.now() < until) {
 		platform.put('stays');
@@ -26,17 +26,17 @@
 	for (const {actWithinMs, mostReads} of [{actWithinMs: 2000, mostReads: 51}, {actWithinMs: 3000, mostReads: 28}, {actWithinMs: 4000, mostReads: 21}]) {
 		it(`reads ${mostReads} times in 30 s at most where it must act within ${actWithinMs} ms, and acts in time`, async () => {
 			const followed = startFollowed(() => 0.5, actWithinMs);
-			await passBeating(followed, 2000);
+			await advanceWithHeartbeats(followed, 2000);
 			const before = followed.platform.reads();
-			await passBeating(followed, 30_000);
+			await advanceWithHeartbeats(followed, 30_000);
 			const reads = followed.platform.reads() - before;
 			assert.ok(reads <= mostReads, `${reads} reads`);
 			// Half of the time is left for what is under way.
 			for (let phase = 0; phase < actWithinMs; phase += 190) {
 				followed.platform.put('leaves');
-				await passBeating(followed, actWithinMs + phase);
+				await advanceWithHeartbeats(followed, actWithinMs + phase);
 				followed.platform.put('leaves', true);
-				await passBeating(followed, actWithinMs / 2);
+				await advanceWithHeartbeats(followed, actWithinMs / 2);
 				assert.deepEqual(followed.used(), ['stays'], `still used, ${phase} ms`);
 			}
 
--- a/src/programs/entry/follow-published/test.ts
+++ b/src/programs/entry/follow-published/test.ts
@@ -7,7 +7,7 @@
  * Time after the end of a trouble of its own from which a host must act on all
  * that the platform says, less what a request may be on its way to a server.
  */
-const mustActMs: Milliseconds = 3000 - 100;
+const actDeadlineMs: Milliseconds = 3000 - 100;
 
 const cutAt: Milliseconds = 5000;
 const cutMs: Milliseconds = 10_000;
@@ -42,11 +42,11 @@
 	return cases;
 }
 
-async function startCutOff({path, pause}: CutCase): Promise<Followed> {
+async function startPartitioned({path, pause}: CutCase): Promise<Followed> {
 	const followed = startFollowed(() => pause);
 	await followed.time.runUntil(cutAt);
 	assert.deepEqual(followed.used(), ['leaves', 'stays']);
-	followed.platform.setPath(path);
+	followed.platform.setReachability(path);
 	return followed;
 }
 
@@ -57,7 +57,7 @@
 		platform.forget();
 	}
 
-	platform.setPath('well');
+	platform.setReachability('well');
 	if (isBusy) {
 		await time.runUntil(healedAt + 1300);
 		platform.publishRules();
@@ -77,11 +77,11 @@
 	it('gives up a server that left while this host was cut off, before it must act on what it reads', async () => {
 		const late: CutCase[] = [];
 		for (const cut of listCutCases()) {
-			const followed = await startCutOff(cut);
+			const followed = await startPartitioned(cut);
 			await followed.time.runUntil(cutAt + 500);
 			followed.platform.remove('leaves');
 			const healedAt = await heal(followed, cut);
-			await followed.time.runUntil(healedAt + mustActMs);
+			await followed.time.runUntil(healedAt + actDeadlineMs);
 			if (followed.used().includes('leaves')) {
 				late.push(cut);
 			}
@@ -102,7 +102,7 @@
 	it('keeps a server whose entry lapsed in an outage until it is back, two seconds after the platform', async () => {
 		const dropped: CutCase[] = [];
 		for (const cut of listCutCases()) {
-			const followed = await startCutOff(cut);
+			const followed = await startPartitioned(cut);
 			await followed.time.runUntil(cutAt + 4000);
 			followed.platform.remove('leaves');
 			const healedAt = await heal(followed, cut);
@@ -133,10 +133,10 @@
 		await time.runUntil(cutAt + 1000);
 		platform.publishRules();
 		await time.runUntil(cutAt + 1050);
-		platform.setPath('refusing');
+		platform.setReachability('refusing');
 		platform.remove('leaves');
 		await time.runUntil(cutAt + 1050 + 2400);
-		platform.setPath('well');
+		platform.setReachability('well');
 		await time.runUntil(cutAt + 1050 + 2400 + 2000);
 		assert.deepEqual(followed.used(), ['leaves', 'stays']);
 		await followed.stop();
@@ -153,15 +153,15 @@
 			const followed = startFollowed(() => 0.5);
 			const {time, platform} = followed;
 			await time.runUntil(cutAt);
-			platform.setPath(path);
+			platform.setReachability(path);
 			await time.runUntil(10_000);
 			platform.remove('leaves');
-			platform.setPath('well');
+			platform.setReachability('well');
 			await time.runUntil(11_000);
-			platform.setPath(path);
+			platform.setReachability(path);
 			await time.runUntil(17_000);
 			assert.deepEqual(followed.used(), ['leaves', 'stays'], path);
-			platform.setPath('well');
+			platform.setReachability('well');
 			await time.runUntil(18_500);
 			platform.put('leaves');
 			await time.runUntil(22_000);
@@ -182,17 +182,17 @@
 			const followed = startFollowed(() => 0.01);
 			const {time, platform} = followed;
 			await time.runUntil(6000);
-			platform.setPath(path);
+			platform.setReachability(path);
 			platform.remove('leaves');
 			await time.runUntil(9400);
-			platform.setPath('well');
+			platform.setReachability('well');
 			await time.runUntil(10_400);
-			platform.setPath(path);
+			platform.setReachability(path);
 			await time.runUntil(11_500);
-			platform.setPath('well');
+			platform.setReachability('well');
 			await time.runUntil(13_400);
 			assert.deepEqual(followed.used(), ['leaves', 'stays'], path);
-			await time.runUntil(11_500 + mustActMs);
+			await time.runUntil(11_500 + actDeadlineMs);
 			assert.deepEqual(followed.used(), ['stays'], path);
 			await followed.stop();
 		}
@@ -207,17 +207,17 @@
 		const followed = startFollowed(() => 0.01);
 		const {time, platform} = followed;
 		await time.runUntil(cutAt);
-		platform.setPath('refusing');
+		platform.setReachability('refusing');
 		platform.remove('leaves');
 		await time.runUntil(10_000);
-		platform.setPath('well');
+		platform.setReachability('well');
 		// Often enough that several fall on a watch that waits, and not on the pause behind it.
 		for (let at = 11_000; at < 12_400; at += 70) {
 			await time.runUntil(at);
-			platform.cutWaiting();
+			platform.breakWaitingRead();
 		}
 
-		await time.runUntil(10_000 + mustActMs);
+		await time.runUntil(10_000 + actDeadlineMs);
 		assert.deepEqual(followed.used(), ['stays']);
 		await followed.stop();
 	});
@@ -232,7 +232,7 @@
 		const followed = startFollowed(() => (draws++ % 100) / 100);
 		const {time, platform} = followed;
 		await time.runUntil(cutAt);
-		platform.setPath('refusing');
+		platform.setReachability('refusing');
 		const before = platform.reads();
 		await time.runUntil(cutAt + cutMs);
 		const aSecond = (platform.reads() - before) * 1000 / cutMs;
@@ -252,11 +252,11 @@
 			const followed = startFollowed(() => 0.99);
 			const {time, platform, follower} = followed;
 			await time.runUntil(silentAt);
-			platform.silenceConnection();
+			platform.hangConnection();
 			await time.runUntil(silentAt + 10);
 			platform.remove('leaves');
 			platform.publishRules();
-			await time.runUntil(silentAt + mustActMs);
+			await time.runUntil(silentAt + actDeadlineMs);
 			if (followed.used().includes('leaves') || follower.toView()?.accepted?.version.edition !== 2) {
 				late.push(silentAt - cutAt);
 			}
