--- a/src/programs/entry/claims/_lib/create-hand-overs.ts
+++ b/src/programs/entry/claims/_lib/create-hand-overs.ts
@@ -5,35 +5,36 @@
 import {type HandOverPart, type TakeOverReply} from './messages.js';
 
 const claimsPerPart = 2000;
-const keptForMs = 10 * msPerMinute;
-/** Long enough for a successor that lost a reply to ask for the parts again. */
-const keptOnceTakenMs = 30 * msPerSecond;
-const maxSlots = 8;
+const retentionMs = 10 * msPerMinute;
+/** Long enough for a successor to ask for the parts again after a reply was lost. */
+const takenRetentionMs = 30 * msPerSecond;
+const maxTables = 8;
 
-/** Tables of witnesses that left, held for their successors. */
+/** Tables of witnesses that have left, stored for their successors. */
 export type HandOvers = {
-	/** Takes in a part of a table; `false` when there is no room. */
+	/** Stores a part of a table; `false` if it is not accepted, as when the store is full. */
 	put: (part: HandOverPart) => boolean;
 	/**
-	 * Gives a part out. The first part gives the table away: no second successor
-	 * gets it, while the same one may ask again, for a reply may be lost. Nor does
-	 * the process that left it, whose own search may still be under way: its table
-	 * would end with it, and the slot would vouch for nothing for minutes.
+	 * Returns a part of a table. The first request reserves the table for its
+	 * sender: no other successor gets it, but the same one may ask again, as a reply
+	 * may be lost. The process that handed the table over gets `nothing`, since its
+	 * own search may still be running: the table would be lost when that process
+	 * ends, and the slot would vouch for no key for minutes.
 	 */
 	take: (slot: HostId, taker: number, part: number) => TakeOverReply;
 	sweep: () => void;
 };
 
-type Held = {
+type HeldTable = {
 	parts: Array<HandOverPart | undefined>;
 	incarnation: number;
-	keptUntil: Milliseconds;
-	/** Incarnation of the successor that takes it. */
-	taker: number | undefined;
+	expiresAt: Milliseconds;
+	/** Incarnation of the successor for which the table is reserved. */
+	successor: number | undefined;
 };
 
 /**
- * Cuts a table into parts that fit a frame.
+ * Splits a table into parts that fit a frame.
  *
  * @param handOver - The frozen table.
  * @returns At least one part.
@@ -46,25 +47,25 @@
 }
 
 /**
- * Creates the store of tables that this host holds for others.
+ * Creates the store of the tables that other hosts have handed to this one.
  *
  * @param now - Monotonic milliseconds.
  * @returns Functions that close over the store.
  */
 export function createHandOvers(now: () => Milliseconds): HandOvers {
-	const held = new Map<HostId, Held>();
+	const held = new Map<HostId, HeldTable>();
 
 	return {
 		put(part) {
 			const known = held.get(part.slot);
 			const isNew = known?.incarnation !== part.incarnation;
-			if (isNew && (part.part !== 0 || (known === undefined && held.size >= maxSlots))) {
+			if (isNew && (part.part !== 0 || (known === undefined && held.size >= maxTables))) {
 				return false;
 			}
 
-			const entry: Held = isNew || known === undefined
+			const entry: HeldTable = isNew || known === undefined
 				? {
-					parts: Array.from({length: part.parts}), incarnation: part.incarnation, keptUntil: now() + keptForMs, taker: undefined,
+					parts: Array.from({length: part.parts}), incarnation: part.incarnation, expiresAt: now() + retentionMs, successor: undefined,
 				}
 				: known;
 			if (part.part >= entry.parts.length) {
@@ -78,21 +79,21 @@
 		take(slot, taker, part) {
 			const found = held.get(slot);
 			const isWhole = found?.parts.every(piece => piece !== undefined) ?? false;
-			if (found === undefined || !isWhole || taker === found.incarnation || (found.taker ?? taker) !== taker) {
+			if (found === undefined || !isWhole || taker === found.incarnation || (found.successor ?? taker) !== taker) {
 				return {kind: 'nothing'};
 			}
 
-			if (found.taker === undefined) {
-				found.taker = taker;
-				found.keptUntil = Math.min(found.keptUntil, now() + keptOnceTakenMs);
+			if (found.successor === undefined) {
+				found.successor = taker;
+				found.expiresAt = Math.min(found.expiresAt, now() + takenRetentionMs);
 			}
 
 			const piece = found.parts[part];
 			return piece === undefined ? {kind: 'nothing'} : {kind: 'part', ...piece};
 		},
 		sweep() {
-			for (const [slot, {keptUntil}] of held) {
-				if (now() > keptUntil) {
+			for (const [slot, {expiresAt}] of held) {
+				if (now() > expiresAt) {
 					held.delete(slot);
 				}
 			}
--- a/src/programs/entry/claims/_lib/create-remote-reader.ts
+++ b/src/programs/entry/claims/_lib/create-remote-reader.ts
@@ -3,18 +3,18 @@
 import {msPerSecond} from '../../../../ports/units.js';
 import {events, methods, readReplySchema} from './messages.js';
 
-/** Longer than a peer holds a read that finds nothing new. */
+/** Longer than a peer holds a read while it has nothing new. */
 const readTimeoutMs = 15 * msPerSecond;
 
-const broken: RunPart = {kind: 'end', end: 'broken'};
+const brokenEnd: RunPart = {kind: 'end', end: 'broken'};
 
 /**
- * Reads the answer of a run on another host. A reply that is lost takes bytes
- * with it, so any failure ends the answer as broken and never as whole; the
- * caller may call again with the same key.
+ * Creates a reader of a run on another host. A lost reply loses the bytes in it,
+ * so any failed call ends the answer as `broken`; the caller may call again with
+ * the same key.
  *
- * @param connection - Connection to the host that runs it.
- * @param readId - The reader that the host opened for us.
+ * @param connection - Connection to the host of the run.
+ * @param readId - Id of the reader that the host opened for this one.
  * @returns The reader.
  */
 export function createRemoteReader(connection: PeerConnection, readId: number): RunReader {
@@ -25,7 +25,7 @@
 			const reply = await connection.call(methods.read, {readId}, {timeoutMs: readTimeoutMs});
 			const part = readReplySchema.safeParse(reply.unwrapOr(undefined));
 			if (!part.success) {
-				last = broken;
+				last = brokenEnd;
 			} else if (part.data.kind === 'end' || part.data.kind === 'taken-over') {
 				last = part.data;
 			} else if (part.data.kind !== 'idle') {
@@ -39,7 +39,7 @@
 	return {
 		next,
 		close() {
-			last ??= broken;
+			last ??= brokenEnd;
 			connection.send(events.closeRead, {readId});
 		},
 	};
