--- a/src/programs/_operations/start-operations.ts
+++ b/src/programs/_operations/start-operations.ts
@@ -51,9 +51,9 @@
 		keys: keys?.operator,
 		readiness() {
 			const notReady = options.notReadyReasons();
-			const attention = options.warnings?.() ?? [];
-			const ofKeys = (keys?.toReasons() ?? []).map(reason => ({reason}));
-			return {ready: notReady.length === 0, reasons: [...notReady, ...attention, ...ofKeys]};
+			const warnings = options.warnings?.() ?? [];
+			const keyReasons = (keys?.toReasons() ?? []).map(reason => ({reason}));
+			return {ready: notReady.length === 0, reasons: [...notReady, ...warnings, ...keyReasons]};
 		},
 		metrics() {
 			readyGauge.set({}, options.notReadyReasons().length === 0 ? 1 : 0);
@@ -72,19 +72,19 @@
 		return main;
 	}
 
-	const extra = await startOperatorServer({...sources, port: settings.metricsPort});
-	return extra.match(({close}) => ok(withExtra(main.value, close)), fault => {
+	const metricsServer = await startOperatorServer({...sources, port: settings.metricsPort});
+	return metricsServer.match(({close}) => ok(addMetricsServer(main.value, close)), fault => {
 		// A collector that finds nothing must not keep callers out.
 		log.error('the port for metrics can\'t be opened, they are served on the operators\' port alone', {reason: fault.message});
 		return main;
 	});
 }
 
-function withExtra(main: OperatorServer, closeExtra: OperatorServer['close']): OperatorServer {
+function addMetricsServer(main: OperatorServer, closeMetricsServer: OperatorServer['close']): OperatorServer {
 	return {
 		port: main.port,
 		async close(timeout) {
-			await Promise.all([main.close(timeout), closeExtra(timeout)]);
+			await Promise.all([main.close(timeout), closeMetricsServer(timeout)]);
 		},
 	};
 }
--- a/src/programs/_operations/test.ts
+++ b/src/programs/_operations/test.ts
@@ -34,12 +34,12 @@
 		});
 		const server = started._unsafeUnwrap();
 		context.after(async () => server.close(1000));
-		const ask = async (path: string) => {
+		const fetchDocument = async (path: string) => {
 			const {statusCode, body} = await request(`http://127.0.0.1:${server.port}${path}`, {headersTimeout: 10_000, bodyTimeout: 10_000});
 			return {status: statusCode, text: await body.text()};
 		};
 
-		const before = await ask('/ready');
+		const before = await fetchDocument('/ready');
 		assert.deepEqual([before.status, before.text], [503, '{"ready":false,"reasons":[{"reason":"no configuration is in force"}]}\n']);
 		notReady = [];
 		for (let i = 0; i < 30; i++) {
@@ -48,7 +48,7 @@
 			}), clock.now());
 		}
 
-		const {text} = await ask('/metrics');
+		const {text} = await fetchDocument('/metrics');
 		assert.match(text, /^banyanport_ready 1$/m);
 		assert.match(text, /^banyanport_slo_burn_rate{class="quick",window="5m"} (?:20|19\.9{6,}\d*)$/m);
 		assert.match(text, /^banyanport_slo_alerts{level="page"} 3$/m);
--- a/src/programs/_settings/agent.ts
+++ b/src/programs/_settings/agent.ts
@@ -5,7 +5,7 @@
 import {findSharedPorts} from './entry.js';
 
 /** Each answer confirms what is in force, and an order needs a confirmation of the last ten seconds. */
-const longestPlatformWait = 6 * msPerSecond;
+const maxPlatformWaitMs = 6 * msPerSecond;
 
 export const agentSettings = defineSettings({
 	...commonSettings,
@@ -22,7 +22,7 @@
 		type: 'addresses', default: [], group: 'Addresses', description: 'Peer ports of agents of other hosts; without them a restarted host cannot ask its peers before a platform that may be stale.',
 	},
 	platformWait: {
-		type: 'duration', default: longestPlatformWait, min: 100, max: longestPlatformWait, group: 'Platform', description: 'Longest wait of one watching read of the platform.',
+		type: 'duration', default: maxPlatformWaitMs, min: 100, max: maxPlatformWaitMs, group: 'Platform', description: 'Longest wait of one watching read of the platform.',
 	},
 	loadPollInterval: {
 		type: 'duration', default: msPerSecond, min: 50, max: msPerMinute, group: 'Backend servers', description: 'How often a backend server is asked for its load.',
--- a/src/programs/_settings/common.ts
+++ b/src/programs/_settings/common.ts
@@ -2,16 +2,16 @@
 import {defineSettings, type SettingFault} from '../../adapters/settings/index.js';
 import {msPerSecond} from '../../ports/units.js';
 
-const slotName = {test: /^[a-z\d][a-z\d.-]{0,62}$/, hint: 'a name of lower-case letters, digits, dots and hyphens, such as zone-a-1'};
+const namePattern = {test: /^[a-z\d][a-z\d.-]{0,62}$/, hint: 'a name of lower-case letters, digits, dots and hyphens, such as zone-a-1'};
 
 export const logLevels = ['error', 'warn', 'info', 'debug'] as const;
 
 export const commonSettings = defineSettings({
 	hostId: {
-		type: 'text', required: true, pattern: slotName, group: 'Identity', description: 'Published name of this host\'s slot.',
+		type: 'text', required: true, pattern: namePattern, group: 'Identity', description: 'Published name of this host\'s slot.',
 	},
 	zone: {
-		type: 'text', required: true, pattern: slotName, group: 'Identity', description: 'Availability zone of this host.',
+		type: 'text', required: true, pattern: namePattern, group: 'Identity', description: 'Availability zone of this host.',
 	},
 	bind: {
 		type: 'ip', default: '127.0.0.1', group: 'Addresses', description: 'IP number on which all ports listen, and which peers are told.',
--- a/src/programs/_settings/relay.ts
+++ b/src/programs/_settings/relay.ts
@@ -11,7 +11,7 @@
 /** What is published is in force, and a server that leaves gets nothing new, within this time unless the platform grants more. */
 const actWithinMs = 2 * msPerSecond;
 
-const zoneList = {
+const zoneListPattern = {
 	test: /^[a-z\d][a-z\d.\-]*=[a-z\d][a-z\d.\-]*(?:,[a-z\d][a-z\d.\-]*=[a-z\d][a-z\d.\-]*)*$/v,
 	hint: 'zones with their regions, such as zone-a=region-1,zone-b=region-1',
 };
@@ -20,7 +20,7 @@
 	...entryCoreSettings,
 	engineConnectTimeout: {...entryCoreSettings.engineConnectTimeout, default: connectTimeoutMs},
 	zones: {
-		type: 'text', required: true, pattern: zoneList, group: 'Identity', description: 'All availability zones with their regions.',
+		type: 'text', required: true, pattern: zoneListPattern, group: 'Identity', description: 'All availability zones with their regions.',
 	},
 	callerAddress: {
 		type: 'address', required: true, group: 'Addresses', description: 'Where callers come in.',
