--- a/src/programs/_engines/index.ts
+++ b/src/programs/_engines/index.ts
@@ -2,10 +2,11 @@
 import {type Engine} from '../../ports/engine.js';
 import {type ServerId} from '../../ports/ids.js';
 
-/** A client of an engine, with connections to close. */
+/** An engine client that owns connections; `close` closes them. */
 export type EngineClient = Engine & {close: () => Promise<void>};
 
 export type Engines = {
+	/** Returns the client of a server; creates a new one when the server is unknown or its URL changed. */
 	toEngine: (server: ServerEntry) => Engine;
 	findEngine: (server: ServerId) => Engine | undefined;
 	/** Closes the clients of servers that are no longer in the configuration. */
@@ -14,10 +15,10 @@
 };
 
 /**
- * Keeps one client for each server, so that connections are used again.
+ * Creates a cache with one engine client per server, so that connections are reused.
  *
  * @param create - Creates the client of a server.
- * @returns The clients.
+ * @returns The cache.
  */
 export function createEngines(create: (server: ServerEntry) => EngineClient): Engines {
 	const clients = new Map<ServerId, {url: string; client: EngineClient}>();
--- a/src/programs/_engines/test.ts
+++ b/src/programs/_engines/test.ts
@@ -39,7 +39,7 @@
 		assert.deepEqual(closed, ['http://192.0.2.1:1']);
 	});
 
-	it('closes the clients of servers that left the configuration, and no others', () => {
+	it('closes only the clients of servers that are no longer in the configuration', () => {
 		const {engines, closed} = createFixture();
 		const kept = engines.toEngine(toServer('decode-1'));
 		engines.toEngine(toServer('decode-2'));
@@ -49,7 +49,7 @@
 		assert.equal(engines.findEngine('decode-2'), undefined);
 	});
 
-	it('closes all of them at the end', async () => {
+	it('closes every client when it is closed', async () => {
 		const {engines, closed} = createFixture();
 		engines.toEngine(toServer('decode-1'));
 		engines.toEngine(toServer('decode-2'));
--- a/src/programs/_operations/index.ts
+++ b/src/programs/_operations/index.ts
@@ -1,4 +1,4 @@
-/** What entry and agent do alike for their operators: keys, the operators' port, the burn report. */
+/** Operations code that the programs share: TLS keys, the operators' port, the burn-rate report. */
 export {loadProgramKeys, type KeySettings, type ProgramKeys} from './load-program-keys.js';
 export {reportSlo} from './report-slo.js';
 export {toSloSample, type SloRequestOutcome} from './to-slo-sample.js';
--- a/src/programs/_operations/load-program-keys.ts
+++ b/src/programs/_operations/load-program-keys.ts
@@ -4,7 +4,7 @@
 import {type Metrics} from '../../adapters/metrics/index.js';
 import {type PeerKeys} from '../../adapters/peer-tcp/index.js';
 
-/** Settings from which keys are loaded; entry and agent have those of their own ports. */
+/** Settings that name the key files; each program has those of its own ports. */
 export type KeySettings = {
 	keyPollInterval: number;
 	tlsCertFile?: string | undefined;
@@ -20,17 +20,17 @@
 export type ProgramKeys = {
 	caller: Keys | undefined;
 	operator: Keys | undefined;
-	/** Present peer keys, as `listenPeers` and `connectPeer` take them. */
+	/** Returns the current peer keys, in the form that `listenPeers` and `connectPeer` take. */
 	peer: (() => PeerKeys) | undefined;
-	/** Calls a function whenever the peer keys have changed, for `reloadKeys` of the listener. */
+	/** Registers a function that is called after each reload of the peer keys, such as `reloadKeys` of the peers' listener. */
 	onPeerKeys: (listener: () => void) => void;
-	/** What operators should know of the keys now. */
+	/** Returns the current problems of the keys, for operators. */
 	toReasons: () => string[];
 	stop: () => void;
 };
 
 /**
- * Loads the keys of a program's ports and reports on them.
+ * Loads the keys of a program's ports, and reports their state in the log and the metrics.
  *
  * @param settings - Key files.
  * @param report - Log and metrics.
@@ -94,7 +94,7 @@
 function toPeerKeys(keys: Keys): () => PeerKeys {
 	return () => {
 		const {cert, key, ca} = keys.current();
-		// The three files are set together or not at all, which the settings check.
+		// The check of the settings refuses peer keys without a CA file, so `ca` is always set here.
 		return {cert, key, ca: ca ?? ''};
 	};
 }
--- a/src/programs/_operations/report-slo.ts
+++ b/src/programs/_operations/report-slo.ts
@@ -9,12 +9,12 @@
 const alertLevels = ['page', 'ticket'] as const;
 
 /**
- * Shows a ledger on the operators' port and in the metrics.
+ * Exposes a ledger on the operators' port and as metrics.
  *
  * @param ledger - Counts of this process.
  * @param clock - Clocks of this process.
  * @param metrics - Metrics to add gauges to.
- * @returns What `startOperations` takes as `slo` and as `beforeMetrics`.
+ * @returns The options `slo` and `beforeMetrics` of `startOperations`.
  *
  * @example
  * ```ts
--- a/src/programs/_operations/start-operations.ts
+++ b/src/programs/_operations/start-operations.ts
@@ -17,11 +17,11 @@
 	log: Log;
 	metrics: Metrics;
 	keys?: ProgramKeys | undefined;
-	/** Why the program takes no requests; empty when it does. Called at each request. */
+	/** Returns why the program takes no requests; empty when it does. Called for each request to the operators' port. */
 	notReadyReasons: () => readonly ReadinessReason[];
-	/** What needs somebody's attention although requests are taken; told with readiness. */
+	/** Returns problems that need an operator's attention while requests are still taken; listed in the readiness document. */
 	warnings?: () => readonly ReadinessReason[];
-	/** Called before metrics are exposed, to set gauges. */
+	/** Called before each export of the metrics, to set gauges. */
 	beforeMetrics?: () => void;
 	status: () => unknown;
 	slo?: OperatorSources['slo'];
@@ -31,13 +31,13 @@
 /**
  * Opens a program's operators' port with readiness, metrics and status.
  *
- * @param options - Address, and what to show.
+ * @param options - Address of the port, and sources of its documents.
  * @returns The server, or why the port cannot be opened.
  *
  * @example
  * ```ts
  * const operators = await startOperations({
- * 	settings, log, metrics, keys, notReady: () => agent.notReady().map(reason => ({reason})), status: () => agent.counts(),
+ * 	settings, log, metrics, keys, notReadyReasons: () => agent.notReadyReasons().map(reason => ({reason})), status: () => agent.counts(),
  * });
  * ```
  */
@@ -64,7 +64,7 @@
 		...options.slo === undefined ? {} : {slo: options.slo},
 		...options.explain === undefined ? {} : {explain: options.explain},
 		onFault(path, error) {
-			log.error('a report for operators failed', {route: path, cause: error instanceof Error ? error.stack ?? error.message : String(error)});
+			log.error('a document for operators could not be created', {route: path, cause: error instanceof Error ? error.stack ?? error.message : String(error)});
 		},
 	};
 	const main = await startOperatorServer({...sources, port: settings.operatorPort});
@@ -74,8 +74,8 @@
 
 	const metricsServer = await startOperatorServer({...sources, port: settings.metricsPort});
 	return metricsServer.match(({close}) => ok(addMetricsServer(main.value, close)), fault => {
-		// A collector that finds nothing must not keep callers out.
-		log.error('the port for metrics can\'t be opened, they are served on the operators\' port alone', {reason: fault.message});
+		// A metrics port that can't be opened must not keep the program from serving callers.
+		log.error('the metrics port can\'t be opened; metrics are served on the operators\' port only', {reason: fault.message});
 		return main;
 	});
 }
--- a/src/programs/_operations/test.ts
+++ b/src/programs/_operations/test.ts
@@ -23,7 +23,7 @@
 };
 
 describe('startOperations', () => {
-	it('shows readiness, burn and metrics of one state', async context => {
+	it('serves readiness, burn rates and metrics that agree with each other', async context => {
 		const metrics = createMetrics();
 		const ledger = createSloLedger({host: 'a-1'});
 		const clock = {now: () => 1000, wallNow: () => 0};
@@ -56,7 +56,7 @@
 		assert.match(await page.body.text(), /Act now/);
 	});
 
-	it('stays ready while it tells what needs attention', async context => {
+	it('stays ready and lists warnings among its reasons', async context => {
 		const started = await startOperations({
 			settings: {bind: '127.0.0.1', operatorPort: 0},
 			log,
@@ -74,7 +74,7 @@
 });
 
 describe('loadProgramKeys', () => {
-	it('loads none where none is set, and names the file that cannot be used', async () => {
+	it('loads no keys when no files are set, and names a file that cannot be used', async () => {
 		const none = await loadProgramKeys({keyPollInterval: 1000}, {log, metrics: createMetrics()});
 		assert.deepEqual([none._unsafeUnwrap().peer, none._unsafeUnwrap().toReasons()], [undefined, []]);
 		const wrong = await loadProgramKeys({keyPollInterval: 1000, tlsCertFile: 'no-such-cert.pem', tlsKeyFile: 'no-such-key.pem'}, {log, metrics: createMetrics()});
@@ -88,7 +88,7 @@
 		[100, 1100, 1, undefined],
 		[undefined, 1100, 0, undefined],
 	] as const) {
-		it(`takes ${expected ?? 'no'} ms between ${outputTokens} tokens`, () => {
+		it(`computes ${expected ?? 'no'} ms per token for ${outputTokens} tokens`, () => {
 			assert.equal(toSloSample({
 				workspace: 'w', rule, end: 'complete', firstTokenMs, completeMs, outputTokens,
 			}).perTokenMs, expected);
--- a/src/programs/_operations/to-slo-sample.ts
+++ b/src/programs/_operations/to-slo-sample.ts
@@ -4,7 +4,7 @@
 import {type Rule} from '../../ports/config.js';
 import {type WorkspaceId} from '../../ports/ids.js';
 
-/** What an entry knows of a request that has ended. */
+/** Outcome of a request, as recorded by the entry that served it. */
 export type SloRequestOutcome = {
 	workspace: WorkspaceId;
 	rule: {name: string; then: Pick<Rule['then'], 'class' | 'target'>};
@@ -21,7 +21,7 @@
 /**
  * Turns an ended request into a sample of the ledger.
  *
- * @param ended - The request.
+ * @param ended - Outcome of the request.
  * @returns The sample; the time between tokens is the mean over the answer.
  */
 export function toSloSample(ended: SloRequestOutcome): SloSample {
--- a/src/programs/_run/index.ts
+++ b/src/programs/_run/index.ts
@@ -1,20 +1,20 @@
-/** The life of a program that serves callers, from its start to its planned stop. */
+/** Runs a program that serves callers, from its start to its planned stop. */
 import process from 'node:process';
 import {type Log} from '../../adapters/log/index.js';
 
 const logFlushMs = 1000;
-/** Exit codes: wrong settings end with 2 as well. */
+/** Exit codes; invalid settings exit with 2 as well. */
 const startFailureCode = 2;
 const abandonedCode = 1;
 
-/** What runs: an entry, however it learns of the fleet. */
+/** A started program that serves callers: an entry or a relay. */
 export type RunningProgram = {
 	callerPort: number;
 	peerPort: number;
 	operatorPort: number;
 	/** Finishes everything in progress, then closes. */
 	stop: () => Promise<void>;
-	/** Ends everything in progress and waits a moment for the cancels; returns the ids of what is abandoned. */
+	/** Aborts everything in progress, waits briefly for the cancels, and returns the ids of the abandoned requests. */
 	abandon: () => Promise<string[]>;
 };
 
@@ -33,11 +33,11 @@
 }
 
 /**
- * Starts a program and stops it at a signal: the first lets requests end, the
- * second ends them.
+ * Starts a program and stops it at a signal: the first signal lets requests in
+ * progress finish, the second aborts them.
  *
  * @param log - The program's log.
- * @param start - Starts it; what it throws is logged and ends the process.
+ * @param start - Starts the program; an error that it throws is logged and ends the process.
  */
 export async function runUntilStopped(log: Log, start: () => Promise<RunningProgram>): Promise<void> {
 	const running = await startOrExit(log, start);
@@ -50,7 +50,7 @@
 		if (isStopping) {
 			isAbandoned = true;
 			for (const requestId of await running.abandon()) {
-				log.error('abandoned', {requestId, signal});
+				log.error('request abandoned at a second stop signal', {requestId, signal});
 			}
 
 			await exit(log, abandonedCode);
--- a/src/programs/_settings/agent.ts
+++ b/src/programs/_settings/agent.ts
@@ -4,7 +4,7 @@
 import {checkCommonSettings, commonSettings} from './common.js';
 import {findSharedPorts} from './entry.js';
 
-/** Each answer confirms what is in force, and an order needs a confirmation of the last ten seconds. */
+/** Each answer of the platform confirms the configuration in force, and orders to servers need a confirmation from the last ten seconds. */
 const maxPlatformWaitMs = 6 * msPerSecond;
 
 export const agentSettings = defineSettings({
@@ -19,16 +19,24 @@
 		type: 'url', required: true, group: 'Addresses', description: 'Base URL of the platform\'s configuration service.',
 	},
 	seeds: {
-		type: 'addresses', default: [], group: 'Addresses', description: 'Peer ports of agents of other hosts; without them a restarted host cannot ask its peers before a platform that may be stale.',
+		type: 'addresses',
+		default: [],
+		group: 'Addresses',
+		description: 'Peer ports of agents of other hosts; without them a restarted host cannot ask its peers first and depends on a platform that may be stale.',
 	},
 	platformWait: {
-		type: 'duration', default: maxPlatformWaitMs, min: 100, max: maxPlatformWaitMs, group: 'Platform', description: 'Longest wait of one watching read of the platform.',
+		type: 'duration',
+		default: maxPlatformWaitMs,
+		min: 100,
+		max: maxPlatformWaitMs,
+		group: 'Platform',
+		description: 'Longest time for which one long-polling read of the platform waits for a change.',
 	},
 	loadPollInterval: {
-		type: 'duration', default: msPerSecond, min: 50, max: msPerMinute, group: 'Backend servers', description: 'How often a backend server is asked for its load.',
+		type: 'duration', default: msPerSecond, min: 50, max: msPerMinute, group: 'Backend servers', description: 'Interval at which each backend server is asked for its load.',
 	},
 	heartbeatInterval: {
-		type: 'duration', default: msPerSecond, min: 50, max: msPerMinute, group: 'Membership', description: 'How often each peer is told that this host is alive.',
+		type: 'duration', default: msPerSecond, min: 50, max: msPerMinute, group: 'Membership', description: 'Interval between heartbeats to each peer.',
 	},
 	suspectAfter: {
 		type: 'duration', default: 3 * msPerSecond, min: 100, max: 10 * msPerMinute, group: 'Membership', description: 'Silence after which a peer is suspected.',
@@ -41,10 +49,10 @@
 export type AgentSettings = SettingValues<typeof agentSettings>;
 
 /**
- * Checks what only several settings of the agent together show.
+ * Checks the agent's settings against each other.
  *
  * @param values - Parsed values.
- * @returns Faults; empty when all is well.
+ * @returns Faults; empty when the settings are consistent.
  */
 export function checkAgentSettings(values: AgentSettings): SettingFault[] {
 	return [
@@ -56,5 +64,5 @@
 }
 
 function findWrongOrder(flag: string, value: number, lowerFlag: string, lower: number): SettingFault[] {
-	return value > lower ? [] : [{place: flag, message: `is ${value}ms, not more than ${lowerFlag} (${lower}ms)`, remedy: 'make it longer, best three times as long'}];
+	return value > lower ? [] : [{place: flag, message: `is ${value}ms, not more than ${lowerFlag} (${lower}ms)`, remedy: 'make it longer, preferably three times as long'}];
 }
--- a/src/programs/_settings/common.ts
+++ b/src/programs/_settings/common.ts
@@ -1,4 +1,4 @@
-/** Settings that entry and agent share. */
+/** Settings that all programs share. */
 import {defineSettings, type SettingFault} from '../../adapters/settings/index.js';
 import {msPerSecond} from '../../ports/units.js';
 
@@ -14,10 +14,10 @@
 		type: 'text', required: true, pattern: namePattern, group: 'Identity', description: 'Availability zone of this host.',
 	},
 	bind: {
-		type: 'ip', default: '127.0.0.1', group: 'Addresses', description: 'IP number on which all ports listen, and which peers are told.',
+		type: 'ip', default: '127.0.0.1', group: 'Addresses', description: 'IP address on which all ports listen, and which is advertised to peers.',
 	},
 	operatorBind: {
-		type: 'ip', group: 'Addresses', description: 'IP number on which the operators\' port listens, where it differs from --bind.',
+		type: 'ip', group: 'Addresses', description: 'IP address on which the operators\' port listens, if it differs from --bind.',
 	},
 	logLevel: {
 		type: 'choice', choices: logLevels, default: 'info', group: 'Operation', description: 'Least severe level that is logged.',
@@ -27,7 +27,7 @@
 		secret: true,
 		pattern: {test: /^[\u0021-\u007E]{16,}$/, hint: 'at least 16 visible ASCII characters'},
 		group: 'Keys',
-		description: 'Token that operators send as "Authorization: Bearer"; without it the port answers anybody who reaches it.',
+		description: 'Token that operators send as "Authorization: Bearer"; without it the port answers anyone who can reach it.',
 	},
 	operatorTlsCertFile: {
 		type: 'file', group: 'Keys', description: 'Certificate chain of the operators\' port, PEM.',
@@ -42,15 +42,15 @@
 		type: 'file', group: 'Keys', description: 'Private key for --peer-tls-cert-file, PEM.',
 	},
 	peerTlsCaFile: {
-		type: 'file', group: 'Keys', description: 'Certificates of the authorities that sign peers, PEM.',
+		type: 'file', group: 'Keys', description: 'Certificates of the authorities that sign the peers\' certificates, PEM.',
 	},
 	keyPollInterval: {
-		type: 'duration', default: 5 * msPerSecond, min: 100, max: 3600 * msPerSecond, group: 'Keys', description: 'How often key files are looked at for a change.',
+		type: 'duration', default: 5 * msPerSecond, min: 100, max: 3600 * msPerSecond, group: 'Keys', description: 'Interval at which key files are checked for changes.',
 	},
 });
 
 /**
- * Finds key files of which only a part is given.
+ * Finds the files that are missing from an incomplete set of key files.
  *
  * @param files - Value by flag, for files that only work together.
  * @returns One fault for each missing file, none when all or no files are given.
@@ -69,10 +69,10 @@
 type CommonKeys = Record<'operatorTlsCertFile' | 'operatorTlsKeyFile' | 'peerTlsCertFile' | 'peerTlsKeyFile' | 'peerTlsCaFile', string | undefined>;
 
 /**
- * Checks what only several settings together show.
+ * Checks the shared settings against each other.
  *
  * @param values - Parsed values.
- * @returns Faults; empty when all is well.
+ * @returns Faults; empty when the settings are consistent.
  */
 export function checkCommonSettings(values: CommonKeys): SettingFault[] {
 	return [
--- a/src/programs/_settings/entry.ts
+++ b/src/programs/_settings/entry.ts
@@ -6,7 +6,7 @@
 import {defaultClockBoundMs} from '../../domain/create-claim-witness/index.js';
 import {checkCommonSettings, commonSettings, findPartialKeys} from './common.js';
 
-/** Settings of every entry, however it learns of the fleet. */
+/** Settings that entry and relay share. */
 export const entryCoreSettings = defineSettings({
 	...commonSettings,
 	tlsCertFile: {
@@ -16,7 +16,13 @@
 		type: 'file', group: 'Keys', description: 'Private key for --tls-cert-file, PEM.',
 	},
 	maxConnections: {
-		type: 'integer', default: 10_000, min: 1, max: 1_000_000, unit: 'connections', group: 'Limits', description: 'Callers\' connections open at once; more are closed at once.',
+		type: 'integer',
+		default: 10_000,
+		min: 1,
+		max: 1_000_000,
+		unit: 'connections',
+		group: 'Limits',
+		description: 'Callers\' connections open at the same time; further ones are closed immediately.',
 	},
 	maxHeaderBytes: {
 		type: 'bytes', default: 16 * bytesPerKibibyte, min: bytesPerKibibyte, max: bytesPerMebibyte, group: 'Limits', description: 'Size of all headers of a request.',
@@ -40,19 +46,25 @@
 		type: 'duration', default: 65 * msPerSecond, min: 0, max: 60 * msPerMinute, group: 'Limits', description: 'Time for which an idle connection of a caller stays open.',
 	},
 	writeTimeout: {
-		type: 'duration', default: 60 * msPerSecond, min: 100, max: 60 * msPerMinute, group: 'Limits', description: 'Time for which a caller may take no byte of its answer before it counts as gone.',
+		type: 'duration', default: 60 * msPerSecond, min: 100, max: 60 * msPerMinute, group: 'Limits', description: 'Time after which a caller that reads none of its answer counts as gone.',
 	},
 	maxQueued: {
-		type: 'integer', default: 2000, min: 1, max: 1_000_000, unit: 'requests', group: 'Limits', description: 'Requests that wait at once, over all rules; each rule has its own limit besides.',
+		type: 'integer',
+		default: 2000,
+		min: 1,
+		max: 1_000_000,
+		unit: 'requests',
+		group: 'Limits',
+		description: 'Requests that wait at the same time, over all rules; each rule also has its own limit.',
 	},
 	maxInFlight: {
-		type: 'integer', default: 4000, min: 1, max: 1_000_000, unit: 'requests', group: 'Limits', description: 'Requests in work at once.',
+		type: 'integer', default: 4000, min: 1, max: 1_000_000, unit: 'requests', group: 'Limits', description: 'Requests in flight at the same time.',
 	},
 	engineConnectTimeout: {
 		type: 'duration', default: msPerSecond, min: 10, max: msPerMinute, group: 'Backend servers', description: 'Time to connect to a backend server.',
 	},
 	reservationTtl: {
-		type: 'duration', default: 5 * msPerSecond, min: 100, max: msPerMinute, group: 'Backend servers', description: 'Life of a reservation of decode memory that is not used.',
+		type: 'duration', default: 5 * msPerSecond, min: 100, max: msPerMinute, group: 'Backend servers', description: 'Time after which an unused reservation of decode memory expires.',
 	},
 });
 
@@ -71,13 +83,23 @@
 		type: 'address', required: true, group: 'Addresses', description: 'Peer port of this host\'s agent.',
 	},
 	keptAnswerBytes: {
-		type: 'bytes', default: 64 * bytesPerMebibyte, min: 0, max: 16 * 1024 * bytesPerMebibyte, group: 'Limits', description: 'Memory for whole answers kept for a second call with the same key.',
+		type: 'bytes',
+		default: 64 * bytesPerMebibyte,
+		min: 0,
+		max: 16 * 1024 * bytesPerMebibyte,
+		group: 'Limits',
+		description: 'Memory for complete answers that are kept for repeated calls with the same key.',
 	},
 	keptAnswerAge: {
-		type: 'duration', default: 10 * msPerMinute, min: 0, max: 24 * 60 * msPerMinute, group: 'Limits', description: 'Age up to which a whole answer is kept for a second call with the same key.',
+		type: 'duration',
+		default: 10 * msPerMinute,
+		min: 0,
+		max: 24 * 60 * msPerMinute,
+		group: 'Limits',
+		description: 'Age up to which a complete answer is kept for repeated calls with the same key.',
 	},
 	retryBudget: {
-		type: 'integer', default: 10, min: 0, max: 100_000, unit: 'retries', group: 'Backend servers', description: 'Retries that each pool may save up; successes and time bring them back.',
+		type: 'integer', default: 10, min: 0, max: 100_000, unit: 'retries', group: 'Backend servers', description: 'Retries in the full budget of each pool; successes and time refill it.',
 	},
 	clockBound: {
 		type: 'duration',
@@ -85,7 +107,7 @@
 		min: 0,
 		max: 60 * msPerMinute,
 		group: 'Idempotency keys',
-		description: 'Greatest difference between a caller\'s clock and a host\'s. A host that was not started gracefully vouches for no key older than its start and this.',
+		description: 'Largest difference between a caller\'s clock and a host\'s. A host that was not started gracefully vouches for no key made before its start plus this time.',
 	},
 	drainDelay: {
 		type: 'duration',
@@ -93,7 +115,7 @@
 		min: 0,
 		max: 10 * msPerMinute,
 		group: 'Operation',
-		description: 'Time for which a planned stop still takes connections, so that the balancer learns of it first.',
+		description: 'Time for which a planned stop still accepts connections, so that the load balancer notices it first.',
 	},
 	drainTimeout: {
 		type: 'duration',
@@ -101,17 +123,17 @@
 		min: 0,
 		max: 24 * 60 * msPerMinute,
 		group: 'Operation',
-		description: 'Time for which a planned stop waits for requests in progress; what is left then is named in the log and ended.',
+		description: 'Time for which a planned stop waits for requests in progress; requests left after it are named in the log and aborted.',
 	},
 });
 
 export type EntrySettings = SettingValues<typeof entrySettings>;
 
 /**
- * Checks what only several settings of the entry together show.
+ * Checks the entry's settings against each other.
  *
  * @param values - Parsed values.
- * @returns Faults; empty when all is well.
+ * @returns Faults; empty when the settings are consistent.
  */
 export function checkEntrySettings(values: EntrySettings): SettingFault[] {
 	return [
@@ -122,10 +144,10 @@
 }
 
 /**
- * Finds ports that are given twice.
+ * Finds ports that more than one flag uses.
  *
- * @param ports - Port by flag; 0 may be given as often as one likes.
- * @returns One fault for each port that an earlier flag has taken.
+ * @param ports - Port by flag; 0 stands for any free port and may repeat.
+ * @returns One fault for each flag whose port an earlier flag uses.
  */
 export function findSharedPorts(ports: Readonly<Record<string, number>>): SettingFault[] {
 	const taken = new Map<number, string>();
@@ -133,7 +155,7 @@
 	for (const [flag, port] of Object.entries(ports)) {
 		const other = taken.get(port);
 		if (port !== 0 && other !== undefined) {
-			faults.push({place: flag, message: `is ${port}, which ${other} has taken`, remedy: 'give each port its own number, or 0 for any free one'});
+			faults.push({place: flag, message: `is ${port}, which ${other} already uses`, remedy: 'give each port its own number, or 0 for any free one'});
 		}
 
 		taken.set(port, flag);
--- a/src/programs/_settings/relay.ts
+++ b/src/programs/_settings/relay.ts
@@ -5,10 +5,10 @@
 import {checkCommonSettings, findPartialKeys} from './common.js';
 import {entryCoreSettings} from './entry.js';
 
-/** Round trips take a few milliseconds at most: a server that took no connection in this time is behind a cut, and its requests have targets of a second or less. */
+/** Round trips take a few milliseconds at most, so a server that accepts no connection in this time is cut off by the network; its requests have latency targets of a second or less and can't wait longer. */
 const connectTimeoutMs = 400;
 
-/** What is published is in force, and a server that leaves gets nothing new, within this time unless the platform grants more. */
+/** Published rules take effect, and a leaving server gets no more new requests, within this time unless the platform allows more. */
 const actWithinMs = 2 * msPerSecond;
 
 const zoneListPattern = {
@@ -23,38 +23,40 @@
 		type: 'text', required: true, pattern: zoneListPattern, group: 'Identity', description: 'All availability zones with their regions.',
 	},
 	callerAddress: {
-		type: 'address', required: true, group: 'Addresses', description: 'Where callers come in.',
+		type: 'address', required: true, group: 'Addresses', description: 'Address at which callers connect.',
 	},
 	operatorAddress: {
-		type: 'address', required: true, group: 'Addresses', description: 'Where operators and the balancer ask for readiness.',
+		type: 'address', required: true, group: 'Addresses', description: 'Address at which operators and the load balancer ask for readiness.',
 	},
 	metricsPort: {
-		type: 'port', group: 'Addresses', description: 'A second port for operators, for collectors that know one port for all hosts.',
+		type: 'port', group: 'Addresses', description: 'Additional port for operators, for metrics collectors that use one port number for all hosts.',
 	},
 	platformAddress: {
-		type: 'address', required: true, group: 'Addresses', description: 'Where rules and backend servers are published.',
+		type: 'address', required: true, group: 'Addresses', description: 'Address of the platform, which publishes rules and backend servers.',
 	},
 	controlAddress: {
-		type: 'address', group: 'Addresses', description: 'Address by which the settings of all hosts may name this host.',
+		type: 'address', group: 'Addresses', description: 'Address under which the settings of any host may name this host.',
 	},
 	peerAddress: {
-		type: 'address', group: 'Addresses', description: 'Where other hosts tell what they have under way (UDP); the port is the same on all hosts. Without it this host neither tells nor hears.',
+		type: 'address',
+		group: 'Addresses',
+		description: 'Address at which other hosts report their requests in flight (UDP); the port is the same on all hosts. Without it this host neither sends nor receives such reports.',
 	},
 	seeds: {
-		type: 'addresses', default: [], group: 'Addresses', description: 'Control addresses of some hosts, by which all find each other; some may be away.',
+		type: 'addresses', default: [], group: 'Addresses', description: 'Control addresses of some hosts, through which all hosts find each other; some of them may be down.',
 	},
 	ordersFrom: {
-		type: 'address', group: 'Backend servers', description: 'Control address of the one host that gives orders to backend servers; the same on every host. Without it nobody gives any.',
+		type: 'address', group: 'Backend servers', description: 'Control address of the one host that gives orders to backend servers; the same on every host. Without it no host gives orders.',
 	},
 	prefillShare: {
-		// Between what three deployments learnt, 0.25 to 0.30: roles that are right before the load comes need not change under it.
+		// Three deployments learnt shares from 0.25 to 0.30. Roles that are right before the load arrives need not change under load.
 		type: 'number',
 		default: 0.28,
 		min: 0.01,
 		max: 0.99,
 		unit: 'of a pool\'s servers',
 		group: 'Backend servers',
-		description: 'Part of a pool that computes prompts, where servers can change between prefill and decode, until requests have told what they cost.',
+		description: 'Share of a pool that is used for prefill, where servers can change between prefill and decode, until the cost of requests has been measured.',
 	},
 	retryRatio: {
 		type: 'number', default: 0.1, min: 0, max: 10, unit: 'retries a request', group: 'Backend servers', description: 'Calls beyond the first that all hosts may make for each request to a pool.',
@@ -68,7 +70,7 @@
 		min: 0,
 		max: 10 * msPerMinute,
 		group: 'Backend servers',
-		description: 'Time over which the calls beyond the first are counted. A process that just started makes none of the slack for so long, as the one before it may have made them.',
+		description: 'Time over which the calls beyond the first are counted. A process that has just started uses none of the slack for this long, as its predecessor may have used it up.',
 	},
 	serverIdle: {
 		type: 'duration',
@@ -76,7 +78,7 @@
 		min: msPerSecond,
 		max: 10 * msPerMinute,
 		group: 'Backend servers',
-		description: 'Time for which an idle connection to a backend server is kept, where the server names none.',
+		description: 'Time for which an idle connection to a backend server is kept, unless the server names a time of its own.',
 	},
 	rulesWithin: {
 		type: 'duration',
@@ -84,7 +86,7 @@
 		min: msPerSecond,
 		max: msPerMinute,
 		group: 'Operation',
-		description: 'Time after the publication of rules in which they must be in force. The longer this and --leave-within are, the less often this host reads the platform.',
+		description: 'Time within which published rules must be in force. The longer this and --leave-within are, the less often this host reads the platform.',
 	},
 	leaveWithin: {
 		type: 'duration',
@@ -92,20 +94,20 @@
 		min: msPerSecond,
 		max: msPerMinute,
 		group: 'Operation',
-		description: 'Time after a backend server has published that it leaves in which it still takes new requests.',
+		description: 'Time for which a backend server still takes new requests after it has published that it leaves.',
 	},
 	stopLimit: {
-		type: 'duration', default: 30 * msPerSecond, min: msPerSecond, max: 60 * msPerMinute, group: 'Operation', description: 'Time after the signal at which a planned stop must have ended.',
+		type: 'duration', default: 30 * msPerSecond, min: msPerSecond, max: 60 * msPerMinute, group: 'Operation', description: 'Time after the signal within which a planned stop must end.',
 	},
 });
 
 export type RelaySettings = SettingValues<typeof relaySettings>;
 
 /**
- * Checks what only several settings together show.
+ * Checks the relay's settings against each other.
  *
  * @param values - Parsed values.
- * @returns Faults; empty when all is well.
+ * @returns Faults; empty when the settings are consistent.
  */
 export function checkRelaySettings(values: RelaySettings): SettingFault[] {
 	const isKnown = toZones(values.zones).some(({id}) => id === values.zone);
@@ -117,6 +119,8 @@
 }
 
 /**
+ * Parses the list of zones with their regions.
+ *
  * @param text - Value of the setting `zones`.
  * @returns The zones.
  */
