--- a/src/programs/_operations/start-operations.ts
+++ b/src/programs/_operations/start-operations.ts
@@ -17,11 +17,11 @@
 	log: Log;
 	metrics: Metrics;
 	keys?: ProgramKeys | undefined;
-	/** Why the program takes no requests; empty when it does. Called at each request. */
+	/** Returns why the program takes no requests; empty when it does. Called for each request to the operators' port. */
 	notReadyReasons: () => readonly ReadinessReason[];
-	/** What needs somebody's attention although requests are taken; told with readiness. */
+	/** Returns problems that need an operator's attention while requests are still taken; listed in the readiness document. */
 	warnings?: () => readonly ReadinessReason[];
-	/** Called before metrics are exposed, to set gauges. */
+	/** Called before each export of the metrics, to set gauges. */
 	beforeMetrics?: () => void;
 	status: () => unknown;
 	slo?: OperatorSources['slo'];
@@ -31,13 +31,13 @@
 /**
  * Opens a program's operators' port with readiness, metrics and status.
  *
- * @param options - Address, and what to show.
+ * @param options - Address of the port, and sources of its documents.
  * @returns The server, or why the port cannot be opened.
  *
  * @example
  * ```ts
  * const operators = await startOperations({
- * 	settings, log, metrics, keys, notReady: () => agent.notReady().map(reason => ({reason})), status: () => agent.counts(),
+ * 	settings, log, metrics, keys, notReadyReasons: () => agent.notReadyReasons().map(reason => ({reason})), status: () => agent.counts(),
  * });
  * ```
  */
@@ -51,9 +51,9 @@
 		keys: keys?.operator,
 		readiness() {
 			const notReady = options.notReadyReasons();
-			const attention = options.warnings?.() ?? [];
-			const ofKeys = (keys?.toReasons() ?? []).map(reason => ({reason}));
-			return {ready: notReady.length === 0, reasons: [...notReady, ...attention, ...ofKeys]};
+			const warnings = options.warnings?.() ?? [];
+			const keyReasons = (keys?.toReasons() ?? []).map(reason => ({reason}));
+			return {ready: notReady.length === 0, reasons: [...notReady, ...warnings, ...keyReasons]};
 		},
 		metrics() {
 			readyGauge.set({}, options.notReadyReasons().length === 0 ? 1 : 0);
@@ -64,7 +64,7 @@
 		...options.slo === undefined ? {} : {slo: options.slo},
 		...options.explain === undefined ? {} : {explain: options.explain},
 		onFault(path, error) {
-			log.error('a report for operators failed', {route: path, cause: error instanceof Error ? error.stack ?? error.message : String(error)});
+			log.error('a document for operators could not be created', {route: path, cause: error instanceof Error ? error.stack ?? error.message : String(error)});
 		},
 	};
 	const main = await startOperatorServer({...sources, port: settings.operatorPort});
@@ -72,19 +72,19 @@
 		return main;
 	}
 
-	const extra = await startOperatorServer({...sources, port: settings.metricsPort});
-	return extra.match(({close}) => ok(withExtra(main.value, close)), fault => {
-		// A collector that finds nothing must not keep callers out.
-		log.error('the port for metrics can\'t be opened, they are served on the operators\' port alone', {reason: fault.message});
+	const metricsServer = await startOperatorServer({...sources, port: settings.metricsPort});
+	return metricsServer.match(({close}) => ok(addMetricsServer(main.value, close)), fault => {
+		// A metrics port that can't be opened must not keep the program from serving callers.
+		log.error('the metrics port can\'t be opened; metrics are served on the operators\' port only', {reason: fault.message});
 		return main;
 	});
 }
 
-function withExtra(main: OperatorServer, closeExtra: OperatorServer['close']): OperatorServer {
+function addMetricsServer(main: OperatorServer, closeMetricsServer: OperatorServer['close']): OperatorServer {
 	return {
 		port: main.port,
 		async close(timeout) {
-			await Promise.all([main.close(timeout), closeExtra(timeout)]);
+			await Promise.all([main.close(timeout), closeMetricsServer(timeout)]);
 		},
 	};
 }
