--- a/scripts/_mutation/modules.ts
+++ b/scripts/_mutation/modules.ts
@@ -48,5 +48,5 @@
 	toDomainModule('create-claim-witness'),
 	toDomainModule('create-admission', ['src/domain/create-admission/shared-memory.test.ts']),
 	toDomainModule('create-fair-queue'),
-	toDomainModule('create-transfer-limits'),
+	toDomainModule('create-transfer-timeouts'),
 ];
