--- a/src/adapters/_lib/create-http-agent/index.ts
+++ b/src/adapters/_lib/create-http-agent/index.ts
@@ -1,9 +1,9 @@
 /**
  * The pool of HTTP connections of one client.
  *
- * undici's agent is loaded by its own path: the package's main module brings
- * `fetch`, caches, proxies and mocks along, 110 modules in place of 23, which
- * cost the agent program 2 MB of the 64 it may have.
+ * Undici's agent is imported by its path. The package's main module would also
+ * load `fetch`, caches, proxies and mocks, 110 modules instead of 23, which would
+ * take 2 MB of the 64 MB that the agent program may use.
  */
 import {type Socket} from 'node:net';
 import {type Agent, type buildConnector} from 'undici';
@@ -16,24 +16,25 @@
 	/** Connections to one server. */
 	connections: number;
 	connectTimeoutMs: Milliseconds;
-	/** Time for which an idle connection is kept where the server names none. */
+	/** Time for which an idle connection is kept if the server does not state one. */
 	idleMs?: Milliseconds;
 };
 
 /**
- * Time before the end that a server tells for an idle connection after which it
- * is not used any more: a request under way when the server closes is broken off,
- * and nobody can tell whether it ran. A server is some milliseconds away, so this
- * is ample. undici's own two seconds leave nothing of a server's
- * one, and every call would open a connection.
+ * Safety margin: an idle connection is not used any more this long before the
+ * server's keep-alive timeout. A request that is in flight when the server closes
+ * the connection fails, and it is unknown whether the request ran. Servers are
+ * some milliseconds away, so the margin is ample. With undici's default of two
+ * seconds, a connection with a keep-alive timeout of one second would never be
+ * reused, and every call would open a new one.
  */
 const closeMarginMs: Milliseconds = 300;
 
-/** What undici keeps of an answer while it comes in. */
+/** The part of undici's state of an answer that is used here. */
 type Parser = {
-	/** 0 while no answer is under way. */
+	/** 0 while no answer is being received. */
 	statusCode: number;
-	/** Whether the connection goes on behind the answer; without it, an answer that tells no length ends with it. */
+	/** Whether the connection stays open after the answer; if not, an answer without a length ends with the connection. */
 	shouldKeepAlive: boolean;
 };
 
@@ -44,10 +45,10 @@
 }
 
 /**
- * Tells an orderly end from a reset. Node reports a reset that arrives together
- * with the last bytes as an end; but a byte written to a connection that was
- * reset fails at once, and one written to a connection that the server ended in
- * order goes nowhere, as the answer is over.
+ * Whether a connection that node reports as ended was reset. Node reports a reset
+ * that arrives together with the last bytes as an end. The check writes one byte:
+ * on a connection that was reset the write fails at once, and on one that the
+ * server closed in order the byte does no harm, because the answer is over.
  */
 function wasReset(socket: Socket): boolean {
 	socket.write('\n');
@@ -55,9 +56,10 @@
 }
 
 /**
- * An answer without a length ends with its connection, and undici takes a reset
- * for such an end too: a server that crashes midway would have its half answer
- * passed on as a whole one. So undici is told of an error in place of such an end.
+ * Reports resets to undici as errors. An answer without a length ends with its
+ * connection, and undici treats a reset as such an end too. If a server crashed
+ * in the middle of an answer, the truncated answer would be relayed as a complete
+ * one.
  */
 function watchForResets(socket: Socket): void {
 	const emit = socket.emit.bind(socket) as (event: string, ...values: unknown[]) => boolean;
@@ -82,16 +84,18 @@
 }
 
 /**
- * Creates a pool of its own: no proxy settings of the environment, and its
- * connections close with its client. Each connection carries one call at once.
+ * Creates a separate pool of connections, which ignores proxy settings of the
+ * environment and closes with its client. Each connection carries one call at a
+ * time.
  *
  * @param options - Limits.
+ * @returns The undici agent.
  */
 export function createHttpAgent({connections, connectTimeoutMs, idleMs}: HttpAgentOptions): Agent {
 	const connect = createConnector({timeout: connectTimeoutMs});
 	const connectWatched: buildConnector.connector = (options, done) => {
 		connect(options, (...result) => {
-			// Without a connection there is no socket at all, whatever the type says.
+			// If connecting failed, there is no socket, although the type says so.
 			const [, socket] = result as readonly [unknown, Socket | null | undefined];
 			if (socket !== null && socket !== undefined) {
 				watchForResets(socket);
--- a/src/adapters/_lib/create-http-agent/test.ts
+++ b/src/adapters/_lib/create-http-agent/test.ts
@@ -7,9 +7,9 @@
 import {createHttpAgent} from './index.js';
 
 /*
- * A server crashes in the middle of an answer that tells no length and would
- * have ended with its connection. The half answer must not be handed on as a
- * whole one: its caller could not tell, and would act on half a lookup.
+ * A server crashes in the middle of an answer without a length, whose end is the
+ * end of its connection. The truncated answer must not be relayed as a complete
+ * one: the caller could not notice, and would act on incomplete data.
  */
 describe('createHttpAgent', () => {
 	const endings: ReadonlyArray<{name: string; head: string; end: (socket: Socket) => void; isWhole: boolean}> = [
@@ -26,10 +26,10 @@
 			name: 'an orderly end after a chunk', head: 'transfer-encoding: chunked\r\nconnection: close\r\n', end: socket => socket.end(), isWhole: false,
 		},
 		{
-			name: 'an orderly end before the length told', head: 'content-length: 9\r\n', end: socket => socket.end(), isWhole: false,
+			name: 'an orderly end before the stated length', head: 'content-length: 9\r\n', end: socket => socket.end(), isWhole: false,
 		},
 	];
-	it('reports a port where nobody listens as unreachable', async () => {
+	it('reports a port without a listener as unreachable', async () => {
 		const server = createServer();
 		server.listen(0, '127.0.0.1');
 		await once(server, 'listening');
@@ -45,12 +45,12 @@
 	});
 
 	/*
-	 * Every call to a server pays for a connection of its own, also the second of
-	 * a request that comes some hundred milliseconds after the first. The server
-	 * keeps idle connections and says for how long, in whole seconds; a margin of
-	 * two seconds taken off its one second leaves nothing.
+	 * Guards against opening a connection for every call, even for a second call of
+	 * the same request a few hundred milliseconds after the first. The server states
+	 * its keep-alive timeout in whole seconds; a margin of two seconds subtracted
+	 * from a timeout of one second leaves nothing.
 	 */
-	it('keeps a connection whose server keeps it for a second, and none that it is about to close', async () => {
+	it('reuses a connection that the server keeps for a second, but not one that the server is about to close', async () => {
 		let connections = 0;
 		const server = createServer(socket => {
 			connections++;
@@ -76,14 +76,14 @@
 		await sleep(200);
 		await ask();
 		assert.equal(connections, 1);
-		// What the server keeps for a second it may close right then.
+		// After a second the server may close the connection at any moment.
 		await sleep(900);
 		await ask();
 		assert.equal(connections, 2);
 	});
 
 	for (const {name, head, end, isWhole} of endings) {
-		it(`${isWhole ? 'takes' : 'does not take'} ${name} for the end of the answer`, async () => {
+		it(`${isWhole ? 'treats' : 'does not treat'} ${name} as the end of the answer`, async () => {
 			const server = createServer(socket => {
 				socket.on('error', () => undefined);
 				socket.once('data', () => {
--- a/src/adapters/_lib/dispatch-call/index.ts
+++ b/src/adapters/_lib/dispatch-call/index.ts
@@ -1,27 +1,27 @@
 /**
- * One HTTP call through undici, with the one thing that its usual functions do
- * not tell: whether any byte was offered to the other side.
+ * One HTTP call through undici that also reports whether any byte was offered to
+ * the server, which undici's usual functions do not tell.
  */
 import {type Buffer} from 'node:buffer';
 import {type Dispatcher} from 'undici';
 import {type Milliseconds} from '../../../ports/clock.js';
 
-/** Why a call gave no answer. */
+/** Why a call has no answer. */
 export type CallFault = {
-	/** `aborted` is the caller's own signal; `unreachable` that no byte was offered; `broken` anything after that. */
+	/** `aborted`: the signal of the call aborted. `unreachable`: no byte was offered. `broken`: the call failed after bytes were offered. */
 	kind: 'aborted' | 'unreachable' | 'broken';
 	message: string;
-	/** The other side closed the connection after it was sent the call. */
+	/** Whether the server closed the connection after the call was sent. */
 	isClosed?: boolean;
 };
 
-/** Holds back and lets on the bytes of an answer, or ends it. */
+/** Controls the bytes of an answer: pauses and resumes them, or ends the answer. */
 export type CallFlow = {
 	pause: () => void;
 	resume: () => void;
 	/** Closes the connection; nothing is reported afterwards. */
 	abandon: () => void;
-	/** Reads the rest and drops it, so that the connection can serve again; nothing is reported afterwards. */
+	/** Reads and discards the rest, so that the connection can be reused; nothing is reported afterwards. */
 	discard: () => void;
 };
 
@@ -33,9 +33,9 @@
 };
 
 /**
- * For a call whose signal ends it in time. A second timer of the same length
- * races with the first, and what ends the call, and the fault that its log line
- * names, would differ from one call to the next.
+ * Timeout for a call that its signal already limits in time. A second timer of
+ * the same length would race with the signal, so that the fault in the log would
+ * differ from one call to the next.
  */
 export const limitedBySignal: Milliseconds = 0;
 
@@ -44,19 +44,19 @@
 	origin: string;
 	method: Dispatcher.HttpMethod;
 	path: string;
-	/** Encoded as JSON. */
+	/** Body, sent as JSON. */
 	body?: unknown;
-	/** Bytes as they are, in place of `body`; nothing is taken out of an iterable before the call is offered. */
+	/** Raw body, instead of `body`; an iterable is not read before the call is offered. */
 	payload?: Buffer | AsyncIterable<Uint8Array>;
 	headers?: Record<string, string | string[]>;
-	/** Limit of the wait for the head of the answer; {@link limitedBySignal} where the signal of the call is its limit. */
+	/** Timeout of the answer's head; {@link limitedBySignal} if the signal of the call is the limit. */
 	headersTimeoutMs: Milliseconds;
-	/** Limit of silence within the answer; 0 for none. */
+	/** Maximum time without a byte within the answer; 0 for no limit. */
 	idleTimeoutMs: Milliseconds;
 	signal?: AbortSignal;
 };
 
-/** Codes of errors by which the other side's end of a connection shows. */
+/** Error codes that mean that the server closed the connection. */
 const closedCodes: ReadonlySet<string | undefined> = new Set(['UND_ERR_SOCKET', 'ECONNRESET', 'EPIPE']);
 
 const isClosing = (error: Error): boolean => closedCodes.has((error as {code?: string}).code);
@@ -67,12 +67,12 @@
 }
 
 /**
- * Sends one call and reports its answer to a sink. After `onEnd` or `onFault`
- * the sink hears nothing more, and it hears exactly one of them unless it
- * abandons the call.
+ * Sends one call and reports its answer to a sink. Exactly one of `onEnd` and
+ * `onFault` is called, as the last function, unless the sink abandons or discards
+ * the answer.
  *
- * @param call - What to send, and the limits of waiting.
- * @param sink - Takes the answer.
+ * @param call - The call, and its timeouts.
+ * @param sink - Receives the answer.
  */
 export function dispatchCall(call: Call, sink: CallSink): void {
 	const {signal} = call;
@@ -134,13 +134,13 @@
 		bodyTimeout: call.idleTimeoutMs,
 	}, {
 		onRequestStart(controller) {
-			// Given up while the connection was being made: nothing is sent.
+			// The call was aborted while the connection was being opened: nothing is sent.
 			if (isOver) {
 				controller.abort(new Error('given up'));
 				return;
 			}
 
-			// The client may send again after some socket errors; a call that was offered must not be offered twice.
+			// Undici may retry after some socket errors. A call that was offered must not be offered twice, because it could run twice.
 			if (isOffered) {
 				fail('broken', 'the connection failed after the call was sent', true);
 				controller.abort(new Error('sent before'));
--- a/src/adapters/_lib/read-answer/index.ts
+++ b/src/adapters/_lib/read-answer/index.ts
@@ -1,4 +1,4 @@
-/** Reads the whole of a small HTTP answer. */
+/** Reads a small HTTP answer completely. */
 import {Buffer} from 'node:buffer';
 import {err, ok, type Result} from 'neverthrow';
 import {
@@ -16,9 +16,9 @@
 /**
  * Sends a call and collects its answer.
  *
- * @param call - What to send.
- * @param maxBytes - Longest body that is taken; a longer one closes the connection.
- * @returns Status, headers and text, or why there are none.
+ * @param call - The call.
+ * @param maxBytes - Longest body that is accepted; a longer one closes the connection.
+ * @returns Status, headers and text, or the fault.
  */
 export async function readAnswer(call: Call, maxBytes: number): Promise<Result<WholeAnswer, AnswerFault>> {
 	return new Promise(resolve => {
--- a/src/adapters/caller-http/_lib/answer-client-error.ts
+++ b/src/adapters/caller-http/_lib/answer-client-error.ts
@@ -1,17 +1,17 @@
 /**
- * Answers to what node's HTTP parser refuses before there is a request.
+ * Answers to input that node's HTTP parser refuses before there is a request.
  */
 import {type Socket} from 'node:net';
 import {STATUS_CODES} from 'node:http';
 import {v7 as createUuidV7} from 'uuid';
 import {type Problem, toProblem} from '../../../domain/to-problem/index.js';
 
-/** What the parser reports; `code` is node's. */
+/** Error of node's HTTP parser, with node's `code`. */
 export type ClientError = Error & {code?: string};
 
 const detailsByCode: Readonly<Record<string, Pick<Problem, 'kind' | 'detail'>>> = {
-	HPE_HEADER_OVERFLOW: {kind: 'header-too-large', detail: 'The request line and headers are larger than this host takes. Send fewer or shorter headers.'},
-	ERR_HTTP_REQUEST_TIMEOUT: {kind: 'slow-request', detail: 'The headers did not arrive in time. Send them at once.'},
+	HPE_HEADER_OVERFLOW: {kind: 'header-too-large', detail: 'The request line and headers are larger than this host accepts. Send fewer or shorter headers.'},
+	ERR_HTTP_REQUEST_TIMEOUT: {kind: 'slow-request', detail: 'The headers did not arrive in time. Send all headers without delay.'},
 };
 
 const malformed: Pick<Problem, 'kind' | 'detail'> = {
@@ -21,7 +21,7 @@
 /**
  * Sends a problem document over a socket that has no request yet, and ends it.
  *
- * @param error - What the parser reports.
+ * @param error - Error of the parser.
  * @param socket - The caller's connection.
  */
 export function answerClientError(error: ClientError, socket: Socket): void {
@@ -39,7 +39,7 @@
 }
 
 /**
- * Answers a request of which no URL can be made, for want of a usable Host header.
+ * Answers a request for which no URL can be formed, because it has no valid Host header.
  *
  * @returns The answer.
  */
--- a/src/adapters/caller-http/_lib/create-body-writer.ts
+++ b/src/adapters/caller-http/_lib/create-body-writer.ts
@@ -1,7 +1,7 @@
 /**
- * Writes the body of a streamed answer. All pieces of one turn of the event
- * loop share one write to the socket, and text is framed here: node frames a
- * chunk with three writes, which the system call then has to gather.
+ * Writes the body of a streamed answer. All pieces of one turn of the event loop
+ * are sent in one write to the socket. The chunked framing is done here, because
+ * node writes three buffers for each chunk, which makes the system call slower.
  */
 import {Buffer} from 'node:buffer';
 import {type IncomingMessage, type ServerResponse} from 'node:http';
@@ -9,12 +9,12 @@
 export type BodyWriter = {
 	/** Sends the head at the end of this turn at the latest. */
 	start: () => void;
-	/** `false` asks the writer to wait until the response drains. */
+	/** Queues a piece; `false` asks the caller to wait until the response drains. */
 	write: (piece: string | Uint8Array) => boolean;
 	end: () => void;
 };
 
-/** Characters or bytes that are written at once instead of waiting for the end of the turn. */
+/** Number of queued characters or bytes at which they are written immediately instead of at the end of the turn. */
 const flushAtLength = 16_384;
 const lastChunk = '0\r\n\r\n';
 
@@ -37,7 +37,7 @@
 	let isFramedHere = false;
 	let hasWritten = false;
 
-	/** Takes the framing over from node, once the head is composed and before a byte of the body is. */
+	/** Takes over the chunked framing from node, after the head has been composed and before the first byte of the body. */
 	function frameHere(): void {
 		if (!hasWritten && res.headersSent && res.chunkedEncoding && req.method !== 'HEAD') {
 			isFramedHere = true;
--- a/src/adapters/caller-http/_lib/create-sized-body.ts
+++ b/src/adapters/caller-http/_lib/create-sized-body.ts
@@ -1,22 +1,25 @@
 /**
- * The body of an answer that is passed on in pieces, some of whose lengths are
- * told before. Whoever passes a kept answer on hears of its end apart from its
- * last byte, and the host that holds it may be lost in between. The caller then
- * had every byte of its answer and a broken connection. The length says when it
- * is whole, so nothing that comes later can break it.
+ * The body of an answer that is relayed in pieces and whose length may be known
+ * in advance.
+ *
+ * A host that relays a stored answer learns of the answer's end separately from
+ * its last byte, and may lose the host that stores the answer in between. The
+ * caller would then have received every byte, and a broken connection. With a
+ * known length the answer is ended after its last byte, so a later failure can't
+ * break it.
  */
 import {Buffer} from 'node:buffer';
 import {type IncomingMessage} from 'node:http';
 import {type AnswerHeaders} from './exchange.js';
 
 export type SizedBody = {
-	/** Starts an answer. With `length`, the head waits for the first piece: until then another answer can take its place. */
+	/** Starts an answer. With `length`, the head is sent with the first piece; until then another answer can replace this one. */
 	start: (status: number, headers: AnswerHeaders, length: number | undefined) => void;
-	/** Writes a piece, and ends the answer with its last byte where its length is known. */
+	/** Writes a piece; if the length is known, ends the answer after its last byte. */
 	write: (piece: string | Uint8Array) => boolean;
-	/** Ends the answer, or breaks it off when bytes are missing. */
+	/** Ends the answer, or breaks the connection if bytes are missing. */
 	end: () => void;
-	/** Breaks the answer off unless each of its bytes was written. */
+	/** Breaks the connection unless every byte of the answer was written. */
 	destroy: () => void;
 };
 
@@ -34,7 +37,7 @@
 	return method !== 'HEAD' && !statusesWithoutBody.has(status);
 }
 
-/** The length that headers tell, bytes; `undefined` when they tell none or there is nothing to wait for. */
+/** The content length in bytes that headers state; `undefined` if they state none or the body is empty. */
 export function toLength(headers: AnswerHeaders): number | undefined {
 	const length = Number(headers['content-length']);
 	return Number.isSafeInteger(length) && length > 0 ? length : undefined;
@@ -43,8 +46,8 @@
 /**
  * Creates the body of one answer.
  *
- * @param parts - What sends its head and its pieces, ends it and breaks it off.
- * @returns Its functions.
+ * @param parts - Functions that send the head, write a piece, end the answer, and break the connection.
+ * @returns See {@link SizedBody}.
  */
 export function createSizedBody({open, write, finish, breakOff}: BodyParts): SizedBody {
 	let openHead: (() => void) | undefined;
--- a/src/adapters/caller-http/_lib/exchange.ts
+++ b/src/adapters/caller-http/_lib/exchange.ts
@@ -1,7 +1,7 @@
 /**
- * One request of a caller and its answer, over node's own request and response:
- * a token that is relayed costs a string concatenation, and a write to the
- * socket is shared by all that came in the same turn of the event loop.
+ * One request of a caller and its answer, over node's own request and response.
+ * Relaying a token costs one string concatenation; all tokens of one turn of the
+ * event loop are sent in one write to the socket.
  */
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import {v7 as createUuidV7} from 'uuid';
@@ -23,29 +23,29 @@
 	method: string;
 	/** Path without the query. */
 	path: string;
-	/** Path and query as they came. */
+	/** Path and query as received. */
 	target: string;
-	/** Lower-case names. A header that came more than once is joined with commas. */
+	/** Headers by lower-case name. The values of a header that occurs more than once are joined with commas. */
 	headers: Readonly<Record<string, string>>;
-	/** Fires when the caller's connection ends before the answer was sent whole. */
+	/** Aborts when the caller's connection ends before the complete answer was sent. */
 	disconnectSignal: AbortSignal;
 	readBody: (options: ReadBodyOptions) => Promise<Result<Buffer, BodyFault>>;
-	/** The body as it comes, for bodies that are passed through. */
+	/** Node's request, for bodies that are relayed as they arrive. */
 	incoming: IncomingMessage;
 	sendAnswer: (status: number, headers: Readonly<Record<string, string>>, body: string) => void;
 	sendProblem: (problem: Problem) => void;
-	/** Starts an answer whose body is written in pieces. One with a `content-length` begins with its first piece and ends with its last byte. */
+	/** Starts an answer whose body is written in pieces. With a `content-length`, the head is sent with the first piece, and the answer ends after its last byte. */
 	startStream: (status: number, headers: AnswerHeaders) => void;
-	/** Whether anything of the answer has gone out, so that no other answer can take its place. */
+	/** Whether a part of the answer was sent, so that no other answer can replace it. */
 	isStarted: () => boolean;
-	/** Whether the answer was ended and a part of it still waits for the caller to read. */
+	/** Whether the answer was ended and a part of it is not sent yet, because the caller reads slowly. */
 	isFlushing: () => boolean;
 	/** Queues a piece of the answer. `false` asks the writer to wait for {@link CallerExchange.drained}. */
 	write: (piece: string | Uint8Array) => boolean;
-	/** Resolves once the caller has read on; `false` when it is gone or read nothing for `timeoutMs`. */
+	/** Resolves to `true` once the caller has read the queued pieces; to `false` when it has disconnected or read nothing for `timeoutMs`. */
 	drained: (timeoutMs: number) => Promise<boolean>;
 	end: () => void;
-	/** Breaks the connection, so that a cut answer can't be taken for a whole one. An answer of which every byte was written is left to go out. */
+	/** Breaks the connection, so that the caller can't mistake a truncated answer for a complete one. If every byte of the answer was written, the answer is still sent. */
 	destroy: () => void;
 };
 
@@ -53,23 +53,23 @@
 
 export type ExchangeOptions = {
 	isStopping: () => boolean;
-	/** Time for which a caller may take no byte of the end of its answer. */
+	/** Time without progress after which the connection of a caller that does not read the end of its answer is closed, milliseconds. */
 	writeTimeoutMs: number;
-	/** Header in which callers name their requests; without it, or without a name, the host names them. */
+	/** Header from which the request id is taken; if it is unset or the header is missing, the host creates an id. */
 	requestIdHeader?: string | undefined;
 	problemStyle?: ProblemStyle | undefined;
 };
 
-/** Longest name of a request that is taken from its caller. */
+/** Longest request id that is accepted from a caller. */
 const maxRequestIdLength = 128;
 
-/** Time for which the rest of a refused body is read and dropped, milliseconds. */
+/** Time for which the rest of a refused body is read and discarded, milliseconds. */
 const discardBodyMs = 1000;
 
 /**
- * Creates the id of a request. The library joins it out of some twenty pieces,
- * which the engine keeps as a tree of 1.2 KB for the life of the request unless
- * the text is copied once.
+ * Creates the id of a request. The library concatenates the id from about twenty
+ * strings, which V8 would keep as a tree of 1.2 KB for the lifetime of the
+ * request. Copying the text through a buffer releases them.
  */
 function createRequestId(): RequestId {
 	return Buffer.from(createUuidV7(), 'latin1').toString('latin1');
@@ -81,11 +81,11 @@
 }
 
 /**
- * Reads a body into memory, within a bound of size and time.
+ * Reads a body into memory, with a limit of size and time.
  *
  * @param req - The request.
- * @param options - Bytes and milliseconds allowed.
- * @returns The bytes, or why there are none.
+ * @param options - Limits in bytes and milliseconds.
+ * @returns The bytes, or the reason why the body was not read.
  */
 async function readBody(req: IncomingMessage, options: ReadBodyOptions): Promise<Result<Buffer, BodyFault>> {
 	if (Number(req.headers['content-length'] ?? 0) > options.limitBytes) {
@@ -155,16 +155,17 @@
 	});
 }
 
-/** Whether a body is still to come that nobody has read. */
+/** Whether the request has a body that was not read completely. */
 function hasUnreadBody(req: IncomingMessage): boolean {
 	const hasBody = req.headers['transfer-encoding'] !== undefined || Number(req.headers['content-length'] ?? 0) > 0;
 	return hasBody && !req.complete;
 }
 
 /**
- * Ends an answer that came before its request's body was read. Closing with
- * bytes unread makes the system reset the connection, and the caller may lose
- * the answer that tells it why; so the rest is read and dropped for a while.
+ * Ends an answer that was sent before the request's body was read. Closing a
+ * socket with unread bytes makes the operating system reset the connection, and
+ * the caller may lose the answer that explains the refusal. The rest of the body
+ * is therefore read and discarded for a limited time first.
  */
 async function endAfterBody(req: IncomingMessage, res: ServerResponse): Promise<void> {
 	await new Promise<void>(resolve => {
@@ -185,7 +186,7 @@
  *
  * @param req - Node's request.
  * @param res - Node's response.
- * @param options - Whether the process is stopping, asked at the moment of the answer.
+ * @param options - See {@link ExchangeOptions}.
  * @returns The exchange.
  */
 export function createExchange(req: IncomingMessage, res: ServerResponse, options: ExchangeOptions): CallerExchange {
@@ -204,7 +205,7 @@
 		res.writeHead(status, {...headers as Record<string, string>, 'x-request-id': requestId, ...(closes && {connection: 'close'})});
 	}
 
-	/** An ended answer that nobody reads would keep its connection and its bytes for ever, and a planned stop waiting. */
+	/** Limits the time in which an ended answer is read. An answer that nobody reads would keep its connection and its memory for ever, and delay a planned stop. */
 	function limitFlushTime(): void {
 		res.setTimeout(options.writeTimeoutMs, () => {
 			res.destroy();
@@ -250,7 +251,7 @@
 		method: req.method ?? 'GET',
 		path: target.split('?', 1)[0]!,
 		target,
-		// Node joins all headers that may come twice but Set-Cookie, which is no request header.
+		// Node joins repeated headers into one string, except Set-Cookie, which is not a request header.
 		headers: req.headers as Record<string, string>,
 		disconnectSignal: disconnected.signal,
 		readBody: async bodyOptions => readBody(req, bodyOptions),
--- a/src/adapters/caller-http/index.ts
+++ b/src/adapters/caller-http/index.ts
@@ -1,6 +1,7 @@
 /**
- * The port on which callers come in. Routing is hono's; request and response
- * stay node's own, because a relayed token must not pass through a web stream.
+ * The HTTP port for callers. Hono does the routing; requests and responses are
+ * node's own, because passing each relayed token through a web stream would be
+ * too expensive.
  */
 import {
 	createServer, type IncomingMessage, type Server, type ServerResponse,
@@ -16,14 +17,14 @@
 
 export {type BodyFault, type CallerExchange} from './_lib/exchange.js';
 
-/** Each takes one exchange and answers it; a rejection is a fault of the program. */
+/** Handlers that answer an exchange each. A rejection is a fault of the program. */
 export type CallerHandlers = {
 	completion: (exchange: CallerExchange) => Promise<void>;
 	chat: (exchange: CallerExchange) => Promise<void>;
 	models: (exchange: CallerExchange) => Promise<void>;
-	/** Anything else: plain services by rule. */
+	/** Answers everything else: plain services, found by rules. */
 	plain: (exchange: CallerExchange) => Promise<void>;
-	/** A handler rejected. The exchange has been answered or broken off. */
+	/** Called when a handler rejected. The exchange is then answered with a problem, or its connection is broken. */
 	onFault: (error: unknown, exchange: CallerExchange) => void;
 };
 
@@ -34,34 +35,34 @@
 	maxHeaderBytes: number;
 	headersTimeoutMs: number;
 	keepAliveTimeoutMs: number;
-	/** Time for which a caller may take no byte of the end of its answer. */
+	/** Time without progress after which the connection of a caller that does not read the end of its answer is closed, milliseconds. */
 	writeTimeoutMs: number;
 	/** Certificate and key; absent means plain HTTP. */
 	tls?: SecureContextOptions | undefined;
-	/** Passes everything to `plain`, as there is no interface of the system's own on this port. */
+	/** Routes everything to `plain`; the OpenAI-compatible interface is not served on this port. */
 	isRelayOnly?: boolean | undefined;
 } & Pick<ExchangeOptions, 'requestIdHeader' | 'problemStyle'>;
 
 export type CallerServer = {
-	/** Takes another time for which idle connections stay open. */
+	/** Sets the time for which idle connections stay open. */
 	setKeepAliveTimeout: (timeoutMs: number) => void;
 	port: number;
-	/** Exchanges that have not been answered whole. */
+	/** Number of exchanges whose answer has not been sent completely. */
 	openExchanges: () => number;
-	/** Connections, idle ones included. */
+	/** Number of connections, including idle ones. */
 	connections: () => number;
-	/** Takes other keys for connections that come from now on. */
+	/** Uses other keys for new connections. */
 	renewTls: (tls: SecureContextOptions) => void;
-	/** Answers say `Connection: close` from now on; connections are still taken. */
+	/** From now on answers carry `Connection: close`; new connections are still accepted. */
 	startStopping: () => void;
-	/** Takes no further connection, closes idle ones, and resolves when the last answer was sent. */
+	/** Stops accepting connections, closes idle ones, and resolves when the last answer was sent. */
 	close: () => Promise<void>;
-	/** Breaks every connection. */
+	/** Destroys all connections. */
 	destroy: () => void;
 };
 
 const connectionCheckMs = 500;
-/** Connections above the limit are still told so, up to this many times the limit. */
+/** Connections above the limit get a problem document, up to this multiple of the limit; further ones are dropped. */
 const refusedConnectionsFactor = 2;
 
 type AppEnvironment = {Bindings: HttpBindings};
@@ -95,11 +96,11 @@
 		return;
 	}
 
-	// What was sent to a backend server is unknown here, so nothing better may be said.
+	// It is unknown here whether the request was sent to a backend server, so `not-run` must not be claimed.
 	exchange.sendProblem({kind: 'internal', detail: 'The router failed. Give the operators the request id.', outcome: 'may-have-run'});
 }
 
-/** Counts connections, and marks those above the limit. */
+/** Counts connections, and records those above the limit. */
 function watchConnections(server: Server | TlsServer, maxConnections: number): {refused: WeakSet<Socket>; count: () => number} {
 	const refused = new WeakSet<Socket>();
 	let connections = 0;
@@ -121,7 +122,7 @@
  * Starts the callers' port.
  *
  * @param options - Address, limits and keys.
- * @param handlers - What answers each exchange.
+ * @param handlers - Handlers that answer the exchanges.
  * @returns The running server.
  */
 export async function startCallerServer(options: CallerServerOptions, handlers: CallerHandlers): Promise<CallerServer> {
@@ -132,9 +133,10 @@
 	let onIdle: (() => void) | undefined;
 
 	/**
-	 * Node takes a connection for idle as soon as its answer was ended, though a
-	 * slow caller may not have read it yet: closing it then would cut a whole
-	 * answer off in a planned stop. Idle ones wait until no answer is on its way.
+	 * Closes idle connections, unless an answer is still being sent. Node treats a
+	 * connection as idle as soon as its answer was ended, although a slow caller may
+	 * not have read the answer yet. Closing it during a planned stop would truncate
+	 * a complete answer, so idle connections stay open until no answer is in flight.
 	 */
 	function closeIdle(): void {
 		if (![...open].some(exchange => exchange.isFlushing())) {
@@ -155,7 +157,7 @@
 	}
 
 	function isRefused(socket: Socket): boolean {
-		// A TLS socket stands before the connection that was counted.
+		// A TLS socket wraps the TCP socket that was counted.
 		const {_parent: parent} = socket as Socket & {_parent?: Socket};
 		return refused.has(socket) || (parent !== undefined && refused.has(parent));
 	}
@@ -182,7 +184,7 @@
 		});
 		if (isRefused(socket)) {
 			exchange.sendProblem({
-				kind: 'too-many-connections', detail: 'This host has as many connections as it takes. Use fewer, or come back.', outcome: 'not-run', retryAfterMs: options.keepAliveTimeoutMs,
+				kind: 'too-many-connections', detail: 'This host has reached its limit of connections. Use fewer, or retry later.', outcome: 'not-run', retryAfterMs: options.keepAliveTimeoutMs,
 			});
 		} else {
 			void run(exchange, handler);
@@ -192,11 +194,11 @@
 	};
 
 	const serverOptions = {
-		// Such a request gets a problem document instead of node's empty answer.
+		// A request without a Host header gets a problem document instead of node's empty answer.
 		requireHostHeader: false,
 		maxHeaderSize: options.maxHeaderBytes,
 		headersTimeout: options.headersTimeoutMs,
-		// Bodies have their own bound of time, which knows what kind of request it is.
+		// The time limit for bodies depends on the kind of request and is enforced by `readBody`.
 		requestTimeout: 0,
 		keepAliveTimeout: options.keepAliveTimeoutMs,
 		connectionsCheckingInterval: connectionCheckMs,
@@ -208,7 +210,7 @@
 
 	server.on('clientError', (error, socket) => {
 		const duplex = socket as Socket;
-		// A problem written into an answer in progress would corrupt it; such a connection is only closed.
+		// A problem written into an answer in progress would corrupt that answer, so the connection is only closed.
 		if ((busy.get(duplex) ?? 0) > 0) {
 			duplex.destroy();
 			return;
@@ -240,7 +242,7 @@
 		async close() {
 			isStopping = true;
 			isClosing = true;
-			// An HTTP server's own `close` also closes what it takes for idle.
+			// The `close` method of an HTTP server would also close connections that node wrongly treats as idle.
 			NetServer.prototype.close.call(server);
 			closeIdle();
 			if (open.size > 0) {
--- a/src/adapters/caller-http/test.ts
+++ b/src/adapters/caller-http/test.ts
@@ -12,7 +12,7 @@
 import {type CallerExchange, type CallerServer, startCallerServer} from './index.js';
 
 const deadlineMs = 20_000;
-/** More than the buffers of both ends hold. */
+/** More than fits into the socket buffers of both ends. */
 const largeBytes = 20_000_000;
 const request = 'GET /any HTTP/1.1\r\nhost: a\r\n\r\n';
 
@@ -36,7 +36,7 @@
 	return server;
 }
 
-/** Reads all that comes on one connection until it closes. */
+/** Sends a request and collects everything received on the connection until it closes. */
 function call({port}: CallerServer, context: TestContext) {
 	const socket = connect(port, '127.0.0.1');
 	const parts: Buffer[] = [];
@@ -92,10 +92,10 @@
 	});
 });
 
-describe('an answer whose length is told', () => {
+describe('an answer with a known length', () => {
 	const headers = {'content-length': '5'};
 
-	it('is whole with its last byte, whatever comes after', async context => {
+	it('is complete after its last byte, even if it is destroyed afterwards', async context => {
 		const server = await start(context, exchange => {
 			exchange.startStream(200, headers);
 			exchange.write('wh');
@@ -110,7 +110,7 @@
 		await waitForText(caller, /whole[\s\S]+whole$/v);
 	});
 
-	it('leaves room for a word until its first byte', async context => {
+	it('can be replaced by a problem until its first byte', async context => {
 		const server = await start(context, exchange => {
 			exchange.startStream(200, headers);
 			assert.equal(exchange.isStarted(), false);
@@ -139,7 +139,7 @@
 		});
 	}
 
-	it('is sent without its body to a request for the head alone', async context => {
+	it('is sent without its body in reply to a HEAD request', async context => {
 		const server = await start(context, exchange => {
 			exchange.startStream(200, headers);
 			exchange.end();
--- a/src/adapters/engine-http/_lib/create-chunk-reader.ts
+++ b/src/adapters/engine-http/_lib/create-chunk-reader.ts
@@ -1,6 +1,6 @@
 /**
- * Takes the lines of a stream apart and lets through only tokens of this
- * attempt, each once and in order. No I/O: bytes in, tokens out.
+ * Parses the lines of a stream and returns the tokens of one attempt, each once
+ * and in order. Does no I/O.
  */
 import {Buffer, isUtf8} from 'node:buffer';
 import {isRecord} from '../../../_lib/is-record/index.js';
@@ -8,8 +8,10 @@
 import {type AttemptNumber, type RequestId} from '../../../ports/ids.js';
 
 /**
- * - `crossed`: a line of another request or attempt, or one that came after the end.
- * - `repeated`: tokens that came before.
+ * Why tokens were dropped.
+ *
+ * - `crossed`: a line of another request or attempt, or one after the end of the answer.
+ * - `repeated`: tokens that were received before.
  */
 export type DropCause = 'crossed' | 'repeated';
 
@@ -22,16 +24,16 @@
 	onDropped: (cause: DropCause, tokens: number) => void;
 };
 
-/** What one read brought. Tokens before a fault are right. */
+/** Result of one read. Tokens before a fault are valid. */
 export type ChunkRead = {
 	tokens: string[];
 	finish: FinishReason | undefined;
-	/** Why nothing more of this stream can be used. */
+	/** Why the rest of this stream can't be used; `undefined` while there is no fault. */
 	fault: string | undefined;
 };
 
 export type ChunkReader = {
-	/** Takes the bytes of one read, split anywhere. */
+	/** Parses the bytes of one read, split anywhere. */
 	add: (bytes: Buffer) => ChunkRead;
 	/** Offset of the next token. */
 	offset: () => number;
@@ -73,9 +75,10 @@
 }
 
 /**
- * Takes tokens out of a line's usual form without a JSON parser, which costs
- * most of a relay's time. Anything unusual (escapes, an end mark, another order
- * of fields) gives `false`, has changed nothing, and goes to the parser.
+ * Fast path: reads the tokens of a line in its usual form without a JSON parser,
+ * which would take most of a relay's processor time. For any other form (escapes,
+ * an end mark, another order of fields) returns `false` and leaves `tokens`
+ * unchanged, so that the caller uses the parser.
  */
 function parsePlainTokens(text: string, from: number, tokens: string[]): boolean {
 	const before = tokens.length;
@@ -111,7 +114,8 @@
 /**
  * Creates the reader of one stream.
  *
- * @param options - Whose tokens are wanted, from which offset, and limits.
+ * @param options - Request and attempt of the stream, offset of the first token wanted, and limits.
+ * @returns See {@link ChunkReader}.
  */
 export function createChunkReader(options: ChunkReaderOptions): ChunkReader {
 	const {requestId, attempt, maxLineBytes, onDropped} = options;
@@ -125,7 +129,7 @@
 	const handleParsedLine = (text: string, tokens: string[]): void => {
 		const line = parseLine(text);
 		if (line === undefined) {
-			fault = 'a line of the stream is no chunk';
+			fault = 'a line of the stream is not a valid chunk';
 			return;
 		}
 
@@ -171,7 +175,7 @@
 
 	const handleLines = (block: Buffer, tokens: string[]): void => {
 		if (!isUtf8(block)) {
-			fault = 'the stream is no UTF-8';
+			fault = 'the stream is not valid UTF-8';
 			return;
 		}
 
--- a/src/adapters/engine-http/_lib/create-chunk-stream.ts
+++ b/src/adapters/engine-http/_lib/create-chunk-stream.ts
@@ -1,7 +1,7 @@
 /**
- * Turns the bytes of a stream into chunks for one reader. What arrives while
- * the reader is busy is joined into one chunk; beyond a bound the connection
- * is held back.
+ * Turns the bytes of a stream into chunks for one reader. Tokens that arrive
+ * while the reader is busy are joined into one chunk; above a limit the
+ * connection is paused (back-pressure).
  */
 import {Buffer} from 'node:buffer';
 import {
@@ -24,7 +24,7 @@
 	toFailure: (kind: EngineFailure['kind'], message: string) => EngineFailure;
 };
 
-/** Tokens that wait for the reader before the connection is held back. */
+/** Number of tokens waiting for the reader above which the connection is paused. */
 const maxWaitingTokens = 8192;
 
 function toStreamError(failure: EngineFailure): EngineStreamError {
@@ -33,7 +33,12 @@
 
 type Waiter = {resolve: (result: IteratorResult<DecodeChunk>) => void; reject: (error: Error) => void};
 
-/** Creates the chunks of one connection. */
+/**
+ * Creates the chunk stream of one connection.
+ *
+ * @param options - Attempt, parser, control of the connection, and maker of failures.
+ * @returns The chunks, and handlers for the connection's events.
+ */
 export function createChunkStream({key, reader, flow, toFailure}: Options): ChunkStream {
 	let offset = reader.offset();
 	let waiting: Buffer[] = [];
@@ -95,7 +100,7 @@
 		async return() {
 			isDone = true;
 			tokens = [];
-			// After the end mark only the end of the answer is to come, and the connection can be used again.
+			// After the end mark only the end of the answer follows, and the connection can be reused.
 			if (finish === undefined) {
 				flow.abandon();
 			}
@@ -135,7 +140,7 @@
 		chunks: {[Symbol.asyncIterator]: () => iterator},
 		onData(bytes) {
 			waiting.push(bytes);
-			// An engine writes a piece for each token, and one read of the socket brings many: they are parsed together.
+			// An engine writes each token separately, and one read of the socket brings many tokens; parsing them together is cheaper.
 			if (waiting.length === 1) {
 				queueMicrotask(readWaiting);
 			}
@@ -148,7 +153,7 @@
 		},
 		onFault({kind, message}) {
 			readWaiting();
-			// An answer that is whole stays whole, whatever becomes of its connection.
+			// After the end mark the answer is complete, so a failure of the connection no longer matters.
 			if (finish === undefined) {
 				fail(kind === 'aborted' ? 'aborted' : 'broken', message);
 			}
--- a/src/adapters/engine-http/_lib/open-stream.ts
+++ b/src/adapters/engine-http/_lib/open-stream.ts
@@ -1,4 +1,4 @@
-/** Opens a stream: waits for the head of the answer, then hands out its chunks. */
+/** Opens a stream: waits for the head of the answer, then returns its chunks. */
 import {Buffer} from 'node:buffer';
 import {err, ok, type Result} from 'neverthrow';
 import {dispatchCall, type Call} from '../../_lib/dispatch-call/index.js';
@@ -19,10 +19,15 @@
 	onDropped: (cause: DropCause, tokens: number) => void;
 };
 
-/** Longest body of an answer that is no stream. */
+/** Maximum number of bytes that are read of an error's body. */
 const maxErrorBytes = 64 * bytesPerKibibyte;
 
-/** Opens one stream. */
+/**
+ * Opens one stream.
+ *
+ * @param options - The call, and the stream that is expected.
+ * @returns The chunks once the stream has begun, or the failure.
+ */
 export async function openStream(options: StreamOptions): Promise<Result<AsyncIterable<DecodeChunk>, EngineFailure>> {
 	const {call, server, key, offset, maxLineBytes, onDropped} = options;
 	return new Promise(resolve => {
--- a/src/adapters/engine-http/_lib/parse-answers.ts
+++ b/src/adapters/engine-http/_lib/parse-answers.ts
@@ -1,4 +1,4 @@
-/** Checks the fields of an engine's answers; `undefined` is a broken protocol. */
+/** Validates the fields of an engine's answers. All functions return `undefined` for an answer that violates the protocol. */
 import {isRecord} from '../../../_lib/is-record/index.js';
 import {
 	type EngineRefusalReason, type Hold, type LoadReport, type PrefillResult, type Reservation,
@@ -37,7 +37,7 @@
 	}
 }
 
-/** The engine says that it started nothing. A reason that is new to us counts as `other`. */
+/** Parses a refusal, which says that the engine did not start the work. An unknown reason becomes `other`. */
 export function parseRefusal(fields: Fields): {reason: EngineRefusalReason; message: string} | undefined {
 	const {error} = fields;
 	if (!isRecord(error) || !isText(error.reason)) {
--- a/src/adapters/engine-http/index.ts
+++ b/src/adapters/engine-http/index.ts
@@ -3,7 +3,7 @@
  * `docs/design/002-interfaces.md`.
  *
  * A failure is `unreachable` only when no byte of the call was handed to a
- * connection; that is what lets a caller be told that its request was not run.
+ * connection. Only such a failure proves that the engine did not run the request.
  */
 import {ok, ResultAsync, type Result} from 'neverthrow';
 import {createHttpAgent} from '../_lib/create-http-agent/index.js';
@@ -32,20 +32,20 @@
 	/** Connections to this server; each open stream and each waiting prefill takes one. */
 	connections?: number;
 	connectTimeoutMs?: Milliseconds;
-	/** Limit of the wait for an answer of a short call. */
+	/** Timeout of a short call. */
 	callTimeoutMs?: Milliseconds;
-	/** Limit of a transfer of a KV cache. */
+	/** Timeout of a transfer of a KV cache. */
 	transferTimeoutMs?: Milliseconds;
-	/** Silence after which a stream counts as broken. */
+	/** Time without a byte after which a stream counts as broken. */
 	streamIdleMs?: Milliseconds;
 	maxLineBytes?: number;
 	maxAnswerBytes?: number;
-	/** Hears of tokens that a stream brought and that were dropped. */
+	/** Called when tokens of a stream are dropped. */
 	onDropped?: (cause: DropCause, tokens: number) => void;
 };
 
 export type EngineHttp = Engine & {
-	/** Closes the connections; what runs on the server goes on. */
+	/** Closes the connections; work that runs on the server continues. */
 	close: () => Promise<void>;
 };
 
@@ -64,7 +64,7 @@
 	method: 'GET' | 'POST';
 	path: string;
 	body?: unknown;
-	/** Status of success. */
+	/** Status of a successful answer; 200 when absent. */
 	expected?: number;
 	timeoutMs?: Milliseconds;
 	parse: (fields: Record<string, unknown>) => T | undefined;
@@ -74,6 +74,7 @@
  * Creates the client of one model engine.
  *
  * @param options - The server, and limits.
+ * @returns The engine port, and a function that closes its connections.
  */
 export function createEngineHttp(options: EngineHttpOptions): EngineHttp {
 	const settings = {...defaults, ...options};
--- a/src/adapters/keys/index.ts
+++ b/src/adapters/keys/index.ts
@@ -10,49 +10,49 @@
 export {type KeyFault, type KeyFiles, type TlsOptions} from './read-key-pair.js';
 export {reportKeys} from './report-keys.js';
 
-/** What happened to the keys since the last look. */
+/** Result of a check of the key files. */
 export type KeyEvent =
 	| {kind: 'reloaded'; expiresAt: Milliseconds}
-	/** The files changed to something that cannot be used; the old keys stay in use. */
+	/** The files changed and can't be used; the old keys stay in use. */
 	| {kind: 'kept-old'; fault: KeyFault}
-	/** The files are again what is in use. */
+	/** The files are usable again and equal to the keys in use. */
 	| {kind: 'recovered'};
 
 export type KeyListener = (event: KeyEvent) => void;
 
 export type Keys = {
-	/** Options of the keys in use. */
+	/** TLS options with the keys in use. */
 	current: () => TlsOptions;
-	/** Wall-clock time at which the first certificate in use ends. */
+	/** Wall-clock time at which the first certificate in use expires. */
 	expiresAt: () => Milliseconds;
-	/** Why the files cannot be used, while they differ from the keys in use; for readiness. */
+	/** Why the present files can't be used, for the readiness document; `undefined` when they can. */
 	fault: () => KeyFault | undefined;
-	/** Tells of every later event; a server takes new keys here with `setSecureContext`. */
+	/** Calls the listener for every later event; a server then sets the new keys with `setSecureContext`. */
 	listen: (listener: KeyListener) => void;
-	/** Looks at the files now, out of turn. */
+	/** Checks the files now instead of at the next interval. */
 	check: () => Promise<void>;
 	stop: () => void;
 };
 
 export type LoadKeysOptions = KeyFiles & {
-	/** How often files are looked at. */
+	/** Interval at which files are checked. */
 	pollInterval: Milliseconds;
 	wallNow?: () => Milliseconds;
-	/** Calls a function again and again until the function it returns is called. */
+	/** Calls a function repeatedly until the returned function is called. */
 	repeat?: (task: () => void, interval: Milliseconds) => () => void;
 };
 
 /**
  * Loads keys and keeps them up to date.
  *
- * New files take effect for new connections; open ones go on with the keys they
+ * New files take effect for new connections; open connections keep the keys they
  * began with, so that no request is dropped. Files are replaced one after the
- * other, and staff make mistakes: whatever cannot be used as a whole is not
- * taken, the old keys stay, and listeners and {@link Keys.fault} say so until
- * it is mended.
+ * other, and staff make mistakes. If the files can't be used together, the old
+ * keys stay in use, and listeners and {@link Keys.fault} report the fault until
+ * it is fixed.
  *
- * @param options - Files, and how often to look at them.
- * @returns The keys, or why they cannot be used. A fault at the start is final, since there is nothing to go on with.
+ * @param options - Files, and the interval of checks.
+ * @returns The keys, or why they can't be used. A fault at the start is final, since there are no old keys.
  */
 export async function loadKeys(options: LoadKeysOptions): Promise<Result<Keys, KeyFault>> {
 	const {wallNow = Date.now, repeat = repeatUnreferenced} = options;
@@ -94,7 +94,7 @@
 	}
 
 	async function check(): Promise<void> {
-		// A slow file system must not pile up reads, nor let an older one win.
+		// Checks must not overlap: on a slow file system reads would queue up, and an older read could overwrite a newer one.
 		if (isChecking) {
 			return;
 		}
--- a/src/adapters/keys/read-key-pair.ts
+++ b/src/adapters/keys/read-key-pair.ts
@@ -9,11 +9,11 @@
 	certFile: string;
 	/** Private key, PEM. */
 	keyFile: string;
-	/** Certificates of the authorities that sign the other side, PEM; with it the other side must show a certificate. */
+	/** Certificates of the authorities that sign the peer's certificate, PEM. If set, the peer must present a certificate. */
 	caFile?: string | undefined;
 };
 
-/** Options as `node:tls` and `node:https` take them. */
+/** Options for `node:tls` and `node:https`. */
 export type TlsOptions = {
 	cert: string;
 	key: string;
@@ -25,20 +25,20 @@
 
 export type KeyPair = {
 	tls: TlsOptions;
-	/** Wall-clock time at which the first certificate of the files ends. */
+	/** Wall-clock time at which the first certificate of the files expires. */
 	expiresAt: Milliseconds;
-	/** Tells one content of the files from another. */
+	/** Digest of the files' contents, to detect changes. */
 	digest: string;
 };
 
-/** What is wrong with key files: which file, what, and the remedy. Never any of their content. */
+/** A fault of key files: the file, what is wrong, and the remedy. Never contains any of the files' content. */
 export type KeyFault = {file: string; message: string};
 
 /**
- * Reads key files and checks that they can be used together, now.
+ * Reads key files and checks that they can be used together at present.
  *
  * @param files - Paths.
- * @param wallNow - Wall-clock milliseconds; certificates must be valid then.
+ * @param wallNow - Wall-clock milliseconds at which certificates must be valid.
  * @returns The pair, or the first fault.
  */
 export async function readKeyPair(files: KeyFiles, wallNow: Milliseconds): Promise<Result<KeyPair, KeyFault>> {
@@ -63,9 +63,9 @@
 		cert, key, minVersion: 'TLSv1.2', ...ca === undefined ? {} : {ca, requestCert: true, rejectUnauthorized: true},
 	};
 	try {
-		// An empty key file, as a copy in progress leaves it, makes a context all the
-		// same: one without a key, that refuses every caller by "handshake failure"
-		// until the next look at the files. Reading the key by itself refuses it.
+		// A key file may be empty while it is being copied. `createSecureContext` accepts
+		// an empty key, and the server would refuse every caller with "handshake failure"
+		// until the next check of the files. `createPrivateKey` refuses an empty key.
 		createPrivateKey(key);
 		createSecureContext(tls);
 	} catch {
--- a/src/adapters/keys/report-keys.ts
+++ b/src/adapters/keys/report-keys.ts
@@ -18,10 +18,10 @@
 };
 
 /**
- * Makes the state of a program's keys seen: log lines, metrics, and reasons.
+ * Reports the state of a program's keys in log lines, metrics, and reasons for the readiness document.
  *
- * @param options - Keys by use, and where to report.
- * @returns A function that gives what operators should know now. The old keys work, so the program is ready all the same.
+ * @param options - Keys by use, log and metrics.
+ * @returns A function that returns the current faults and expiring certificates as texts. They are warnings: the program is ready, since the old keys work.
  */
 export function reportKeys(options: ReportKeysOptions): () => string[] {
 	const {log, metrics, wallNow = Date.now} = options;
@@ -48,7 +48,7 @@
 				reloads.add({use, result: 'taken'});
 				log.info('new keys are in use', {kind: use, to: new Date(event.expiresAt).toISOString()});
 			} else {
-				log.info('key files are again those in use', {kind: use});
+				log.info('key files are usable again and match the keys in use', {kind: use});
 			}
 		});
 	}
--- a/src/adapters/keys/test.ts
+++ b/src/adapters/keys/test.ts
@@ -18,7 +18,7 @@
 	}
 });
 
-/** Key files in a directory of their own, and a poll that the test drives by `check`. */
+/** Creates key files in a new directory; the test polls them by `check`. */
 async function createFiles(contents: {cert?: string; key?: string; ca?: string}) {
 	const dir = await mkdtemp(path.join(tmpdir(), 'banyanport-keys-'));
 	directories.push(dir);
@@ -84,7 +84,7 @@
 		});
 	}
 
-	it('takes a new pair, and asks the other side for a certificate when authorities are given', async () => {
+	it('loads a new pair, and requires a certificate from the peer if authorities are set', async () => {
 		const {load, write} = await createFiles({...testPairA, ca: testCa});
 		const loaded = await load();
 		const keys = loaded._unsafeUnwrap();
@@ -98,7 +98,7 @@
 		assert.deepEqual(events.map(event => event.kind), ['reloaded']);
 	});
 
-	it('keeps the old pair while the new one is broken, tells once, and recovers', async () => {
+	it('keeps the old pair while the new one is invalid, reports it once, and recovers', async () => {
 		const {load, write} = await createFiles({...testPairA, ca: testCa});
 		const loaded = await load();
 		const keys = loaded._unsafeUnwrap();
@@ -122,7 +122,7 @@
 });
 
 describe('reportKeys', () => {
-	it('shows a broken pair in log, metrics and reasons', async () => {
+	it('reports an invalid pair in log, metrics and reasons', async () => {
 		const {load, write} = await createFiles({...testPairA, ca: testCa});
 		const loaded = await load();
 		const keys = loaded._unsafeUnwrap();
--- a/src/adapters/log/bounded-sink.ts
+++ b/src/adapters/log/bounded-sink.ts
@@ -10,27 +10,27 @@
 export type BoundedSinkOptions = {
 	sink: LineSink;
 	maxPendingBytes: number;
-	/** Makes the line that says how many lines were dropped. */
+	/** Creates the line that reports how many lines were dropped. */
 	toDroppedLine: (count: number) => string;
 };
 
 /**
- * Creates a stream for winston that never holds more than a bound.
+ * Creates a stream for winston with a bounded buffer.
  *
- * A reader of standard output that stops reading (a full pipe, a stuck log
- * collector) would otherwise make the process keep every line until its memory
- * ends. Lines over the bound are dropped, counted, and reported by the first
- * line that fits again, so that a gap in a log is never silent.
+ * If the reader of standard output stops reading (a full pipe, a stuck log
+ * collector), the process would otherwise buffer every line until it runs out of
+ * memory. Lines above the bound are dropped and counted, and the count is written
+ * before the next line that fits, so that a gap in the log is never silent.
  *
- * @param options - Where lines go, the bound, and the wording of the report.
- * @returns The stream, the count of dropped lines, and a way to wait for what is pending.
+ * @param options - Sink, bound, and the text of the report.
+ * @returns The stream, the count of dropped lines, and a function that waits for pending lines.
  */
 export function createBoundedSink(options: BoundedSinkOptions) {
 	const {sink, maxPendingBytes, toDroppedLine} = options;
 	let dropped = 0;
 	let unreported = 0;
 	let broken = false;
-	// A collector that has closed its end must not end the program.
+	// A log collector that closes its end of the pipe must not end the program.
 	sink.on('error', () => {
 		broken = true;
 	});
@@ -65,7 +65,7 @@
 		});
 	}
 
-	// The callback comes at once, also for a dropped line, so that the queues of winston's streams, which have no bound, stay empty.
+	// The callback is called immediately, even for a dropped line, so that winston's own unbounded queues stay empty.
 	const stream = new Writable({
 		decodeStrings: false,
 		write(line: string, _encoding, callback) {
--- a/src/adapters/log/fields.ts
+++ b/src/adapters/log/fields.ts
@@ -1,10 +1,10 @@
 /**
- * Names that may stand in a log line. Everything else is left out, so that a
- * prompt, an answer, a token or a key cannot reach a log by being in an object
- * that somebody logged: a line names it in `omitted` and never shows its value.
+ * Allow-list of field names in log lines. All other fields are left out, so that
+ * a prompt, an answer, a token or a key can't reach the log as a part of a logged
+ * object. A line lists the names of omitted fields in `omitted`, without values.
  */
 const fieldNames = [
-	// What a request's lines tell its story with.
+	// Course of a request.
 	'requestId',
 	'fingerprint',
 	'attempt',
@@ -57,7 +57,7 @@
 	'line',
 	'column',
 	'rules',
-	// What happened, counted or named.
+	// Kinds, causes and amounts.
 	'reason',
 	'cause',
 	'kind',
@@ -89,7 +89,7 @@
 const allowed: ReadonlySet<string> = new Set(fieldNames);
 const maxValueLength = 500;
 
-/** Shapes of secrets that may stand inside a text such as an error's message. */
+/** Patterns of secrets that may occur inside a text such as an error's message. */
 const secretShapes: readonly RegExp[] = [
 	/-----BEGIN [^-]*-----[\s\S]*?(?:-----END [^-]*-----|$)/g,
 	/\b(?:bearer|basic)\s+\S+/gi,
@@ -97,10 +97,10 @@
 ];
 
 /**
- * Keeps of an object's fields what may be logged.
+ * Returns the fields of an object that may be logged.
  *
- * @param fields - Fields as handed to the log; its type is no protection against objects built elsewhere.
- * @returns Allowed fields with scalar values, long texts cut, secrets in texts replaced; names of what was left out in `omitted`.
+ * @param fields - Fields passed to the log. The log's type does not prevent other fields in objects built elsewhere.
+ * @returns Allowed fields with scalar values, long texts truncated and secrets in texts replaced; the names of other fields in `omitted`.
  */
 export function redactFields(fields: Readonly<Record<string, unknown>>): Record<string, unknown> {
 	const kept: Record<string, unknown> = {};
@@ -121,13 +121,13 @@
 }
 
 /**
- * Cuts a text and takes out what has the shape of a secret.
+ * Truncates a text and replaces everything that matches the pattern of a secret.
  *
  * @param text - For example the message of an error.
- * @returns The text, at most 500 characters and a mark.
+ * @returns The text, at most 500 characters and an ellipsis.
  */
 export function redactText(text: string): string {
-	// Cut first, so that the work is bounded too; a secret cut in half still has its beginning, which the shapes match.
+	// Truncates first, which also bounds the work. The patterns match a truncated secret too, because they match its beginning.
 	let redacted = text.length > maxValueLength ? `${text.slice(0, maxValueLength)}…` : text;
 	for (const shape of secretShapes) {
 		redacted = redacted.replaceAll(shape, '[redacted]');
--- a/src/adapters/log/index.ts
+++ b/src/adapters/log/index.ts
@@ -1,6 +1,6 @@
 /**
- * Structured logs by winston: one JSON object a line, with who logs it
- * (program, host, zone, incarnation) and an allow-list of fields.
+ * Structured logs with winston: one JSON object per line, with the identity of
+ * the process (program, host, zone, incarnation) and an allow-list of fields.
  */
 import winston from 'winston';
 import {type HostId, type Incarnation, type ZoneId} from '../../ports/ids.js';
@@ -13,19 +13,19 @@
 
 export type LogLevel = 'error' | 'warn' | 'info' | 'debug';
 
-/** Fields, or a function that makes them, called only when the level is on. */
+/** Fields, or a function that returns them, called only when the level is enabled. */
 export type LogFieldsOrMaker = LogFields | (() => LogFields);
 
 export type LogMethod = (message: string, fields?: LogFieldsOrMaker) => void;
 
 export type Log = Readonly<Record<LogLevel, LogMethod>> & {
-	/** Whether lines of a level are written, for callers that would have to gather what they log. */
+	/** Whether lines of a level are written, for callers whose fields are expensive to compute. */
 	isOn: (level: LogLevel) => boolean;
-	/** A log whose lines all carry these fields too. */
+	/** Creates a log that adds these fields to all its lines. */
 	with: (fields: LogFields) => Log;
-	/** Lines dropped so far because standard output took none. */
+	/** Number of lines dropped so far because standard output was blocked. */
 	droppedCount: () => number;
-	/** Settles when all lines so far are written, or after the time given, milliseconds. */
+	/** Resolves when all lines so far are written, or after the timeout, milliseconds. */
 	flush: (timeoutMs: number) => Promise<void>;
 };
 
@@ -36,9 +36,9 @@
 	host: HostId;
 	zone: ZoneId;
 	incarnation: Incarnation;
-	/** Where lines go; standard output unless given. */
+	/** Destination of lines; standard output by default. */
 	sink?: LineSink;
-	/** Bytes that may wait for the sink; lines beyond are dropped and counted. */
+	/** Bytes that may wait for the sink; lines above the limit are dropped and counted. */
 	maxPendingBytes?: number;
 	/** Wall clock, for the time stamp of lines. */
 	wallNow?: () => number;
@@ -51,8 +51,8 @@
 /**
  * Creates the log of a program.
  *
- * @param options - Level, identity of the process, and where lines go.
- * @returns The log. It never throws and never waits: when standard output is blocked, lines are dropped, and the first line after says how many.
+ * @param options - Level, identity of the process, and destination of lines.
+ * @returns The log. It never throws and never blocks: while standard output is blocked, lines are dropped, and the next written line reports how many.
  *
  * @example
  * ```ts
@@ -77,7 +77,7 @@
 		});
 	}
 
-	// Lines are built before winston sees them, so that it neither copies nor inspects the fields.
+	// Lines are formatted before they are passed to winston, so that winston neither copies nor inspects the fields.
 	const logger = winston.createLogger({
 		levels: severities,
 		level: options.level,
--- a/src/adapters/log/test.ts
+++ b/src/adapters/log/test.ts
@@ -7,7 +7,7 @@
 
 type Line = Record<string, unknown>;
 
-/** A sink that takes lines at once, or keeps them pending while it is stuck. */
+/** Creates a sink that accepts lines at once, or keeps them pending while it is stuck. */
 function createSink() {
 	const texts: string[] = [];
 	let pending = 0;
@@ -43,14 +43,14 @@
 }
 
 describe('createLog', () => {
-	it('writes one JSON object a line with the identity of the process', () => {
+	it('writes one JSON object per line with the identity of the process', () => {
 		const {sink, text} = createSink();
 		createTestLog(sink).with({requestId: 'r1', attempt: 1}).info('dispatched', {server: 's1', attempt: 2});
 		const identity = '"time":"1970-01-01T00:00:00.000Z","program":"p","host":"a-1","zone":"a","incarnation":7';
 		assert.equal(text(), `{"level":"info","message":"dispatched",${identity},"requestId":"r1","attempt":2,"server":"s1"}\n`);
 	});
 
-	it('does not gather fields for a level that is off', () => {
+	it('does not compute fields for a disabled level', () => {
 		const {sink, lines} = createSink();
 		const log = createTestLog(sink, {level: 'warn'});
 		log.info('unseen', () => assert.fail('gathered'));
@@ -80,12 +80,12 @@
 		it(`leaves the secret out of ${JSON.stringify(Object.keys(fields))} ${JSON.stringify(fields.cause) ?? ''}`, () => {
 			const {sink, text} = createSink();
 			createTestLog(sink).info('x', fields);
-			// The name of a field may be told; its value never is.
+			// The name of a field may be logged, but never its value.
 			assert.equal(text().replace(/"omitted":"LEAK"/, '').includes('LEAK'), false, text());
 		});
 	}
 
-	it('shows no value of a field outside the list, whatever it holds', () => {
+	it('never logs the value of a field that is not on the list', () => {
 		fc.assert(fc.property(fc.string({minLength: 1}), fc.anything(), (name, value) => {
 			const {sink, lines} = createSink();
 			createTestLog(sink).info('x', {[`x-${name}`]: value, requestId: 'r'});
@@ -94,7 +94,7 @@
 		}));
 	});
 
-	it('drops lines while the sink is stuck, and says afterwards how many', () => {
+	it('drops lines while the sink is stuck, and reports afterwards how many', () => {
 		const {sink, setStuck, pending, lines} = createSink();
 		const log = createTestLog(sink, {maxPendingBytes: 1000});
 		setStuck(true);
@@ -112,7 +112,7 @@
 		assert.equal(last.message, 'after');
 	});
 
-	it('settles flush when lines are written', async () => {
+	it('resolves flush when lines are written', async () => {
 		const {sink} = createSink();
 		await createTestLog(sink).flush(10_000);
 	});
--- a/src/adapters/metrics/histogram.ts
+++ b/src/adapters/metrics/histogram.ts
@@ -1,13 +1,13 @@
-// The package's main module also loads its WebAssembly build: 17 MB resident against 3 MB for the one class that is used.
+// Imported by path, because the package's main module also loads its WebAssembly build: 17 MB of resident memory instead of 3 MB for this class alone.
 import float64Histogram from 'hdr-histogram-js/dist/Float64Histogram.js';
 
 const digits = 2;
 
 /** Distribution of one series: values in whole steps, kept to two significant digits in bounded memory. */
 export type Distribution = {
-	/** Records a value in the metric's unit; what is not a number of 0 or more is left out. */
+	/** Records a value in the metric's unit; negative values and NaN are ignored. */
 	record: (value: number) => void;
-	/** Values recorded that are at most each bound, in the order of the bounds. */
+	/** For each bound, the number of recorded values that are at most the bound. */
 	countUpTo: (bounds: readonly number[]) => number[];
 	quantile: (share: number) => number;
 	count: () => number;
@@ -18,9 +18,9 @@
 /**
  * Creates the distribution of one series.
  *
- * @param step - Smallest difference kept, in the metric's unit.
- * @param highest - Values above are recorded as this one.
- * @returns The distribution; its memory is fixed from the start.
+ * @param step - Resolution, in the metric's unit.
+ * @param highest - Largest value; higher values are recorded as this one.
+ * @returns The distribution. Its memory does not grow.
  */
 export function createDistribution(step: number, highest: number): Distribution {
 	const top = Math.round(highest / step);
--- a/src/adapters/metrics/index.ts
+++ b/src/adapters/metrics/index.ts
@@ -11,23 +11,23 @@
 export type MetricOptions<Set extends LabelSet> = {
 	/** Name without the prefix `banyanport_`, for example `requests_total`. */
 	name: string;
-	/** One sentence for the person who reads an alarm. */
+	/** One sentence that explains the metric to a person who handles an alert. */
 	help: string;
 	labels?: Set;
 };
 
 export type HistogramOptions<Set extends LabelSet> = MetricOptions<Set> & {
-	/** Upper bounds of the exposed buckets, in the unit of what is recorded, rising. */
+	/** Upper bounds of the exposed buckets, in the unit of recorded values, ascending. */
 	bounds: readonly number[];
-	/** What a recorded value is multiplied with for exposure: 0.001 exposes recorded milliseconds as seconds. */
+	/** Factor for exposed values: 0.001 exposes recorded milliseconds as seconds. */
 	scale?: number;
-	/** Smallest difference kept, in the unit of what is recorded. */
+	/** Resolution, in the unit of recorded values. */
 	step?: number;
 };
 
 export type Counter<Set extends LabelSet> = {
 	add: (labels: Labels<Set>, amount?: number) => void;
-	/** The counter of one series, for hot paths: no lookup at each count. */
+	/** Returns the counter of one series, to avoid a lookup for each count on hot paths. */
 	bind: (labels: Labels<Set>) => (amount?: number) => void;
 	value: (labels: Labels<Set>) => number;
 };
@@ -39,18 +39,18 @@
 
 export type HistogramMetric<Set extends LabelSet> = {
 	record: (labels: Labels<Set>, value: number) => void;
-	/** The recorder of one series, for hot paths: no lookup at each value. */
+	/** Returns the recorder of one series, to avoid a lookup for each value on hot paths. */
 	bind: (labels: Labels<Set>) => (value: number) => void;
-	/** Quantile over the life of the process, in the unit of what is recorded. */
+	/** Quantile since the start of the process, in the unit of recorded values. */
 	quantile: (labels: Labels<Set>, share: number) => number;
 };
 
 export type Metrics = {
 	createCounter: <const Set extends LabelSet = Record<never, never>>(options: MetricOptions<Set>) => Counter<Set>;
 	createGauge: <const Set extends LabelSet = Record<never, never>>(options: MetricOptions<Set>) => Gauge<Set>;
-	/** A gauge whose value is asked for at each exposure. */
+	/** Creates a gauge whose value is sampled at each exposure. */
 	createSampledGauge: (options: {name: string; help: string; sample: () => number}) => void;
-	/** A counter that is kept elsewhere and asked for at each exposure. */
+	/** Creates a counter that is counted elsewhere and sampled at each exposure. */
 	createSampledCounter: (options: {name: string; help: string; sample: () => number}) => void;
 	createHistogram: <const Set extends LabelSet = Record<never, never>>(options: HistogramOptions<Set>) => HistogramMetric<Set>;
 	/** All metrics in the Prometheus text format, version 0.0.4. */
@@ -64,10 +64,10 @@
 const namePattern = /^[a-z][a-z\d_]*$/;
 
 /**
- * Creates the metrics of a process. Its memory is bounded: labels have closed
- * or capped sets of values, and histograms have a fixed size.
+ * Creates the metrics of a process. Their memory is bounded: labels have closed
+ * or limited sets of values, and histograms have a fixed size.
  *
- * @returns Makers of metrics, and their exposure. A name that is malformed or taken, or labels that allow too many series, throw at creation; recording never throws.
+ * @returns Functions that create metrics, and the exposition. Creating a metric throws if its name is malformed or in use, or its labels allow too many series; recording never throws.
  *
  * @example
  * ```ts
@@ -153,7 +153,7 @@
 	};
 }
 
-/** Without labels the set is empty, and so is the type that a caller gave none for. */
+/** Returns the labels of a metric. Without labels the set is empty, and so is the inferred type. */
 function toLabelSet<Set extends LabelSet>(options: MetricOptions<Set>): Set {
 	const empty: LabelSet = {};
 	return options.labels ?? (empty as Set);
@@ -171,7 +171,7 @@
 	];
 }
 
-/** Takes out the last binary digits of a product, so that 1300 × 0.001 is shown as 1.3. */
+/** Rounds off the floating-point error of the product, so that 1300 × 0.001 is shown as 1.3. */
 function toScaled(value: number, scale: number): string {
 	return String(Number((value * scale).toPrecision(12)));
 }
--- a/src/adapters/metrics/process-metrics.ts
+++ b/src/adapters/metrics/process-metrics.ts
@@ -5,7 +5,7 @@
 const microsecondsPerSecond = 1_000_000;
 
 /**
- * Adds what every program shows of its own process.
+ * Adds the metrics of the process itself, which every program exposes.
  *
  * @param metrics - Metrics to add to.
  */
--- a/src/adapters/metrics/series.ts
+++ b/src/adapters/metrics/series.ts
@@ -3,9 +3,9 @@
  */
 
 /**
- * Values that a label may take: a closed set, or the first so many that are
- * seen. Anything else is counted under `other`, so that names which callers or
- * staff choose can never make memory grow.
+ * Values of a label: a closed set, or the first `max` values that occur. All
+ * others are counted as `other`, so that names chosen by callers or staff can't
+ * make memory grow without bound.
  */
 export type LabelValues = readonly string[] | {max: number};
 
@@ -28,7 +28,7 @@
  *
  * @param name - Name of the metric, for the error when its labels allow too many series.
  * @param set - Labels and their values.
- * @param createState - Makes the state of a new series.
+ * @param createState - Creates the state of a new series.
  * @returns `pickState` by labels, and `all` in the order of creation.
  */
 export function createSeriesMap<Set extends LabelSet, State>(name: string, set: Set, createState: () => State) {
@@ -71,7 +71,7 @@
 		return state;
 	}
 
-	// Series of closed sets exist from the start: a rate over a counter needs its zero.
+	// Series of closed sets exist from the start, because a rate over a counter needs its initial zero.
 	for (const labels of toClosedCombinations(set)) {
 		pickState(labels as Labels<Set>);
 	}
@@ -83,7 +83,7 @@
 	return 'max' in values ? [] : values;
 }
 
-/** The `other` value is one more. */
+/** Number of values that a label can have, including `other`. */
 function toSize(values: LabelValues): number {
 	return 1 + ('max' in values ? values.max : values.length);
 }
--- a/src/adapters/metrics/test.ts
+++ b/src/adapters/metrics/test.ts
@@ -9,7 +9,7 @@
 }
 
 describe('createMetrics', () => {
-	it('exposes counters and gauges, series of closed sets from zero', () => {
+	it('exposes counters and gauges, and series of closed sets from the start', () => {
 		const metrics = createMetrics();
 		const requests = metrics.createCounter({name: 'requests_total', help: 'Requests taken.', labels: {class: ['quick', 'batch']}});
 		requests.add({class: 'quick'}, 2);
@@ -35,7 +35,7 @@
 		].join('\n'));
 	});
 
-	it('counts what is over a label\'s bound as other, so that memory is bounded', () => {
+	it('counts label values above the limit as other, so that memory is bounded', () => {
 		const metrics = createMetrics();
 		const byRule = metrics.createCounter({name: 'by_rule_total', help: 'By rule.', labels: {rule: {max: 2}}});
 		for (const rule of ['a', 'b"\\', 'c', 'd', 'a']) {
@@ -50,7 +50,7 @@
 		]);
 	});
 
-	it('exposes a histogram whose buckets add up, within its two digits', () => {
+	it('exposes a histogram whose buckets add up, within its precision of two digits', () => {
 		fc.assert(fc.property(fc.array(fc.double({min: 0, max: 1e7, noNaN: true}), {maxLength: 50}), values => {
 			const metrics = createMetrics();
 			const histogram = metrics.createHistogram({
@@ -71,7 +71,7 @@
 		}), {numRuns: 30});
 	});
 
-	it('leaves out what is no number of 0 or more, and keeps what is too large as the largest', () => {
+	it('ignores negative values and NaN, and records values above the largest as the largest', () => {
 		const histogram = createMetrics().createHistogram({name: 'h', help: 'H.', bounds: [1, 10]});
 		for (const value of [Number.NaN, -1, 5, Number.POSITIVE_INFINITY, 1e300]) {
 			histogram.record({}, value);
@@ -81,7 +81,7 @@
 		assert.equal(Math.abs(histogram.quantile({}, 1) - 100) < 2, true);
 	});
 
-	it('refuses malformed names, names taken, and too many series, at creation', () => {
+	it('refuses malformed names, names in use, and too many series at creation', () => {
 		const metrics = createMetrics();
 		metrics.createCounter({name: 'a', help: 'A.'});
 		assert.throws(() => metrics.createCounter({name: 'a', help: 'A.'}), /exists already/);
--- a/src/adapters/native-calls/index.ts
+++ b/src/adapters/native-calls/index.ts
@@ -1,20 +1,20 @@
-/** Headers of plain requests on the system's own interface. */
+/** Server calls of plain services behind the system's native interface. */
 import {toForwardHeaders} from '../../domain/to-forward-headers/index.js';
 import {type RequestHints, type ServerCalls} from '../../ports/server-calls.js';
 import {type FleetView} from '../../ports/view.js';
 
-/** The own interface says nothing of a plain request beside its body. */
+/** The native interface has no headers with hints about a plain request. */
 const noHints: RequestHints = {
 	timeoutMs: undefined, model: undefined, promptTokens: 0, maxTokens: 0, estimatedTokens: undefined,
 };
 
 /**
- * Creates the calls of plain services as the own interface has them: the
- * caller's headers, its request's id and its workspace, and nothing that a
- * service could say back but its answer.
+ * Creates the server calls of plain services. A request is forwarded with the
+ * caller's headers, its request id and its workspace. Headers of a service's
+ * answer have no meaning for the router.
  *
- * @param options - The view, which tells whether callers have tokens.
- * @returns The calls.
+ * @param options - `toView`: the current view, from which follows whether callers have tokens.
+ * @returns The server calls.
  */
 export function createNativeCalls({toView}: {toView: () => FleetView | undefined}): ServerCalls {
 	return {
@@ -22,7 +22,7 @@
 		toHeaders({headers, requestId, workspace}) {
 			const hasTokens = Object.keys(toView()?.accepted?.config.callerTokens ?? {}).length > 0;
 			return {
-				// A caller's token is for this system, and no business of the service behind it.
+				// A caller's token authenticates it to this system and must not reach the service behind it.
 				...toForwardHeaders(headers, {drop: ['host', ...(hasTokens ? ['authorization'] : [])]}) as Record<string, string>,
 				'x-request-id': requestId,
 				'x-workspace': workspace,
--- a/src/adapters/operator-http/create-operator-app.ts
+++ b/src/adapters/operator-http/create-operator-app.ts
@@ -1,33 +1,33 @@
 import {createHash, timingSafeEqual} from 'node:crypto';
-// The small preset: this port has a handful of routes, and the agent must stay small.
+// Hono's small preset: this port has few routes, and the agent's memory must stay small.
 import {Hono} from 'hono/tiny';
 import {type RequestId} from '../../ports/ids.js';
 
-/** One reason for which a process takes no requests, with its remedy. */
+/** A reason why a process is not ready, or a warning while it is ready, with its remedy. */
 export type ReadinessReason = {reason: string; remedy?: string | undefined};
 
 export type Readiness = {
 	ready: boolean;
-	/** Why not ready; while ready, what needs attention all the same. */
+	/** Why the process is not ready; warnings while it is ready. */
 	reasons: readonly ReadinessReason[];
 };
 
-/** What the port shows. Each function is called at each request and must be quick. */
+/** Sources of the port's documents. Each function is called for each request and must be fast. */
 export type OperatorSources = {
-	/** Whether the process works at all; without it, to answer is to be healthy. */
+	/** Whether the process works at all; without this function, a process that answers is healthy. */
 	health?: () => {healthy: boolean; reasons: readonly ReadinessReason[]};
 	readiness: () => Readiness;
 	/** Metrics in the Prometheus text format. */
 	metrics: () => string;
-	/** Status document, for JSON. */
+	/** Status document, sent as JSON. */
 	status: () => unknown;
 	/** Burn report, as a document for JSON and as an HTML page. */
 	slo?: {toDocument: () => unknown; toPage: () => string};
-	/** Account of a request, `undefined` when none is kept. */
+	/** Account of a request; `undefined` when none is kept. */
 	explain?: (requestId: RequestId) => unknown;
 	/** Token that every request must carry. */
 	token?: string | undefined;
-	/** Told of a source that threw. */
+	/** Called when a source threw. */
 	onFault?: (path: string, error: unknown) => void;
 };
 
@@ -40,14 +40,14 @@
 	internal: {status: 500, title: 'The report failed'},
 };
 
-/** Pages stand alone: no script, nothing fetched from elsewhere. */
+/** Pages are self-contained: no scripts, and no resources from elsewhere. */
 const pagePolicy = 'default-src \'none\'; style-src \'unsafe-inline\'; base-uri \'none\'; form-action \'none\'; frame-ancestors \'none\'';
 
 /**
  * Creates the routes of the operators' port.
  *
- * @param sources - What the port shows, and the token it asks for.
- * @returns The application; it reads and never changes anything.
+ * @param sources - Sources of the documents, and the token that requests must carry.
+ * @returns The application. Its routes are read-only.
  */
 export function createOperatorApp(sources: OperatorSources): Hono {
 	const app = new Hono();
@@ -61,7 +61,7 @@
 		}
 
 		if (context.req.method !== 'GET' && context.req.method !== 'HEAD') {
-			const refusal = toProblemResponse('method-not-allowed', 'This port only shows; use GET.');
+			const refusal = toProblemResponse('method-not-allowed', 'This port is read-only; use GET.');
 			refusal.headers.set('allow', 'GET, HEAD');
 			return refusal;
 		}
@@ -111,7 +111,7 @@
 	return app;
 }
 
-/** Compares digests, so that neither the length nor the beginning of the token shows in the time taken. */
+/** Creates the check of the token. It compares digests in constant time, so that the response time reveals neither the length nor a prefix of the token. */
 function createTokenCheck(token: string | undefined): (header: string | undefined) => boolean {
 	if (token === undefined) {
 		return () => true;
--- a/src/adapters/operator-http/index.ts
+++ b/src/adapters/operator-http/index.ts
@@ -1,7 +1,7 @@
 /**
- * The operators' port: health, readiness, metrics, status, service-level burn
- * and accounts of requests, over HTTP by hono. A port of its own, so that no
- * caller reaches it and no load of callers keeps operators out.
+ * The operators' HTTP port: health, readiness, metrics, status, SLO burn and
+ * accounts of requests. It is separate from the callers' port, so that callers
+ * can't reach it and load from callers does not lock operators out.
  */
 import {createServer, type Server} from 'node:http';
 import {createServer as createTlsServer} from 'node:https';
@@ -16,32 +16,32 @@
 export {type OperatorSources, type Readiness, type ReadinessReason} from './create-operator-app.js';
 
 export type OperatorServerOptions = OperatorSources & {
-	/** IP number to listen on. */
+	/** IP address to listen on. */
 	bind: string;
 	/** 0 for any free port. */
 	port: number;
-	/** Turns TLS on. */
+	/** Keys for TLS; plain HTTP when absent. */
 	keys?: Keys | undefined;
 };
 
 export type OperatorServer = {
 	port: number;
-	/** Takes no new connection, lets answers in work end, and closes what is left after the time given. */
+	/** Stops accepting connections, waits for answers in progress, and closes the remaining connections after the timeout. */
 	close: (timeout: Milliseconds) => Promise<void>;
 };
 
-/** Why the port cannot be opened, and what to do. */
+/** Why the port can't be opened, with the remedy in the message. */
 export type OperatorServerFault = {kind: 'cannot-listen'; message: string};
 
-// Few people and one or two collectors use the port; more is a mistake or an attack.
+// A few people and one or two metrics collectors use the port; more connections are a mistake or an attack.
 const maxConnections = 64;
 const requestTimeout = 10 * msPerSecond;
 
 /**
  * Opens the operators' port.
  *
- * @param options - Address, what to show, and who may see it.
- * @returns The server with the port it got, or why it could not listen.
+ * @param options - Address, sources of the documents, token and keys.
+ * @returns The server with its actual port, or the reason why it can't listen.
  */
 export async function startOperatorServer(options: OperatorServerOptions): Promise<Result<OperatorServer, OperatorServerFault>> {
 	const {bind, port, keys} = options;
@@ -72,7 +72,7 @@
 
 async function listen(server: Server, host: string, port: number): Promise<string | undefined> {
 	if (isIP(host) === 0) {
-		return 'not an IP number';
+		return 'not an IP address';
 	}
 
 	return new Promise(resolve => {
@@ -80,7 +80,7 @@
 			resolve(error.code ?? error.message);
 		});
 		server.listen({host, port}, () => {
-			// Later errors are those of single connections, which node:http answers itself.
+			// Later errors concern single connections, and node:http handles them itself.
 			server.removeAllListeners('error');
 			server.on('error', () => undefined);
 			resolve(undefined);
--- a/src/adapters/platform-http/index.ts
+++ b/src/adapters/platform-http/index.ts
@@ -17,10 +17,10 @@
 export type PlatformHttpOptions = {
 	/** `http://IP:port`. */
 	url: string;
-	/** Name of this reader, for the platform's own accounts. */
+	/** Name of this reader, sent in `x-client` for the platform's own statistics. */
 	client?: string;
 	connectTimeoutMs?: Milliseconds;
-	/** Limit of a read, and of what a watch may take beyond its wait. */
+	/** Timeout of a read, and the time that a watch may take beyond its wait. */
 	answerTimeoutMs?: Milliseconds;
 };
 
@@ -30,7 +30,7 @@
 };
 
 const maxValueBytes = bytesPerMebibyte;
-/** A value in JSON takes at most six bytes for one (`\u0000`), and its envelope is small. */
+/** JSON encodes one byte of a value in at most six (`\u0000`); the rest of the document is small. */
 const maxAnswerBytes = (6 * maxValueBytes) + 1024;
 
 function toFailure(kind: PlatformFailure['kind'], message: string): PlatformFailure {
@@ -80,9 +80,10 @@
 }
 
 /**
- * Creates a reader of the platform.
+ * Creates the client of the platform.
  *
- * @param options - Where the platform is, and limits.
+ * @param options - URL of the platform, and limits.
+ * @returns The platform port, and a function that closes its connections.
  */
 export function createPlatformHttp(options: PlatformHttpOptions): PlatformHttp {
 	const {url, client, connectTimeoutMs = 2 * msPerSecond, answerTimeoutMs = 5 * msPerSecond} = options;
--- a/src/adapters/settings/load-settings.ts
+++ b/src/adapters/settings/load-settings.ts
@@ -6,7 +6,7 @@
 	type ParsedSettings, type Setting, type SettingFault, type SettingSource, type SettingTable,
 } from './types.js';
 
-/** Exit code of a program whose settings are wrong. */
+/** Exit code of a program whose settings are invalid. */
 export const settingsExitCode = 2;
 
 export type LoadSettingsInput<Table extends SettingTable> = ParseSettingsInput<Table> & {
@@ -21,7 +21,7 @@
 	| {kind: 'exit'; code: number; stdout: string; stderr: string};
 
 /**
- * Reads a program's settings and answers `--help`, so that a program's first lines are all it takes.
+ * Reads a program's settings and answers `--help`, so that a program needs only a few lines for both.
  *
  * @param table - Table of settings.
  * @param input - Flags, environment, and the program's name and description.
@@ -77,10 +77,10 @@
 }
 
 /**
- * Writes faults for a person, one a line.
+ * Formats faults for people, one per line.
  *
  * @param program - Name of the program.
- * @param faults - What is wrong.
+ * @param faults - The faults.
  * @returns Text that ends with a line break.
  */
 export function formatSettingFaults(program: string, faults: readonly SettingFault[]): string {
@@ -99,7 +99,7 @@
 	required: boolean;
 	secret: boolean;
 	description: string;
-	/** Value in force, in the unit a person would use; `***` for a secret that is set. */
+	/** Value in force, in a readable unit; `***` for a secret that is set. */
 	value: string | undefined;
 	source: SettingSource;
 };
@@ -109,7 +109,7 @@
  *
  * @param table - Table of settings.
  * @param parsed - Values in force; without them the defaults are listed.
- * @returns One row a setting, in the order of the table.
+ * @returns One row for each setting, in the order of the table.
  */
 export function listSettings<Table extends SettingTable>(table: Table, parsed?: ParsedSettings<Table>): SettingRow[] {
 	return Object.entries(table).map(([key, setting]) => {
--- a/src/adapters/settings/names.ts
+++ b/src/adapters/settings/names.ts
@@ -1,8 +1,8 @@
-/** Prefix of every environment name that the programs read. */
+/** Prefix of all environment variables that the programs read. */
 export const environmentPrefix = 'BANYANPORT_';
 
 /**
- * Gives the flag of a setting.
+ * Returns the flag of a setting.
  *
  * @param key - Key in the table, camel case.
  * @returns For `callerPort`, `--caller-port`.
@@ -12,7 +12,7 @@
 }
 
 /**
- * Gives the environment name of a setting.
+ * Returns the environment variable of a setting.
  *
  * @param key - Key in the table, camel case.
  * @returns For `callerPort`, `BANYANPORT_CALLER_PORT`.
--- a/src/adapters/settings/parse-settings.ts
+++ b/src/adapters/settings/parse-settings.ts
@@ -21,18 +21,18 @@
 	/** Arguments after the program's name. */
 	argv: readonly string[];
 	env: Readonly<Record<string, string | undefined>>;
-	/** Tables of the other programs of a host: their environment names are let pass, since a host's programs share one environment. */
+	/** Tables of the other programs of a host. Their environment variables are not reported as unknown, since a host's programs share one environment. */
 	otherTables?: readonly SettingTable[];
-	/** Faults that only several values together show, for example a certificate without its key. Called when each value alone is right. */
+	/** Finds faults in combinations of values, for example a certificate without its key. Called when each value alone is valid. */
 	check?: (values: SettingValues<Table>) => readonly SettingFault[];
 };
 
 /**
- * Reads settings from flags and environment; a flag wins over the environment.
+ * Reads settings from flags and environment; a flag takes precedence over the environment.
  *
  * @param table - Table of settings, see {@link defineSettings}.
- * @param input - Flags, environment, and what else to check.
- * @returns Values with the source of each, or every fault at once.
+ * @param input - Flags, environment, and a check of combinations.
+ * @returns The values with their sources, or all faults at once.
  */
 export function parseSettings<Table extends SettingTable>(table: Table, input: ParseSettingsInput<Table>): Result<ParsedSettings<Table>, readonly SettingFault[]> {
 	const faults: SettingFault[] = [];
@@ -50,7 +50,7 @@
 		return err(faults);
 	}
 
-	// The loop above has filled in every key of the table, which the compiler cannot see.
+	// The loop above has set every key of the table, which the compiler can't infer.
 	const parsed: ParsedSettings<Table> = {values: values as SettingValues<Table>, sources: sources as ParsedSettings<Table>['sources']};
 	const together = input.check?.(parsed.values) ?? [];
 	return together.length > 0 ? err(together) : ok(parsed);
@@ -87,8 +87,8 @@
 }
 
 /**
- * Splits the arguments into flags. Commander splits; its own checks end at the
- * first fault, so every option is optional to it and the checks are here.
+ * Splits the arguments into flags with commander. Commander's own checks stop at
+ * the first fault, so all options are declared as optional and checked here.
  */
 function readFlags(table: SettingTable, argv: readonly string[], faults: SettingFault[]): Map<string, string> {
 	const command = new Command().exitOverride().helpOption(false);
@@ -127,7 +127,7 @@
 
 function findUnknownFlags(table: SettingTable, unknown: readonly string[], operands: readonly string[]): SettingFault[] {
 	const known = Object.keys(table).map(key => toFlag(key));
-	// Commander keeps the arguments behind an unknown flag with it; they are its value, not faults of their own.
+	// Commander returns the arguments after an unknown flag together with it; they are the flag's value and not separate faults.
 	const flags = unknown.filter(text => text.startsWith('-')).map(text => text.split('=', 1)[0]!);
 	return [
 		...flags.map(flag => toUnknown(flag, known, 'is no flag of this program')),
--- a/src/adapters/settings/parse-value.ts
+++ b/src/adapters/settings/parse-value.ts
@@ -7,10 +7,10 @@
 	type AddressesSetting, type ChoiceSetting, type NumberSetting, type Setting, type TextSetting,
 } from './types.js';
 
-/** What a setting's text becomes. */
+/** Parsed value of a setting. */
 export type SettingValue = string | number | boolean | readonly string[];
 
-/** What is wrong with a value, and what would be right. */
+/** What is wrong with a value, and what would be valid. */
 export type ValueFault = {message: string; remedy: string};
 
 type ValueResult<Value extends SettingValue = SettingValue> = Result<Value, ValueFault>;
@@ -24,11 +24,11 @@
 const maxPort = 65_535;
 
 /**
- * Turns the text of one setting into its value.
+ * Parses the text of one setting.
  *
- * @param setting - Line of the table.
- * @param text - Text as given by flag or environment.
- * @returns The value (milliseconds, bytes), or what is wrong with it.
+ * @param setting - The setting.
+ * @param text - Text from flag or environment.
+ * @returns The value (durations in milliseconds, sizes in bytes), or its fault.
  */
 export function parseValue(setting: Setting, text: string): ValueResult {
 	const trimmed = text.trim();
@@ -68,9 +68,9 @@
 }
 
 /**
- * Says in words what a setting takes, with its bounds.
+ * Describes the values that a setting accepts, with their bounds.
  *
- * @param setting - Line of the table.
+ * @param setting - The setting.
  * @returns For example `a duration such as 250ms, 2s or 5min, from 1ms to 1min`.
  */
 export function toExpectation(setting: Setting): string {
@@ -130,9 +130,9 @@
 }
 
 /**
- * Writes a value with the unit that a person would use.
+ * Formats a value with a readable unit.
  *
- * @param setting - Line of the table.
+ * @param setting - The setting.
  * @param value - Parsed value or default.
  * @returns For example `2s`, `64MiB`, `127.0.0.1:1,127.0.0.1:2`.
  */
@@ -214,7 +214,7 @@
 	}
 }
 
-/** A number without a unit is refused unless it is 0: `5` may have been meant as seconds. */
+/** Parses a number with a unit. A number without a unit is refused unless it is 0, because its unit would be ambiguous: `5` may have been meant as seconds. */
 function toWithUnit(text: string, units: Readonly<Record<string, number>>): number | undefined {
 	if (text === '0') {
 		return 0;
@@ -250,7 +250,7 @@
 	}
 }
 
-/** `127.0.0.1:80` or `[::1]:80`; names are refused because processes talk by IP numbers. */
+/** Whether a text is an address such as `127.0.0.1:80` or `[::1]:80`. Host names are refused because processes address each other by IP. */
 function isAddress(text: string): boolean {
 	const parts = /^(?:\[(?<six>[^\]]+)]|(?<four>[^:]+)):(?<port>\d{1,5})$/.exec(text)?.groups;
 	if (parts === undefined || Number(parts.port) > maxPort) {
--- a/src/adapters/settings/test.ts
+++ b/src/adapters/settings/test.ts
@@ -49,7 +49,7 @@
 }
 
 describe('parseSettings', () => {
-	it('takes flags before environment before defaults, and names the source', () => {
+	it('prefers flags to environment to defaults, and returns the source', () => {
 		const {values, sources} = parse(['--host-id', 'a', '--body-timeout=2s', '--quiet'], {
 			BANYANPORT_BODY_TIMEOUT: '5s', BANYANPORT_MAX_BYTES: '64MiB', BANYANPORT_SEEDS: '127.0.0.1:1, [::1]:2', BANYANPORT_PLATFORM_URL: 'http://127.0.0.1:1', PATH: '/bin',
 		})._unsafeUnwrap();
@@ -109,7 +109,7 @@
 		]);
 	});
 
-	it('does not print a secret, also when it is wrong', () => {
+	it('does not print a secret, even if it is invalid', () => {
 		const secret = defineSettings({
 			token: {
 				type: 'text', secret: true, pattern: {test: /^.{16,}$/, hint: '16 characters'}, group: 'A', description: 'Token.',
@@ -123,13 +123,13 @@
 		assert.equal(listSettings(secret, parsed)[0]!.value, '***');
 	});
 
-	it('runs the check of several values only on values that are right alone', () => {
+	it('runs the check of combinations only if each value alone is valid', () => {
 		const check = () => [{place: 'x', message: 'clashes', remedy: 'choose'}];
 		assert.equal(parseSettings(table, {argv: ['--host-id', 'a'], env: {}, check})._unsafeUnwrapErr()[0]!.place, 'x');
 		assert.equal(parseSettings(table, {argv: [], env: {}, check})._unsafeUnwrapErr()[0]!.message, 'is missing');
 	});
 
-	it('answers any arguments with values or faults, never with a throw', () => {
+	it('returns values or faults for any arguments, and never throws', () => {
 		const flag = fc.constantFrom('--host-id', '--quiet', '--caller-port', '--', '-x', '--no-quiet', '--help');
 		fc.assert(fc.property(fc.array(fc.oneof(flag, fc.string())), argv => {
 			const loaded = loadSettings(table, {
--- a/src/adapters/settings/types.ts
+++ b/src/adapters/settings/types.ts
@@ -1,6 +1,6 @@
 /**
- * Shape of a table of settings. Flag and environment names follow from the key:
- * `callerPort` is `--caller-port` and `BANYANPORT_CALLER_PORT`.
+ * Types of a table of settings. The key of a setting determines its flag and its
+ * environment variable: `callerPort` is `--caller-port` and `BANYANPORT_CALLER_PORT`.
  */
 
 /** Types whose value is a number after parsing. */
@@ -10,21 +10,21 @@
 export type TextSettingType = 'text' | 'ip' | 'address' | 'url' | 'file';
 
 type SettingBase<Value> = {
-	/** One sentence for `--help` and the page of operations. */
+	/** One sentence for `--help` and the operations page. */
 	description: string;
 	/** Heading under which `--help` lists it. */
 	group: string;
-	/** Value when neither flag nor environment gives one. */
+	/** Value when neither flag nor environment sets one. */
 	default?: Value;
-	/** Without a value the program does not start. */
+	/** Whether the program does not start without a value. */
 	required?: boolean;
-	/** Never printed, and taken from the environment alone: flags are seen by every user of the machine. */
+	/** Whether the value is never printed, and only accepted from the environment, because every user of the machine can see flags. */
 	secret?: boolean;
 };
 
 export type NumberSetting = SettingBase<number> & {
 	type: NumberSettingType;
-	/** What the number counts, for types that have no unit of their own. */
+	/** What the number counts, for types without a unit. */
 	unit?: string;
 	min?: number;
 	max?: number;
@@ -32,7 +32,7 @@
 
 export type TextSetting = SettingBase<string> & {
 	type: TextSettingType;
-	/** What a `text` must match, and how a person would say it. */
+	/** Pattern that a `text` must match, and its description in words. */
 	pattern?: {test: RegExp; hint: string};
 };
 
@@ -61,7 +61,7 @@
 /** Values of a table after parsing. Durations are in milliseconds and sizes in bytes. */
 export type SettingValues<Table extends SettingTable> = {-readonly [Key in keyof Table]: ValueOf<Table[Key]>};
 
-/** Where a value came from. `unset` marks an optional setting without a value. */
+/** Source of a value. `unset` marks an optional setting without a value. */
 export type SettingSource = 'flag' | 'environment' | 'default' | 'unset';
 
 export type ParsedSettings<Table extends SettingTable> = {
@@ -69,9 +69,9 @@
 	sources: Readonly<Record<keyof Table, SettingSource>>;
 };
 
-/** One thing wrong with the settings: where, what, and what to do. */
+/** A fault of the settings: its place, what is wrong, and the remedy. */
 export type SettingFault = {
-	/** Flag or environment name as the user would write it. */
+	/** Flag or environment variable, as written by the user. */
 	place: string;
 	message: string;
 	remedy: string;
