--- a/src/programs/cli/_lib/create-process-io.ts
+++ b/src/programs/cli/_lib/create-process-io.ts
@@ -69,14 +69,14 @@
 	return new StatusError(message, {props: {status}});
 }
 
-async function fetchJson(host: string, path: string, {caFile, timeout}: FetchOptions, token: string | undefined): Promise<unknown> {
+async function fetchJson(host: string, path: string, {caFile, timeoutMs}: FetchOptions, token: string | undefined): Promise<unknown> {
 	const ca = caFile === undefined ? undefined : await readFile(caFile, 'utf8');
-	const dispatcher = new Agent({connect: {timeout, ...(ca !== undefined && {ca})}, maxResponseSize: maxBodyBytes});
+	const dispatcher = new Agent({connect: {timeout: timeoutMs, ...(ca !== undefined && {ca})}, maxResponseSize: maxBodyBytes});
 	try {
 		const base = /^https?:\/\//.test(host) ? host : `${ca === undefined ? 'http' : 'https'}://${host}`;
 		const {statusCode, body} = await request(new URL(path, base), {
 			dispatcher,
-			signal: AbortSignal.timeout(timeout),
+			signal: AbortSignal.timeout(timeoutMs),
 			headers: {accept: 'application/json', ...(token !== undefined && {authorization: `Bearer ${token}`})},
 		});
 		const text = await body.text();
--- a/src/programs/cli/_lib/io.ts
+++ b/src/programs/cli/_lib/io.ts
@@ -41,7 +41,7 @@
 	/** File with certificates of the authorities that sign operators' ports, PEM. */
 	caFile: string | undefined;
 	/** Milliseconds. */
-	timeout: number;
+	timeoutMs: number;
 };
 
 /** How a command ends: its exit code, or a failure that the caller reports. */
--- a/src/programs/cli/_lib/read-config.ts
+++ b/src/programs/cli/_lib/read-config.ts
@@ -11,7 +11,7 @@
 	type AccessFailure, type CliIo, type CommandResult, exitCodes, toJsonText,
 } from './io.js';
 import {
-	findInFiles, readDocumentFiles, toFileFault, toPartFile, type DocumentFiles,
+	createPartFinder, readDocumentFiles, toFileFault, toPartFile, type DocumentFiles,
 } from './read-folder.js';
 
 /** The largest value that the platform holds. */
@@ -46,7 +46,7 @@
 	const {text} = files;
 	const seal = checkSeal(text);
 	const parsed = parseConfig(text, {
-		file: files.file, maxYamlBytes: Infinity, isSource: files.parts !== undefined, findPart: findInFiles(files), toPartFile: toPartFile(files),
+		file: files.file, maxYamlBytes: Infinity, isSource: files.parts !== undefined, findPart: createPartFinder(files), toPartFile: toPartFile(files),
 	});
 	const lastLine = text.trimEnd().split('\n').length;
 	const faults = [
@@ -93,7 +93,7 @@
  * @param json - Whether to write JSON.
  * @returns 1 with the faults written, or the failure to access the file.
  */
-export function endUnusable(io: CliIo, file: string, failure: ReadConfigFailure, json: boolean): CommandResult {
+export function reportReadFailure(io: CliIo, file: string, failure: ReadConfigFailure, json: boolean): CommandResult {
 	if (failure.kind === 'access') {
 		return err(failure.failure);
 	}
--- a/src/programs/cli/_lib/read-folder.ts
+++ b/src/programs/cli/_lib/read-folder.ts
@@ -7,7 +7,7 @@
 import {type FindPart} from '../../../ports/config.js';
 import {type AccessFailure, type CliIo} from './io.js';
 
-const endings = ['.yaml', '.yml', '.json'] as const;
+const extensions = ['.yaml', '.yml', '.json'] as const;
 
 export type TextFile = {file: string; text: string};
 
@@ -36,7 +36,7 @@
 
 	const parts = new Map<string, TextFile>();
 	for (const name of names) {
-		const part = await readOneOf(io, path.join(path.dirname(root.value.file), name));
+		const part = await readWithAnyExtension(io, path.join(path.dirname(root.value.file), name));
 		if (part.isErr()) {
 			return err(part.error);
 		}
@@ -56,14 +56,14 @@
 		return text.map(value => ({file: given, text: value}));
 	}
 
-	const root = await readOneOf(io, path.join(given, 'root'));
+	const root = await readWithAnyExtension(io, path.join(given, 'root'));
 	return root.andThen(found => found ? ok(found) : err(text.error));
 }
 
 /** Two files for one part may be an edit in the one and not in the other. */
-async function readOneOf(io: CliIo, base: string): Promise<Result<TextFile | undefined, AccessFailure>> {
+async function readWithAnyExtension(io: CliIo, base: string): Promise<Result<TextFile | undefined, AccessFailure>> {
 	const found: TextFile[] = [];
-	for (const ending of endings) {
+	for (const ending of extensions) {
 		const text = await io.readText(base + ending);
 		if (text.isOk()) {
 			found.push({file: base + ending, text: text.value});
@@ -93,7 +93,7 @@
  * @param files - Files of a document.
  * @returns A function for `parseConfig`.
  */
-export function findInFiles({parts}: DocumentFiles): FindPart {
+export function createPartFinder({parts}: DocumentFiles): FindPart {
 	return ({name, sha256}) => {
 		const text = parts?.get(name)?.text;
 		return text !== undefined && (sha256 === '' || toDigest(text) === sha256) ? text : undefined;
--- a/src/programs/cli/_lib/seal-folder.ts
+++ b/src/programs/cli/_lib/seal-folder.ts
@@ -58,8 +58,8 @@
 export function toPublishSteps(folder: string, sealed: SealedParts, previous: string | undefined): readonly PublishStep[] {
 	const list = previous === undefined ? undefined : readPlainValues(previous)?.parts;
 	const known = new Set(Array.isArray(list) ? list.flatMap((part: unknown) => isRecord(part) ? [`${String(part.name)} ${String(part.sha256)}`] : []) : []);
-	const fresh = sealed.parts.filter(({name, sha256}) => !known.has(`${name} ${sha256}`));
-	return [...fresh.map(part => ({key: toPartKey(part), file: toFile(folder, part.name)})), {key: 'config', file: toFile(folder, 'root')}];
+	const newParts = sealed.parts.filter(({name, sha256}) => !known.has(`${name} ${sha256}`));
+	return [...newParts.map(part => ({key: toPartKey(part), file: toFile(folder, part.name)})), {key: 'config', file: toFile(folder, 'root')}];
 }
 
 function toFile(folder: string, name: string): string {
--- a/src/programs/cli/fleet.test.ts
+++ b/src/programs/cli/fleet.test.ts
@@ -23,7 +23,7 @@
 	return {code, ...lines};
 }
 
-async function ask(callerUrl: string): Promise<string> {
+async function sendRequest(callerUrl: string): Promise<string> {
 	const answer = await fetch(`${callerUrl}/v1/completions`, {
 		method: 'POST',
 		headers: {'content-type': 'application/json', 'x-workspace': 'kavarna-lipa', 'x-service-class': 'quick'},
@@ -40,7 +40,7 @@
 		const fleet = await startFleet({zones: ['dvorana-a']});
 		try {
 			const [host] = fleet.hosts;
-			const requestId = await ask(host!.callerUrl);
+			const requestId = await sendRequest(host!.callerUrl);
 			const {entryOperatorUrl: entry, agentOperatorUrl: agent} = host!;
 
 			const status = await run(['status', entry, agent]);
--- a/src/programs/cli/run-account/index.ts
+++ b/src/programs/cli/run-account/index.ts
@@ -6,7 +6,7 @@
 } from '../_lib/io.js';
 import {toHostTexts} from '../_lib/to-host-texts.js';
 
-const notFound = 404;
+const notFoundStatus = 404;
 
 /**
  * Looks for the account of a request on all hosts named.
@@ -19,7 +19,7 @@
  */
 export async function runAccount(io: CliIo, requestId: string, hosts: readonly string[], options: FetchOptions & {json: boolean}): Promise<CommandResult> {
 	const {documents, failures} = await fetchFromHosts(io, hosts, `/explain/${encodeURIComponent(requestId)}`, options);
-	const unreachable = failures.filter(({status}) => status !== notFound);
+	const unreachable = failures.filter(({status}) => status !== notFoundStatus);
 	writeFailures(io, unreachable);
 	if (options.json) {
 		io.write(toJsonText({requestId, hosts: documents, failures: unreachable}));
--- a/src/programs/cli/run-check/index.ts
+++ b/src/programs/cli/run-check/index.ts
@@ -3,7 +3,7 @@
 import {
 	type CliIo, type CommandResult, exitCodes, toJsonText,
 } from '../_lib/io.js';
-import {type CheckedConfig, endUnusable, readConfig} from '../_lib/read-config.js';
+import {type CheckedConfig, reportReadFailure, readConfig} from '../_lib/read-config.js';
 
 /**
  * Checks a document.
@@ -20,7 +20,7 @@
 		return ok(exitCodes.fine);
 	}
 
-	return endUnusable(io, file, read.error, options.json);
+	return reportReadFailure(io, file, read.error, options.json);
 }
 
 function toSummary(file: string, {seal, config, bytes, parts}: CheckedConfig) {
--- a/src/programs/cli/run-cli/index.ts
+++ b/src/programs/cli/run-cli/index.ts
@@ -112,7 +112,7 @@
 		.description('Make a folder with a root and parts out of a document in one file, to be edited and sealed there.')
 		.argument('<file>', 'configuration document, YAML or JSON')
 		.requiredOption('--output <folder>', 'folder to write')
-		.option('--entries <count>', 'rules, servers or hosts in a part', toCount, 100)
+		.option('--entries <count>', 'rules, servers or hosts in a part', parseCount, 100)
 		.option('--json', jsonHelp, false)
 		.addHelpText('after', toExamples('banyanport split rules.yaml --output rules/', 'banyanport split rules.json --entries 50 --output rules/'))
 		.action(async (file: string, options: {output: string; entries: number; json: boolean}) => {
@@ -123,7 +123,7 @@
 		.description('Show which requests change their way, on samples made from both rule lists.')
 		.argument('<old>', 'document in force, or its folder or root')
 		.argument('<new>', 'document that shall follow, or its folder or root')
-		.option('--samples <count>', 'mixtures of values to try beside one request a rule', toCount, 5000)
+		.option('--samples <count>', 'mixtures of values to try beside one request a rule', parseCount, 5000)
 		.option('--json', jsonHelp, false)
 		.addHelpText('after', toExamples('banyanport diff in-force.yaml rules.yaml', 'banyanport diff in-force.yaml rules.yaml --samples 50000 --json'))
 		.action(async (before: string, after: string, options: {samples: number; json: boolean}) => {
@@ -150,7 +150,7 @@
 		.option('--model <name>', 'model that the request names')
 		.option('--path <path>', 'path of the request (default: /v1/completions with a model, / without)')
 		.addOption(new Option('--class <class>', 'class that the caller asks for').choices(['quick', 'batch']))
-		.option('--prompt-tokens <count>', 'length of the prompt (default: 0)', toCount)
+		.option('--prompt-tokens <count>', 'length of the prompt (default: 0)', parseCount)
 		.option('--zone <zone>', 'zone of the host that decides (default: the first of the document)')
 		.option('--header <name=value>', 'header of the request; may be given several times', addHeader, {})
 		.option('--json', jsonHelp, false)
@@ -169,7 +169,7 @@
 	return command
 		.argument('<host...>', 'operators\' ports, as IP:port or https://IP:port')
 		.option('--ca <file>', 'certificates of the authorities that sign the operators\' ports, PEM')
-		.option('--timeout <seconds>', 'longest wait for each host', toCount, defaultTimeoutSeconds)
+		.option('--timeout <seconds>', 'longest wait for each host', parseCount, defaultTimeoutSeconds)
 		.option('--json', jsonHelp, false);
 }
 
@@ -223,7 +223,7 @@
 }
 
 function toHostOptions({ca, timeout, json}: HostFlags) {
-	return {caFile: ca, timeout: timeout * 1000, json};
+	return {caFile: ca, timeoutMs: timeout * 1000, json};
 }
 
 function addSettings(program: Command, io: CliIo, finish: Finish): void {
@@ -242,7 +242,7 @@
 	return `\nExamples:\n${lines.map(line => `  ${line}`).join('\n')}\n`;
 }
 
-function toCount(text: string): number {
+function parseCount(text: string): number {
 	if (!/^\d{1,9}$/.test(text)) {
 		throw new InvalidArgumentError('Write a whole number, for example 900.');
 	}
--- a/src/programs/cli/run-cli/test.ts
+++ b/src/programs/cli/run-cli/test.ts
@@ -239,7 +239,7 @@
 			bind: '127.0.0.1', port: 0, readiness: () => ({ready: true, reasons: []}), metrics: () => '', status: () => ({edition: 4}), token: 'a-token-of-operators',
 		});
 		const server = started._unsafeUnwrap();
-		const options = {caFile: undefined, timeout: 5000};
+		const options = {caFile: undefined, timeoutMs: 5000};
 		try {
 			const host = `127.0.0.1:${server.port}`;
 			const refused = await createProcessIo().fetchJson(host, '/status', options);
--- a/src/programs/cli/run-diff/index.ts
+++ b/src/programs/cli/run-diff/index.ts
@@ -4,7 +4,7 @@
 import {
 	type CliIo, type CommandResult, exitCodes, toJsonText,
 } from '../_lib/io.js';
-import {endUnusable, readConfig} from '../_lib/read-config.js';
+import {reportReadFailure, readConfig} from '../_lib/read-config.js';
 import {toFactsText} from '../_lib/to-facts-text.js';
 
 export type RunDiffOptions = {
@@ -13,7 +13,7 @@
 };
 
 /** Groups of requests that are shown to people. */
-const shownGroups = 20;
+const maxShownGroups = 20;
 
 /**
  * Compares two documents.
@@ -28,7 +28,7 @@
 	for (const file of files) {
 		const read = await readConfig(io, file);
 		if (read.isErr()) {
-			return endUnusable(io, file, read.error, options.json);
+			return reportReadFailure(io, file, read.error, options.json);
 		}
 
 		configs.push(read.value.config);
@@ -40,11 +40,11 @@
 }
 
 function toText({sampled, changed, requests, entries}: ConfigDiff): string {
-	const more = requests.length > shownGroups ? [`... and ${requests.length - shownGroups} more kinds of change; --json lists all`] : [];
+	const more = requests.length > maxShownGroups ? [`... and ${requests.length - maxShownGroups} more kinds of change; --json lists all`] : [];
 	return [
 		...entries.map(({section, name, change}) => `${change} in ${section}: ${name}`),
 		`${changed} of ${sampled} sample requests change their way. The samples come from both rule lists; their shares are not those of your traffic.`,
-		...requests.slice(0, shownGroups).flatMap(group => toGroupLines(group)),
+		...requests.slice(0, maxShownGroups).flatMap(group => toGroupLines(group)),
 		...more,
 		'',
 	].join('\n');
--- a/src/programs/cli/run-explain-request/index.ts
+++ b/src/programs/cli/run-explain-request/index.ts
@@ -21,14 +21,14 @@
 		return err(read.error);
 	}
 
-	const story = toRequestHistory(read.value, options.id);
+	const history = toRequestHistory(read.value, options.id);
 	if (options.json) {
-		io.write(toJsonText({requestId: options.id, ...story}));
+		io.write(toJsonText({requestId: options.id, ...history}));
 	} else {
-		io.write(toStoryText(story));
+		io.write(toHistoryText(history));
 	}
 
-	if (story.own.length > 0) {
+	if (history.own.length > 0) {
 		return ok(exitCodes.fine);
 	}
 
@@ -36,7 +36,7 @@
 	return ok(exitCodes.faults);
 }
 
-function toStoryText({own, beliefs, verdict}: ReturnType<typeof toRequestHistory>): string {
+function toHistoryText({own, beliefs, verdict}: ReturnType<typeof toRequestHistory>): string {
 	const [first] = own;
 	if (first === undefined) {
 		return '';
--- a/src/programs/cli/run-explain/index.ts
+++ b/src/programs/cli/run-explain/index.ts
@@ -6,7 +6,7 @@
 import {
 	type CliIo, type CommandResult, exitCodes, toJsonText,
 } from '../_lib/io.js';
-import {endUnusable, readConfig} from '../_lib/read-config.js';
+import {reportReadFailure, readConfig} from '../_lib/read-config.js';
 import {toFactsText} from '../_lib/to-facts-text.js';
 
 /** What the caller of the command says of the request; the rest gets the usual values. */
@@ -16,7 +16,7 @@
 };
 
 /** Passed-over rules that are shown to people, the last ones before the deciding one. */
-const shownRules = 50;
+const maxShownRules = 50;
 
 /**
  * Explains a decision.
@@ -29,7 +29,7 @@
 export async function runExplain(io: CliIo, file: string, options: RunExplainOptions): Promise<CommandResult> {
 	const read = await readConfig(io, file);
 	if (read.isErr()) {
-		return endUnusable(io, file, read.error, options.json);
+		return reportReadFailure(io, file, read.error, options.json);
 	}
 
 	const {config} = read.value;
@@ -57,7 +57,7 @@
 }
 
 function toText(facts: RequestFacts, {deciding, passedOver}: RuleExplanation, servers: ReturnType<typeof toServers>): string {
-	const hidden = passedOver.length - shownRules;
+	const hidden = passedOver.length - maxShownRules;
 	return [
 		`request: ${toFactsText(facts)}`,
 		...(hidden > 0 ? [`... ${hidden} rules passed over; --json lists all`] : []),
--- a/src/programs/cli/run-seal/index.ts
+++ b/src/programs/cli/run-seal/index.ts
@@ -95,12 +95,12 @@
 		return ok(exitCodes.fine);
 	}
 
-	const kept = parts.length + 1 - publish.length;
+	const unchangedCount = parts.length + 1 - publish.length;
 	io.writeError(`sealed as edition ${edition}, ${toFollowsText(follows)}; written to ${output}\n`);
 	io.write([
 		'publish in this order, the root last:',
 		...publish.map(step => `  ${step.key}  ${step.file}`),
-		...(kept > 0 ? [`${kept} other parts are as in the document that it follows and stay as they are on the platform`] : []),
+		...(unchangedCount > 0 ? [`${unchangedCount} other parts are as in the document that it follows and stay as they are on the platform`] : []),
 		'',
 	].join('\n'));
 	return ok(exitCodes.fine);
--- a/src/programs/cli/run-timeline/index.ts
+++ b/src/programs/cli/run-timeline/index.ts
@@ -29,7 +29,7 @@
 }
 
 function toRowText({message, subject, firstAt, lastAt, hosts}: TimelineRow): string {
-	const who = hosts.length <= maxNamedHosts ? hosts.join(' ') : `${hosts.length} hosts, ${hosts[0]} first, ${hosts.at(-1)} last`;
-	const spread = lastAt > firstAt ? ` (all within ${lastAt - firstAt} ms)` : '';
-	return `${new Date(firstAt).toISOString()}  ${message}  ${subject}  ${who}${spread}`;
+	const hostsText = hosts.length <= maxNamedHosts ? hosts.join(' ') : `${hosts.length} hosts, ${hosts[0]} first, ${hosts.at(-1)} last`;
+	const spreadText = lastAt > firstAt ? ` (all within ${lastAt - firstAt} ms)` : '';
+	return `${new Date(firstAt).toISOString()}  ${message}  ${subject}  ${hostsText}${spreadText}`;
 }
