--- a/src/programs/cli/_lib/create-process-io.ts
+++ b/src/programs/cli/_lib/create-process-io.ts
@@ -1,4 +1,4 @@
-/** Files, hosts and output of the real process. */
+/** Input and output of the running process: files, requests to hosts, standard streams. */
 import {mkdir, readFile, writeFile} from 'node:fs/promises';
 import process from 'node:process';
 import {text as readStream} from 'node:stream/consumers';
@@ -7,13 +7,13 @@
 import {Agent, request} from 'undici';
 import {type AccessFailure, type CliIo, type FetchOptions} from './io.js';
 
-/** A status document is some kilobytes; more is not from one of our hosts. */
+/** A status document has some kilobytes; a response larger than this does not come from a host of banyanport. */
 const maxBodyBytes = 16_777_216;
 
 /**
  * Creates the input and output of the running process.
  *
- * @returns Functions that fail with messages for people.
+ * @returns Functions whose failures carry messages for the user.
  */
 export function createProcessIo(): CliIo {
 	return {
@@ -28,7 +28,7 @@
 			error => toFileFailure(path, 'read', error),
 		),
 		writeText: (path, text) => ResultAsync.fromPromise(writeFile(path, text), error => toFileFailure(path, 'written', error)),
-		makeFolder: path => ResultAsync.fromPromise(mkdir(path, {recursive: true}), error => toFileFailure(path, 'made', error)).map(() => undefined),
+		makeFolder: path => ResultAsync.fromPromise(mkdir(path, {recursive: true}), error => toFileFailure(path, 'created', error)).map(() => undefined),
 		fetchJson: (host, path, options) => ResultAsync.fromPromise(
 			fetchJson(host, path, options, process.env.BANYANPORT_OPERATOR_TOKEN),
 			error => toHostFailure(host, error),
@@ -41,9 +41,9 @@
 
 const fileRemedies: Readonly<Record<string, string>> = {
 	ENOENT: 'there is no such file: check the path',
-	EACCES: 'you may not: check its permissions',
+	EACCES: 'permission denied: check its permissions',
 	EISDIR: 'it is a folder without root.yaml or root.json: name a file in it',
-	EEXIST: 'a file has this name: name a folder',
+	EEXIST: 'a file with this name exists: name a folder',
 };
 
 function toFileFailure(path: string, verb: string, error: unknown): AccessFailure {
@@ -59,12 +59,12 @@
 	return String(error);
 }
 
-/** A host that answers with something else than 200. */
+/** A host answered with a status other than 200. */
 const StatusError = ModernError.subclass('StatusError', {props: {status: 0}});
 
 function toStatusError(status: number, path: string): Error {
 	const message = status === 401
-		? 'it does not know the operator: set BANYANPORT_OPERATOR_TOKEN'
+		? 'the operator token is missing or wrong: set BANYANPORT_OPERATOR_TOKEN'
 		: `it answers ${status} to ${path}: check that this is an operators' port`;
 	return new StatusError(message, {props: {status}});
 }
@@ -94,7 +94,7 @@
 	ECONNREFUSED: 'nothing listens there: check the port, and whether the host runs',
 	ETIMEDOUT: 'it does not answer: check the address, and the network between',
 	UND_ERR_CONNECT_TIMEOUT: 'it does not answer: check the address, and the network between',
-	ERR_INVALID_URL: 'this is no address: write IP:port',
+	ERR_INVALID_URL: 'not an address: write IP:port',
 	SELF_SIGNED_CERT_IN_CHAIN: 'its certificate is signed by an unknown authority: name that with --ca',
 	DEPTH_ZERO_SELF_SIGNED_CERT: 'its certificate is not signed by an authority: name it with --ca',
 };
@@ -105,9 +105,9 @@
 	}
 
 	if (error instanceof Error && error.name === 'TimeoutError') {
-		return {message: `${host} can't be asked: it took too long: raise --timeout, or check the host`};
+		return {message: `${host} can't be asked: no answer within the timeout: raise --timeout, or check the host`};
 	}
 
-	const code = error instanceof SyntaxError ? 'its answer is no JSON: check that this is an operators\' port' : toCode(error);
+	const code = error instanceof SyntaxError ? 'its answer is not JSON: check that this is an operators\' port' : toCode(error);
 	return {message: `${host} can't be asked: ${hostRemedies[code] ?? code}`};
 }
--- a/src/programs/cli/_lib/fetch-from-hosts.ts
+++ b/src/programs/cli/_lib/fetch-from-hosts.ts
@@ -1,4 +1,4 @@
-/** Asks several operators' ports for the same document. */
+/** Fetches the same document from several operators' ports. */
 import {type AccessFailure, type CliIo, type FetchOptions} from './io.js';
 
 export type HostDocument = {
@@ -13,13 +13,13 @@
 };
 
 /**
- * Asks all hosts at once.
+ * Fetches a document from all hosts concurrently.
  *
- * @param io - Reaches the hosts.
+ * @param io - Sends the requests.
  * @param hosts - Addresses of operators' ports, `IP:port` or a URL.
  * @param path - Path of the document.
- * @param options - Keys and patience.
- * @returns What came, in the order of the hosts, and what failed.
+ * @param options - CA file and timeout.
+ * @returns Documents and failures, each in the order of the hosts.
  */
 export async function fetchFromHosts(io: CliIo, hosts: readonly string[], path: string, options: FetchOptions): Promise<HostDocuments> {
 	const results = await Promise.all(hosts.map(async host => ({host, result: await io.fetchJson(host, path, options)})));
@@ -30,10 +30,10 @@
 }
 
 /**
- * Tells people which hosts did not answer.
+ * Writes one line for each host whose document could not be fetched.
  *
  * @param io - Output for errors.
- * @param failures - One for each such host.
+ * @param failures - One for each of these hosts.
  */
 export function writeFailures(io: CliIo, failures: readonly AccessFailure[]): void {
 	for (const {message} of failures) {
--- a/src/programs/cli/_lib/io.ts
+++ b/src/programs/cli/_lib/io.ts
@@ -1,4 +1,4 @@
-/** What commands need from outside, and how they end. */
+/** Input, output and results of commands. */
 import {type Result, type ResultAsync} from 'neverthrow';
 
 /**
@@ -6,7 +6,7 @@
  *
  * - 0: done, and nothing wrong was found.
  * - 1: faults were found in what was given.
- * - 2: the command itself was written wrongly.
+ * - 2: the command line was invalid.
  * - 3: a file or a host could not be read or reached.
  */
 export type ExitCode = 0 | 1 | 2 | 3;
@@ -18,7 +18,7 @@
 /** Why something could not be read, reached or written; the message names it and the remedy. */
 export type AccessFailure = {
 	message: string;
-	/** HTTP status of a host that did answer, with something else than 200. */
+	/** HTTP status of a host that did answer, with a status other than 200. */
 	status?: number;
 };
 
@@ -28,7 +28,7 @@
 	/** Reads a file, or the standard input for `-`. */
 	readText: (path: string) => ResultAsync<string, AccessFailure>;
 	writeText: (path: string, text: string) => ResultAsync<void, AccessFailure>;
-	/** Makes a folder unless it is there. */
+	/** Creates a folder unless it exists. */
 	makeFolder: (path: string) => ResultAsync<void, AccessFailure>;
 	/** Gets a JSON document from an operators' port. */
 	fetchJson: (host: string, path: string, options: FetchOptions) => ResultAsync<unknown, AccessFailure>;
@@ -40,14 +40,14 @@
 export type FetchOptions = {
 	/** File with certificates of the authorities that sign operators' ports, PEM. */
 	caFile: string | undefined;
-	/** Milliseconds. */
+	/** Time limit of each request. */
 	timeoutMs: number;
 };
 
 /** How a command ends: its exit code, or a failure that the caller reports. */
 export type CommandResult = Result<ExitCode, AccessFailure>;
 
-/** Writes JSON for programs, indented for people. */
+/** Formats a value as indented JSON that ends with a line break. */
 export function toJsonText(value: unknown): string {
 	return `${JSON.stringify(value, undefined, 2)}\n`;
 }
--- a/src/programs/cli/_lib/read-config.ts
+++ b/src/programs/cli/_lib/read-config.ts
@@ -14,12 +14,12 @@
 	createPartFinder, readDocumentFiles, toFileFault, toPartFile, type DocumentFiles,
 } from './read-folder.js';
 
-/** The largest value that the platform holds. */
+/** Largest value that the platform stores. */
 export const maxDocumentBytes = bytesPerMebibyte;
 
 export type CheckedConfig = {
 	text: string;
-	/** Of all its files. */
+	/** Size of all its files. */
 	bytes: number;
 	/** Number of its parts; 0 for a document in one file. */
 	parts: number;
@@ -69,7 +69,7 @@
 	});
 }
 
-/** Of a folder what counts is what `seal` writes, which checks it. */
+/** Checks the size of a document in one file. Of a document in parts the sealed files count, and `seal` checks their size. */
 function toSizeFaults({file, text, parts}: DocumentFiles, lastLine: number): readonly ConfigFault[] {
 	if (parts) {
 		return [];
@@ -85,11 +85,11 @@
 }
 
 /**
- * Ends a command whose document can't be used.
+ * Reports why a document can't be used, and ends the command with it.
  *
  * @param io - Output.
  * @param file - Path of the document.
- * @param failure - Why.
+ * @param failure - Why it can't be used.
  * @param json - Whether to write JSON.
  * @returns 1 with the faults written, or the failure to access the file.
  */
@@ -103,7 +103,7 @@
 	return ok(exitCodes.faults);
 }
 
-/** Messages about the whole document have their remedy behind a colon. */
+/** Creates a fault of the whole document from a message that has its remedy after the first colon. */
 function toDocumentFault(file: string, line: number, message: string): ConfigFault {
 	const [problem, ...remedy] = message.split(': ');
 	return {
@@ -112,7 +112,7 @@
 }
 
 /**
- * Writes faults for people, one a line, and their number.
+ * Formats faults as text, one a line, followed by their number.
  *
  * @param file - File in which they are.
  * @param faults - The faults.
--- a/src/programs/cli/_lib/read-folder.ts
+++ b/src/programs/cli/_lib/read-folder.ts
@@ -1,4 +1,4 @@
-/** Reads a document with its parts, which stand in one folder: `root.yaml` or `root.json`, and a file for each part under the part's name. */
+/** Reads a document with its parts, which are in one folder: `root.yaml` or `root.json`, and a file for each part under the part's name. */
 import path from 'node:path';
 import {err, ok, type Result} from 'neverthrow';
 import {readPlainValues, type ConfigFault} from '../../../domain/parse-config/index.js';
@@ -12,7 +12,7 @@
 export type TextFile = {file: string; text: string};
 
 export type DocumentFiles = TextFile & {
-	/** Files of its parts by name; `undefined` for a document in one file. A part without file is left out. */
+	/** Files of its parts by name; `undefined` for a document in one file. Parts without a file are left out. */
 	parts: ReadonlyMap<string, TextFile> | undefined;
 };
 
@@ -49,7 +49,7 @@
 	return ok({...root.value, parts});
 }
 
-/** The given path may be a folder; what it says as a file is told when it is neither. */
+/** Reads the root. The given path may be a file or a folder; when it is neither, the failure of reading it as a file is returned. */
 async function readRoot(io: CliIo, given: string): Promise<Result<TextFile, AccessFailure>> {
 	const text = await io.readText(given);
 	if (text.isOk() || given === '-') {
@@ -60,7 +60,7 @@
 	return root.andThen(found => found ? ok(found) : err(text.error));
 }
 
-/** Two files for one part may be an edit in the one and not in the other. */
+/** Refuses two files for one part, as an edit may be in one of them and not in the other. */
 async function readWithAnyExtension(io: CliIo, base: string): Promise<Result<TextFile | undefined, AccessFailure>> {
 	const found: TextFile[] = [];
 	for (const ending of extensions) {
@@ -75,7 +75,7 @@
 		: ok(found[0]);
 }
 
-/** Names that could lead out of the folder are left to the faults of the document. */
+/** Lists the names of parts. Names that could lead out of the folder are left out here and reported among the faults of the document. */
 function toPartNames(text: string): readonly string[] | undefined {
 	const list = /\bparts"?\s*:/.test(text) ? readPlainValues(text)?.parts : undefined;
 	if (!Array.isArray(list)) {
@@ -87,8 +87,8 @@
 }
 
 /**
- * Finds parts among files. A sealed root names digests, and a file that was
- * changed since is not the part.
+ * Creates a function that finds parts among files. A sealed root names the
+ * digests of its parts, so a file that was changed after sealing is not found.
  *
  * @param files - Files of a document.
  * @returns A function for `parseConfig`.
@@ -101,21 +101,21 @@
 }
 
 /**
- * Names the file of a part.
+ * Creates a function that names the file of a part.
  *
  * @param files - Files of a document.
- * @returns A function for `parseConfig`; of a part without file it gives the name that one would have.
+ * @returns A function for `parseConfig`; for a part without a file it gives the name that the file would have.
  */
 export function toPartFile({file, parts}: DocumentFiles): (name: string) => string {
 	return name => parts?.get(name)?.file ?? path.join(path.dirname(file), `${name}.json`);
 }
 
 /**
- * Says of a missing part what to do with its file, in place of what to publish.
+ * Rewords the fault of a missing part to say what to do with its file, instead of what to publish.
  *
  * @param files - Files of a document.
  * @param fault - A fault of the document.
- * @returns The fault for people.
+ * @returns The fault, reworded if it is about a missing part.
  */
 export function toFileFault(files: DocumentFiles, fault: ConfigFault): ConfigFault {
 	if (!fault.missing || fault.missing.sha256 === '') {
--- a/src/programs/cli/_lib/read-logs.ts
+++ b/src/programs/cli/_lib/read-logs.ts
@@ -1,10 +1,12 @@
-/** Reads log files of hosts, and says which lines are none of ours. */
+/** Reads log files of hosts, and reports how many of their lines are not log lines of banyanport. */
 import {ok, err, type Result} from 'neverthrow';
 import {parseLogLines, type LogLine} from '../../../domain/parse-log-lines/index.js';
 import {type AccessFailure, type CliIo} from './io.js';
 
 /**
- * @param io - The way to the files.
+ * Reads and parses log files.
+ *
+ * @param io - Reads files.
  * @param files - Files with lines of one or several hosts.
  * @returns All lines in order, or the first file that can't be read.
  */
@@ -21,7 +23,7 @@
 
 	const {lines, unreadable} = parseLogLines(texts);
 	if (unreadable > 0) {
-		io.writeError(`${unreadable} lines are not log lines of banyanport and were passed over\n`);
+		io.writeError(`${unreadable} lines are not log lines of banyanport and were skipped\n`);
 	}
 
 	return ok(lines);
--- a/src/programs/cli/_lib/seal-folder.ts
+++ b/src/programs/cli/_lib/seal-folder.ts
@@ -1,4 +1,4 @@
-/** Seals a document in parts into a folder, and says what to publish in which order. */
+/** Seals a document in parts into a folder, and lists what to publish in which order. */
 import path from 'node:path';
 import {err, ok, type Result} from 'neverthrow';
 import {isRecord} from '../../../_lib/is-record/index.js';
@@ -12,7 +12,7 @@
 export type PublishStep = {key: string; file: string};
 
 /**
- * Seals.
+ * Seals a document in parts.
  *
  * @param files - Root and parts.
  * @param previous - Text of the document in force or of its root.
@@ -26,9 +26,9 @@
  * Writes a sealed document into a folder.
  *
  * @param io - Writes files.
- * @param folder - Where they go; made if it is not there.
+ * @param folder - Folder for the files; created if it does not exist.
  * @param sealed - The document.
- * @returns What was not written.
+ * @returns Nothing, or why a file could not be written.
  */
 export async function writeSealed(io: CliIo, folder: string, sealed: SealedParts): Promise<Result<void, AccessFailure>> {
 	const made = await io.makeFolder(folder);
@@ -36,7 +36,7 @@
 		return err(made.error);
 	}
 
-	// The root last: until it is there the folder can't be taken for the whole.
+	// The root is written last: without it, a folder that was only partly written can't be taken for the whole document.
 	for (const {name, text} of [...sealed.parts, {name: 'root', text: sealed.text}]) {
 		const written = await io.writeText(toFile(folder, name), text);
 		if (written.isErr()) {
@@ -48,7 +48,7 @@
 }
 
 /**
- * Lists what to publish.
+ * Lists what to publish, in order.
  *
  * @param folder - Where the sealed document was written.
  * @param sealed - The document.
--- a/src/programs/cli/_lib/to-facts-text.ts
+++ b/src/programs/cli/_lib/to-facts-text.ts
@@ -1,8 +1,8 @@
 import {type RequestFacts} from '../../../domain/compile-rules/index.js';
 
 /**
- * Writes what is known of a request as options of `banyanport explain`, so that
- * it can be copied there.
+ * Formats facts of a request as options of `banyanport explain`, so that they
+ * can be copied to a command line.
  *
  * @param facts - Facts of a request.
  * @returns Options on one line.
--- a/src/programs/cli/_lib/to-host-texts.ts
+++ b/src/programs/cli/_lib/to-host-texts.ts
@@ -2,7 +2,7 @@
 import {type HostDocument} from './fetch-from-hosts.js';
 
 /**
- * Writes documents of hosts for people.
+ * Formats documents of hosts as text.
  *
  * @param documents - What each host answered.
  * @returns Each host's address, and its document indented below.
--- a/src/programs/cli/fleet.test.ts
+++ b/src/programs/cli/fleet.test.ts
@@ -1,6 +1,6 @@
 /**
- * The commands that look at hosts, against the real agent and entry: what they
- * show must be what happened to a request that was served just before.
+ * Runs the commands that query hosts against a real agent and entry. Their output
+ * must match a request that was served just before.
  */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
@@ -36,7 +36,7 @@
 }
 
 describe('banyanport on a fleet', () => {
-	it('shows status, burn and the account of a request', {timeout: 120_000}, async () => {
+	it('shows status, burn rates and the account of a request', {timeout: 120_000}, async () => {
 		const fleet = await startFleet({zones: ['dvorana-a']});
 		try {
 			const [host] = fleet.hosts;
--- a/src/programs/cli/main.ts
+++ b/src/programs/cli/main.ts
@@ -5,7 +5,7 @@
 import {exitCodes} from './_lib/io.js';
 import {runCli} from './run-cli/index.js';
 
-// A reader such as `head` may close the pipe early; that is no failure of ours.
+// A reader such as `head` may close the pipe early, which is not a failure of the command.
 process.stdout.on('error', (error: NodeJS.ErrnoException) => {
 	process.exit(error.code === 'EPIPE' ? exitCodes.fine : exitCodes.unreachable);
 });
--- a/src/programs/cli/run-account/index.ts
+++ b/src/programs/cli/run-account/index.ts
@@ -9,12 +9,12 @@
 const notFoundStatus = 404;
 
 /**
- * Looks for the account of a request on all hosts named.
+ * Looks for the account of a request on all given hosts.
  *
- * @param io - Output, and the way to the hosts.
+ * @param io - Output, and requests to hosts.
  * @param requestId - The answer's `x-request-id`.
  * @param hosts - Addresses of operators' ports of entries.
- * @param options - Keys, patience, `json` for programs.
+ * @param options - CA file and timeout; `json` for programs.
  * @returns 0 when one has it, 1 when none does, 3 when none does and one did not answer.
  */
 export async function runAccount(io: CliIo, requestId: string, hosts: readonly string[], options: FetchOptions & {json: boolean}): Promise<CommandResult> {
--- a/src/programs/cli/run-cli/index.ts
+++ b/src/programs/cli/run-cli/index.ts
@@ -18,7 +18,7 @@
 import {runTimeline} from '../run-timeline/index.js';
 
 const exitCodeHelp = `
-Exit codes: 0 fine; 1 faults found; 2 the command was written wrongly;
+Exit codes: 0 fine; 1 faults found; 2 the command line is invalid;
             3 a file or a host could not be read, written or reached.
 FILE may be "-" for the standard input. Each command has --help with examples.
 `;
@@ -77,7 +77,7 @@
 type Finish = (result: CommandResult) => void;
 
 const jsonHelp = 'write JSON for programs';
-const documentHelp = 'configuration document, YAML or JSON; of one in parts its folder or its root';
+const documentHelp = 'configuration document, YAML or JSON; for one in parts its folder or its root';
 
 function addDocumentCommands(program: Command, io: CliIo, finish: Finish): void {
 	program.command('check')
@@ -94,7 +94,7 @@
 		.argument('<file>', 'document to seal, or the folder or root of one in parts; an earlier seal in it is replaced')
 		.option('--follows <old>', 'the document in force, or its folder or root, which this one follows')
 		.option('--output <out>', 'file to write (default: the standard output); for a document in parts a folder, which must be named')
-		.addOption(new Option('--to <format>', 'write JSON whatever the input is; hosts read large documents faster so').choices(['json']))
+		.addOption(new Option('--to <format>', 'write JSON regardless of the input; hosts read large documents faster as JSON').choices(['json']))
 		.option('--json', 'write the result as a JSON object', false)
 		.addHelpText('after', toExamples(
 			'banyanport seal rules.yaml --output first.yaml',
@@ -109,7 +109,7 @@
 		});
 
 	program.command('split')
-		.description('Make a folder with a root and parts out of a document in one file, to be edited and sealed there.')
+		.description('Split a document in one file into a folder with a root and parts, to be edited and sealed there.')
 		.argument('<file>', 'configuration document, YAML or JSON')
 		.requiredOption('--output <folder>', 'folder to write')
 		.option('--entries <count>', 'rules, servers or hosts in a part', parseCount, 100)
@@ -120,10 +120,10 @@
 		});
 
 	program.command('diff')
-		.description('Show which requests change their way, on samples made from both rule lists.')
+		.description('Show which requests are decided differently, on samples made from both rule lists.')
 		.argument('<old>', 'document in force, or its folder or root')
-		.argument('<new>', 'document that shall follow, or its folder or root')
-		.option('--samples <count>', 'mixtures of values to try beside one request a rule', parseCount, 5000)
+		.argument('<new>', 'document that follows it, or its folder or root')
+		.option('--samples <count>', 'mixtures of values to try in addition to one request per rule', parseCount, 5000)
 		.option('--json', jsonHelp, false)
 		.addHelpText('after', toExamples('banyanport diff in-force.yaml rules.yaml', 'banyanport diff in-force.yaml rules.yaml --samples 50000 --json'))
 		.action(async (before: string, after: string, options: {samples: number; json: boolean}) => {
@@ -177,7 +177,7 @@
 	const add = (name: string, description: string) => addHostOptions(program.command(name)
 		.description(`${description} The token in BANYANPORT_OPERATOR_TOKEN is sent along.`));
 
-	add('status', 'Show what hosts say of themselves.')
+	add('status', 'Show the status documents of hosts.')
 		.addHelpText('after', toExamples('banyanport status 192.0.2.5:7404 192.0.2.5:7403'))
 		.action(async (hosts: readonly string[], options: HostFlags) => {
 			finish(await runStatus(io, hosts, toHostOptions(options)));
@@ -192,7 +192,7 @@
 			finish(await runAccount(io, requestId, hosts, toHostOptions(options)));
 		});
 
-	add('slo', 'Report how fast the error budgets of both targets are being spent, over all hosts named.')
+	add('slo', 'Report how fast the error budgets of both targets are being spent, over all given hosts.')
 		.option('--html <file>', 'also write a page with plots')
 		.addHelpText('after', toExamples('banyanport slo 192.0.2.5:7404 192.0.2.105:7404', 'banyanport slo 192.0.2.5:7404 --html burn.html'))
 		.action(async (hosts: readonly string[], options: HostFlags & {html?: string}) => {
@@ -203,9 +203,9 @@
 function addLogCommands(program: Command, io: CliIo, finish: Finish): void {
 	const logHelp = 'log files of one or several hosts';
 	program.command('explain-request')
-		.description('Tell what became of one request, from the log lines of all hosts.')
+		.description('Show what became of one request, from the log lines of all hosts.')
 		.argument('<file...>', logHelp)
-		.requiredOption('--id <request-id>', 'id that the caller sent or was told')
+		.requiredOption('--id <request-id>', 'request id that the caller sent or received')
 		.option('--json', jsonHelp, false)
 		.addHelpText('after', toExamples('banyanport explain-request front-a-1.log front-b-1.log --id 9c41d07be2a35f68'))
 		.action(async (files: readonly string[], options: {id: string; json: boolean}) => {
@@ -213,7 +213,7 @@
 		});
 
 	program.command('timeline')
-		.description('Show what hosts believed when, from their log lines: one row a change, with the first and the last host to know.')
+		.description('Show when hosts noticed changes, from their log lines: one row per change, with the first and the last host to notice it.')
 		.argument('<file...>', logHelp)
 		.option('--json', jsonHelp, false)
 		.addHelpText('after', toExamples('banyanport timeline front-a-1.log front-b-1.log'))
--- a/src/programs/cli/run-cli/test.ts
+++ b/src/programs/cli/run-cli/test.ts
@@ -18,7 +18,7 @@
 
 type Run = {code: number; out: string; errors: string; written: Readonly<Record<string, string>>};
 
-/** Runs a command line on files and hosts that stand in memory. */
+/** Runs a command line on files and hosts that are held in memory. */
 async function run(args: readonly string[], files: Readonly<Record<string, string>> = {}, documents: Readonly<Record<string, unknown>> = {}): Promise<Run> {
 	const lines = {out: '', errors: ''};
 	const written: Record<string, string> = {};
@@ -202,7 +202,7 @@
 		assert.match(undone.out, /config\.letters\./);
 	});
 
-	it('splits a document into a folder that means the same', async () => {
+	it('splits a document into a folder with the same meaning', async () => {
 		const split = await run(['split', 'a.yaml', '--entries', '2', '--output', 'folder'], files);
 		assert.match(split.out, /a root and \d+ parts are in folder; edit them there, then "banyanport seal folder/);
 		const diff = await run(['diff', 'a.yaml', 'folder'], {...files, ...split.written});
@@ -211,7 +211,7 @@
 		assert.equal(faults.code, 1);
 	});
 
-	it('refuses YAML that hosts do not read, and turns it into JSON that they do', async () => {
+	it('refuses YAML that is too large for hosts, and converts it to JSON that they read', async () => {
 		const large = {'large.yaml': `${`# ${'x'.repeat(98)}\n`.repeat(700)}${naslovnik}`};
 		for (const command of ['check', 'seal']) {
 			const {code, out, errors} = await run([command, 'large.yaml'], large);
@@ -234,7 +234,7 @@
 		}
 	});
 
-	it('asks a real operators\' port, and says so when the token is missing', async () => {
+	it('fetches from a real operators\' port, and reports a missing token', async () => {
 		const started = await startOperatorServer({
 			bind: '127.0.0.1', port: 0, readiness: () => ({ready: true, reasons: []}), metrics: () => '', status: () => ({edition: 4}), token: 'a-token-of-operators',
 		});
@@ -259,7 +259,7 @@
 		assert.match(gone._unsafeUnwrapErr().message, /nothing listens there/);
 	});
 
-	it('ends as a process with its exit code, and shows no stack trace', () => {
+	it('exits as a process with the exit code of the command, and shows no stack trace', () => {
 		const main = fileURLToPath(new URL('../main.js', import.meta.url));
 		const {status, stderr, stdout} = spawnSync(process.execPath, [main, 'check', 'no-such-file.yaml'], {encoding: 'utf8', timeout: 60_000});
 		assert.equal(status, 3);
--- a/src/programs/cli/run-diff/index.ts
+++ b/src/programs/cli/run-diff/index.ts
@@ -1,4 +1,4 @@
-/** `banyanport diff`: which requests change their way. */
+/** `banyanport diff`: which requests the next document decides differently. */
 import {ok} from 'neverthrow';
 import {type ConfigDiff, type ChangedRequests, diffConfigs} from '../../../domain/diff-configs/index.js';
 import {
@@ -12,7 +12,7 @@
 	json: boolean;
 };
 
-/** Groups of requests that are shown to people. */
+/** Groups of requests in the text output; JSON lists all. */
 const maxShownGroups = 20;
 
 /**
@@ -43,7 +43,7 @@
 	const more = requests.length > maxShownGroups ? [`... and ${requests.length - maxShownGroups} more kinds of change; --json lists all`] : [];
 	return [
 		...entries.map(({section, name, change}) => `${change} in ${section}: ${name}`),
-		`${changed} of ${sampled} sample requests change their way. The samples come from both rule lists; their shares are not those of your traffic.`,
+		`${changed} of ${sampled} sample requests change their decision. The samples are made from both rule lists; their shares are not those of your traffic.`,
 		...requests.slice(0, maxShownGroups).flatMap(group => toGroupLines(group)),
 		...more,
 		'',
--- a/src/programs/cli/run-explain-request/index.ts
+++ b/src/programs/cli/run-explain-request/index.ts
@@ -1,4 +1,4 @@
-/** `banyanport explain-request`: one request's story from the log lines of all hosts. */
+/** `banyanport explain-request`: the history of one request from the log lines of all hosts. */
 import {err, ok} from 'neverthrow';
 import {type LogLine} from '../../../domain/parse-log-lines/index.js';
 import {toFieldsText, toRequestHistory} from '../../../domain/to-request-history/index.js';
@@ -8,12 +8,12 @@
 import {readLogs} from '../_lib/read-logs.js';
 
 /**
- * Tells the story.
+ * Writes the history of a request.
  *
  * @param io - Files and output.
  * @param files - Log files of hosts, `-` for the standard input.
  * @param options - The request's id; `json` for programs.
- * @returns 0 when a host wrote of the request, 1 when none did, 3 when a file can't be read.
+ * @returns 0 when a log line names the request, 1 when none does, 3 when a file can't be read.
  */
 export async function runExplainRequest(io: CliIo, files: readonly string[], options: {id: string; json: boolean}): Promise<CommandResult> {
 	const read = await readLogs(io, files);
@@ -48,7 +48,7 @@
 		...beliefs.map(line => ({at: line.at, text: toRow(line, '~')})),
 	].toSorted((a, b) => a.at - b.at);
 	return [
-		`${new Date(first.at).toISOString()}  request received; "~" marks what its host came to believe around it`,
+		`${new Date(first.at).toISOString()}  request received; "~" marks changes that its host noticed around that time`,
 		...rows.map(({text}) => text),
 		`ended: ${verdict ?? 'its end is not among these lines'}`,
 		'',
--- a/src/programs/cli/run-explain/index.ts
+++ b/src/programs/cli/run-explain/index.ts
@@ -9,17 +9,17 @@
 import {reportReadFailure, readConfig} from '../_lib/read-config.js';
 import {toFactsText} from '../_lib/to-facts-text.js';
 
-/** What the caller of the command says of the request; the rest gets the usual values. */
+/** Facts of the request that the user gives; the others get default values. */
 export type RunExplainOptions = Partial<Omit<RequestFacts, 'headers'>> & {
 	headers: Readonly<Record<string, string>>;
 	json: boolean;
 };
 
-/** Passed-over rules that are shown to people, the last ones before the deciding one. */
+/** Passed-over rules in the text output, the last ones before the deciding one; JSON lists all. */
 const maxShownRules = 50;
 
 /**
- * Explains a decision.
+ * Explains which rule decides about a request.
  *
  * @param io - Input and output.
  * @param file - Path of the document, or `-`.
@@ -81,7 +81,7 @@
 		`  pool: ${then.pool}`,
 		`  class: ${then.class}, ${then.repeatable ? 'repeatable' : 'not repeatable: runs at most once and needs an Idempotency-Key'}`,
 		`  targets: first token ${then.target.firstTokenMs}ms, per token ${then.target.perTokenMs}ms, complete ${then.target.completeMs}ms`,
-		`  queue limit: ${then.queueLimit} requests a host`,
+		`  queue limit: ${then.queueLimit} requests per host`,
 		...(versions === '' ? [] : [`  versions: ${versions}`]),
 		...(then.adapter === undefined ? [] : [`  adapter: ${then.adapter}`]),
 	];
--- a/src/programs/cli/run-seal/index.ts
+++ b/src/programs/cli/run-seal/index.ts
@@ -16,9 +16,9 @@
 export type RunSealOptions = {
 	/** File of the document in force; without it the result is edition 1. */
 	follows: string | undefined;
-	/** Where the sealed document goes; the standard output without it. For a document in parts a folder, which must be named. */
+	/** File for the sealed document; without it the document goes to the standard output. A document in parts needs it, as a folder. */
 	output: string | undefined;
-	/** Writes JSON whatever the input is, as is always done with parts. */
+	/** Writes JSON regardless of the input; parts are always written as JSON. */
 	to: 'json' | undefined;
 	json: boolean;
 };
@@ -100,7 +100,7 @@
 	io.write([
 		'publish in this order, the root last:',
 		...publish.map(step => `  ${step.key}  ${step.file}`),
-		...(unchangedCount > 0 ? [`${unchangedCount} other parts are as in the document that it follows and stay as they are on the platform`] : []),
+		...(unchangedCount > 0 ? [`${unchangedCount} other parts are the same as in the document that it follows, and are on the platform already`] : []),
 		'',
 	].join('\n'));
 	return ok(exitCodes.fine);
@@ -120,7 +120,7 @@
 	});
 }
 
-/** A document with faults is returned as it is, so that its faults have their own lines. */
+/** Converts a document to JSON. One with faults is returned unchanged, so that its faults are reported at their own lines. */
 function toJson(text: string): string {
 	const end = splitConfigEnd(text);
 	const plain = end.kind === 'missing' ? text : addPlainEnd(end.body, end.format);
--- a/src/programs/cli/run-settings/index.ts
+++ b/src/programs/cli/run-settings/index.ts
@@ -14,12 +14,12 @@
 
 /**
  * Lists the settings of a program, with the values that it would start with
- * under the given flags and the present environment.
+ * under the given flags and the current environment.
  *
  * @param io - Output and environment.
  * @param program - Which program.
  * @param options - Flags of the program; `json` for programs.
- * @returns 0, or 1 when flags or environment are wrong; missing settings are no fault unless flags are given.
+ * @returns 0, or 1 when flags or environment are wrong; missing settings count as faults only if flags are given.
  */
 export async function runSettings(io: CliIo, program: SettingsProgram, options: {flags: readonly string[]; json: boolean}): Promise<CommandResult> {
 	const {rows, faults} = listings[program](io, options.flags);
--- a/src/programs/cli/run-slo/index.ts
+++ b/src/programs/cli/run-slo/index.ts
@@ -11,18 +11,18 @@
 } from '../_lib/io.js';
 
 export type RunSloOptions = FetchOptions & {
-	/** File to which the HTML page with plots goes. */
+	/** File for the HTML page with plots. */
 	html: string | undefined;
 	json: boolean;
 };
 
 /**
- * Reports the burn of the hosts together.
+ * Reports the burn rates over all hosts.
  *
- * @param io - Output, and the way to the hosts.
+ * @param io - Output, and requests to hosts.
  * @param hosts - Addresses of operators' ports of entries.
- * @param options - Form of the report, keys, patience.
- * @returns 0 when all hosts answered, 3 when one did not; what the others said is reported all the same.
+ * @param options - Form of the report, CA file and timeout.
+ * @returns 0 when all hosts answered, 3 when one did not; the documents of the others are reported in any case.
  */
 export async function runSlo(io: CliIo, hosts: readonly string[], options: RunSloOptions): Promise<CommandResult> {
 	const fetched = await fetchFromHosts(io, hosts, '/slo', options);
--- a/src/programs/cli/run-split/index.ts
+++ b/src/programs/cli/run-split/index.ts
@@ -1,4 +1,4 @@
-/** `banyanport split`: makes a folder with root and parts out of a document in one file. */
+/** `banyanport split`: splits a document in one file into a folder with a root and parts. */
 import path from 'node:path';
 import {err, ok} from 'neverthrow';
 import {splitConfig} from '../../../domain/split-config/index.js';
@@ -8,7 +8,7 @@
 import {toFaultText} from '../_lib/read-config.js';
 
 export type RunSplitOptions = {
-	/** Entries of a part. */
+	/** Number of entries in each part. */
 	entries: number;
 	/** Folder for root and parts. */
 	output: string;
@@ -20,7 +20,7 @@
  *
  * @param io - Input and output.
  * @param file - Path of the document, or `-`.
- * @param options - How long parts are and where they go.
+ * @param options - Size of the parts and where they are written.
  * @returns 0 when it was written, 1 when it has faults.
  */
 export async function runSplit(io: CliIo, file: string, {entries, output, json}: RunSplitOptions): Promise<CommandResult> {
--- a/src/programs/cli/run-status/index.ts
+++ b/src/programs/cli/run-status/index.ts
@@ -1,4 +1,4 @@
-/** `banyanport status`: what hosts say of themselves. */
+/** `banyanport status`: the status documents of hosts. */
 import {ok} from 'neverthrow';
 import {fetchFromHosts, writeFailures} from '../_lib/fetch-from-hosts.js';
 import {
@@ -9,9 +9,9 @@
 /**
  * Shows the status documents of hosts.
  *
- * @param io - Output, and the way to the hosts.
+ * @param io - Output, and requests to hosts.
  * @param hosts - Addresses of operators' ports.
- * @param options - Keys, patience, `json` for programs.
+ * @param options - CA file and timeout; `json` for programs.
  * @returns 0 when all answered, 3 when one did not.
  */
 export async function runStatus(io: CliIo, hosts: readonly string[], options: FetchOptions & {json: boolean}): Promise<CommandResult> {
--- a/src/programs/cli/run-timeline/index.ts
+++ b/src/programs/cli/run-timeline/index.ts
@@ -1,4 +1,4 @@
-/** `banyanport timeline`: what hosts believed when, from their log lines. */
+/** `banyanport timeline`: when hosts noticed changes, from their log lines. */
 import {err, ok} from 'neverthrow';
 import {toEventTimeline, type TimelineRow} from '../../../domain/to-event-timeline/index.js';
 import {
@@ -6,7 +6,7 @@
 } from '../_lib/io.js';
 import {readLogs} from '../_lib/read-logs.js';
 
-/** Hosts named in a row; of more, their number. */
+/** Maximum number of hosts named in a row; for more hosts the row gives their number. */
 const maxNamedHosts = 3;
 
 /**
