--- a/scripts/_mutation/modules.ts
+++ b/scripts/_mutation/modules.ts
@@ -1,4 +1,4 @@
-/** Modules whose tests are tried with mutants, worst first, and the tests that are to notice them. */
+/** Modules for mutation testing, worst first, and the tests that must kill their mutants. */
 
 export type MutatedModule = {
 	name: string;
@@ -16,7 +16,7 @@
 
 const followTests = ['test.ts', 'eras.test.ts', 'pace.test.ts', 'model.test.ts'].map(file => `src/programs/entry/follow-published/${file}`);
 
-/** Each with its own tests, and with those that play it together with what stands around it. */
+/** Each module with its own tests, and with those that run it together with the code around it. */
 export const mutatedModules: readonly MutatedModule[] = [
 	toDomainModule('create-retry-budget'),
 	toDomainModule('to-retry-share'),
--- a/scripts/_mutation/to-mutation-table.ts
+++ b/scripts/_mutation/to-mutation-table.ts
@@ -1,4 +1,4 @@
-/** The page that shows, for each module, how many of its mutants the tests notice. */
+/** The page that shows, for each module, how many of its mutants the tests kill. */
 import {msPerMinute} from '../../src/ports/units.js';
 import {type Milliseconds} from '../../src/ports/clock.js';
 
@@ -11,11 +11,11 @@
 };
 
 const head = [
-	'# Mutants that the tests notice',
+	'# Mutants that the tests kill',
 	'',
-	'Written by `npm run mutate -- MODULE...`, which changes a module in one small place at a time and runs its tests. A mutant is noticed when a test fails or hangs; one that stands is a missing test, code that does nothing, or the same program written otherwise. Those left out have their reason in the code.',
+	'Written by `npm run mutate -- MODULE...`, which changes a module in one small place at a time and runs its tests. A mutant is killed when a test fails or hangs. One that survives points to a missing test, to code without effect, or to a mutant that is equivalent to the original. Ignored mutants have their reason in the code.',
 	'',
-	'| module | mutants | noticed | stand | not reached by a test | left out | noticed, % | minutes |',
+	'| module | mutants | killed | survived | not covered by a test | ignored | killed, % | minutes |',
 	'|---|---|---|---|---|---|---|---|',
 ];
 
@@ -32,10 +32,10 @@
 const toModule = (row: string): string => /^\| `([^`]+)`/v.exec(row)?.[1] ?? '';
 
 /**
- * Writes the page anew with the results of a run.
+ * Updates the page with the results of a run.
  *
- * @param page - The page as it is; empty before the first run.
- * @param runs - What was tried now; rows of other modules stay as they are.
+ * @param page - The current page; empty before the first run.
+ * @param runs - Results of this run; rows of other modules stay as they are.
  * @param order - Names of all modules, in the order of the rows.
  * @returns The page.
  */
--- a/scripts/mutate.ts
+++ b/scripts/mutate.ts
@@ -1,8 +1,8 @@
 /**
- * Tries the tests of modules with mutants and writes down how many they notice.
+ * Runs mutation tests on modules and records how many mutants their tests kill.
  *
  * Usage: `npm run mutate -- [--jobs N] MODULE...`; without a module, a list of
- * them. The report, as text and HTML, goes to `out/mutation`.
+ * the modules. The report, as text and HTML, goes to `out/mutation`.
  */
 import {mkdirSync, readFileSync, writeFileSync} from 'node:fs';
 import process from 'node:process';
@@ -15,7 +15,7 @@
 const pagePath = 'docs/MUTATION.md';
 const reportFolder = 'out/mutation';
 
-/** Longest that the tests of one module may take beyond their usual time before a mutant counts as noticed by hanging, milliseconds. */
+/** Time by which the tests of a module may exceed their usual duration before a mutant counts as killed by a timeout. */
 const mutantTimeoutMs = 20_000;
 
 const names = mutatedModules.map(({name}) => name);
@@ -72,7 +72,7 @@
 	try {
 		return readFileSync(pagePath, 'utf8');
 	} catch (error) {
-		console.log(`${pagePath} is written anew: ${error instanceof Error ? error.message : String(error)}`);
+		console.log(`${pagePath} can't be read and is created anew: ${error instanceof Error ? error.message : String(error)}`);
 		return '';
 	}
 }
@@ -81,14 +81,14 @@
 	mkdirSync(reportFolder, {recursive: true});
 	for (const module of modules) {
 		const run = await testModule(module, jobs);
-		// Written after each, as a module may take many minutes.
+		// Written after each module, as one may take many minutes.
 		writeFileSync(pagePath, toMutationTable(readPage(), [run], names));
 	}
 }
 
 const command = new Command('mutate')
-	.description('Tries the tests of modules with mutants.')
+	.description('Runs mutation tests on modules.')
 	.argument('<modules...>', `any of: ${names.join(', ')}`, (name: string, previous: MutatedModule[] = []) => [...previous, findModule(name)])
-	.option('--jobs <number>', 'mutants tried at once', parseJobs, 1)
+	.option('--jobs <number>', 'mutants tested at the same time', parseJobs, 1)
 	.action(mutate);
 await command.parseAsync(process.argv);
--- a/scripts/run-tests.ts
+++ b/scripts/run-tests.ts
@@ -1,12 +1,12 @@
 /**
- * Runs every test file of the tree and passes over the failures listed in
- * `KNOWN-RED.txt` alone. Files are listed from the sources, so that the build
- * output of a deleted test is never run.
+ * Runs every test file of the tree. Only failures listed in `KNOWN-RED.txt` are
+ * passed over. Files are listed from the sources, so that the build output of a
+ * deleted test is never run.
  *
  * Usage: `node dist/scripts/run-tests.js [path fragment ...]` runs the files
  * whose path contains one of the fragments. With `--properties` before them,
- * only files with properties of fast-check run. What the properties draw comes
- * from one seed, see `use-test-seed.ts`.
+ * only files with properties of fast-check run. The inputs of the properties
+ * come from one seed, see `use-test-seed.ts`.
  */
 import {existsSync, readFileSync, readdirSync} from 'node:fs';
 import path from 'node:path';
@@ -31,7 +31,7 @@
 
 	const lines = readFileSync('KNOWN-RED.txt', 'utf8').split('\n').filter(line => line.trim() !== '');
 	if (lines.length > knownRedLimit) {
-		throw new Error(`KNOWN-RED.txt has ${lines.length} lines; ${knownRedLimit} are allowed. Mend a test first.`);
+		throw new Error(`KNOWN-RED.txt has ${lines.length} lines; ${knownRedLimit} are allowed. Fix a test first.`);
 	}
 
 	return lines.map(line => ({test: line.split('|')[0]!.trim(), line}));
--- a/scripts/use-test-seed.ts
+++ b/scripts/use-test-seed.ts
@@ -1,8 +1,8 @@
 /**
  * Loaded before each test file: gives the properties of fast-check one seed, so
- * that two runs of the same code have the same verdict. `FUZZ_SEED` names
- * another, or `random`; `FUZZ_RUNS` multiplies the runs of each property that
- * sets no `numRuns` of its own.
+ * that two runs of the same code give the same result. `FUZZ_SEED` sets another
+ * seed, or `random` for a new one each time; `FUZZ_RUNS` multiplies the runs of
+ * each property that sets no `numRuns` of its own.
  */
 import process from 'node:process';
 import fc from 'fast-check';
--- a/src/_lib/create-timeout-signal/index.ts
+++ b/src/_lib/create-timeout-signal/index.ts
@@ -1,25 +1,25 @@
 import {type Milliseconds} from '../../ports/clock.js';
 
-/** A longer timer fires at once. */
+/** Longest delay of a timer in Node; a timer with a longer one fires at once. */
 const maxTimerMs: Milliseconds = 0x7F_FF_FF_FF;
 
 /**
- * Makes a signal that aborts after a time, or with another one.
+ * Creates a signal that aborts after a timeout, or together with another signal.
  *
- * `AbortSignal.timeout` under `AbortSignal.any` is held by nothing but weak
- * references on Node 20: once garbage was collected, none of a hundred such
- * limits fired, and a call to a silent server held its request until its caller
- * left. Here the timer holds the signal. It also takes the fraction of a
- * millisecond that is left of a deadline on a monotonic clock, at which
- * `AbortSignal.timeout` throws.
+ * On Node 20 only weak references hold an `AbortSignal.timeout` that is combined
+ * by `AbortSignal.any`: after a garbage collection none of a hundred such
+ * timeouts fired, and a call to a silent server held its request until its
+ * caller left. Here the timer holds the signal. The function also accepts the
+ * fraction of a millisecond that is left until a deadline on a monotonic clock;
+ * `AbortSignal.timeout` throws on fractions.
  *
- * @param timeoutMs - Time, rounded up; 1 ms at least.
- * @param signal - Aborts sooner.
+ * @param timeoutMs - Time until the abort in milliseconds, rounded up; 1 ms at least.
+ * @param signal - Signal whose abort ends the wait sooner.
  * @returns The signal; its timer does not keep the process alive.
  *
  * @example
  * ```ts
- * toLimitSignal(deadline - now, run.signal);
+ * createTimeoutSignal(deadline - now, run.signal);
  * ```
  */
 export function createTimeoutSignal(timeoutMs: Milliseconds, signal: AbortSignal): AbortSignal {
--- a/src/_lib/create-timeout-signal/test.ts
+++ b/src/_lib/create-timeout-signal/test.ts
@@ -6,18 +6,18 @@
 import fc from 'fast-check';
 import {createTimeoutSignal} from './index.js';
 
-describe('toLimitSignal', () => {
-	it('takes any time that may be left, also a fraction, none, or less than none', () => {
+describe('createTimeoutSignal', () => {
+	it('accepts any remaining time, also a fraction, zero or a negative number', () => {
 		fc.assert(fc.property(fc.double({min: -1e6, max: 1e6, noNaN: true}), limitMs => {
 			assert.equal(createTimeoutSignal(limitMs, new AbortController().signal).aborted, false);
 		}));
 	});
 
 	/*
-	 * A server is silent. The limit of the call to it was collected as garbage before
-	 * it fired, so its request waited until its caller had gone, 14 s later.
+	 * Guards against a timeout that is collected as garbage before it fires: a call to
+	 * a silent server then waited until its caller had disconnected, 14 s later.
 	 */
-	it('fires though garbage is collected meanwhile', async () => {
+	it('fires even if garbage is collected in the meantime', async () => {
 		v8.setFlagsFromString('--expose_gc');
 		const collectGarbage = vm.runInNewContext('gc') as () => void;
 		const other = new AbortController();
--- a/src/_lib/pick-ranked/index.ts
+++ b/src/_lib/pick-ranked/index.ts
@@ -2,9 +2,9 @@
 
 /**
  * Picks names for a key by rendezvous hashing: every host picks the same from
- * the same names, and a name that goes moves only what it had won.
+ * the same names, and removing a name moves only the keys that it had won.
  *
- * @param key - What is to be placed.
+ * @param key - Key to place.
  * @param names - Candidates.
  * @param count - How many to pick.
  * @returns The winners, best first; fewer where there are fewer candidates.
--- a/src/_lib/pick-ranked/test.ts
+++ b/src/_lib/pick-ranked/test.ts
@@ -16,7 +16,7 @@
 		}));
 	});
 
-	it('gives what a gone name had won to the next, and moves nothing else', () => {
+	it('moves the keys of a removed name to the next name, and no other keys', () => {
 		fc.assert(fc.property(fc.string(), names, fc.nat(25), fc.nat(), (key, candidates, count, which) => {
 			const gone = candidates[which % Math.max(1, candidates.length)];
 			const ranked = pickRanked(key, candidates, candidates.length);
--- a/src/_lib/pick-weighted/index.ts
+++ b/src/_lib/pick-weighted/index.ts
@@ -1,10 +1,10 @@
 import {type Random} from '../../ports/clock.js';
 
 /**
- * Draws one entry of a list by weight.
+ * Picks a random entry of a list by weight.
  *
  * @param entries - Entries with weights of 0 or more.
- * @param random - Source of chance.
+ * @param random - Source of random numbers from 0 up to, but not including, 1.
  * @returns The entry; `undefined` when the list is empty or all weights are 0.
  *
  * @example
--- a/src/_lib/slo/index.ts
+++ b/src/_lib/slo/index.ts
@@ -5,7 +5,7 @@
 import {type ServiceClass} from '../../ports/outcome.js';
 import {msPerHour, msPerMinute} from '../../ports/units.js';
 
-/** What can be wrong with a request. */
+/** Reasons for which a request counts as bad. */
 export const badCauses = ['lateFirstToken', 'latePerToken', 'lateComplete', 'refused', 'failed'] as const;
 
 export type BadCause = typeof badCauses[number];
@@ -13,7 +13,7 @@
 /** Fields of {@link Counts}, in the order in which rings keep them. */
 export const countFields = ['total', 'bad', ...badCauses] as const;
 
-/** Requests of a span of time. One bad request may count under several causes. */
+/** Numbers of requests in a span of time. One bad request may count under several causes. */
 export type Counts = Readonly<Record<typeof countFields[number], number>>;
 
 export const windowNames = ['5m', '30m', '1h', '6h', '24h'] as const;
@@ -40,7 +40,7 @@
 	quarters?: readonly Counts[] | undefined;
 };
 
-/** What one host knows, or several added together. */
+/** Counts of one host, or the sum over several hosts. */
 export type SloDocument = {
 	version: 1;
 	hosts: readonly string[];
--- a/src/_lib/split-config-end/index.ts
+++ b/src/_lib/split-config-end/index.ts
@@ -1,7 +1,7 @@
 /**
- * The last lines of a configuration document say that it is whole: the plain
- * end mark, or the seal. Both are read from the text and not from the parsed
- * document, because a truncated YAML text often parses.
+ * The last lines of a configuration document show that it is complete: they hold
+ * the plain end mark or the seal. Both are read from the text and not from the
+ * parsed document, because a truncated YAML text often parses.
  */
 
 export type ConfigFormat = 'yaml' | 'json';
@@ -41,14 +41,14 @@
 	json: /,\s*(?:"edition"\s*:\s*([1-9]\d{0,14})\s*,\s*)?"end"\s*:\s*"banyanport"\s*}\s*$/,
 } as const;
 
-/** More than either end ever takes; the patterns look at this much of the text alone, so that they stay fast at a megabyte. */
+/** More characters than any end has. The patterns search only this much of the text's tail, so that they stay fast on a document of a megabyte. */
 const maxEndLength = 1024;
 
 /**
- * Takes the end mark or seal off a document.
+ * Splits a document into its body and its end mark or seal.
  *
  * @param text - The document, YAML or JSON.
- * @returns What the end says and the text before it; `missing` when the document is not whole.
+ * @returns Fields of the end and the text before it; `missing` when the document is incomplete.
  *
  * @example
  * ```ts
--- a/src/_lib/to-age/index.ts
+++ b/src/_lib/to-age/index.ts
@@ -1,11 +1,11 @@
 import {type Milliseconds} from '../../ports/clock.js';
 
 /**
- * How long ago something was, for a log line or a status.
+ * Computes how long ago an event happened, for a log line or a status document.
  *
- * @param at - Monotonic milliseconds; `undefined` or not finite where it never was.
+ * @param at - Monotonic milliseconds; `undefined` or not finite if the event never happened.
  * @param now - Monotonic milliseconds.
- * @returns Whole milliseconds; `undefined` where it never was.
+ * @returns Whole milliseconds; `undefined` if the event never happened.
  *
  * @example
  * ```ts
--- a/src/_lib/to-age/test.ts
+++ b/src/_lib/to-age/test.ts
@@ -7,7 +7,7 @@
 		assert.equal(toAge(100.2, 350), 250);
 	});
 
-	it('has none for what never was', () => {
+	it('returns nothing for an event that never happened', () => {
 		assert.equal(toAge(undefined, 350), undefined);
 		assert.equal(toAge(-Infinity, 350), undefined);
 	});
--- a/src/_lib/to-hash32/index.ts
+++ b/src/_lib/to-hash32/index.ts
@@ -21,7 +21,7 @@
 
 /**
  * Hashes a text to 32 bits: FNV-1a over its UTF-16 units, then
- * {@link mixBits32}, so that near texts come out far apart. Not for secrets.
+ * {@link mixBits32}, so that similar texts get very different hashes. Not for secrets.
  *
  * @param text - Any text.
  * @returns An integer from 0 to 2^32 - 1.
--- a/src/_lib/to-log-step/index.ts
+++ b/src/_lib/to-log-step/index.ts
@@ -2,11 +2,11 @@
 const maxStep = 255;
 
 /**
- * Rounds a count to one byte on a scale of six steps to a doubling: within 6 %
- * from 1 up to 2^42.
+ * Encodes a count in one byte on a logarithmic scale of six steps per doubling,
+ * which is accurate within 6 % from 1 up to 2^42.
  *
  * @param value - At least 0; below 1 is 0.
- * @param round - Way of rounding between two steps.
+ * @param round - Function that rounds a fractional step.
  * @returns 0 to 255.
  *
  * @example
@@ -19,7 +19,7 @@
 }
 
 /**
- * Reads what {@link toLogStep} wrote.
+ * Decodes a step of {@link toLogStep}.
  *
  * @param step - 0 to 255.
  * @returns The count.
--- a/src/_lib/wait-for/index.ts
+++ b/src/_lib/wait-for/index.ts
@@ -17,7 +17,7 @@
 		return;
 	}
 
-	// The timer of `node:timers/promises` does the same at twice the cost, which counts where a process does little else.
+	// The timer of `node:timers/promises` does the same at twice the cost, which matters in a process that does little else.
 	await new Promise<void>(resolve => {
 		const end = () => {
 			clearTimeout(timer);
