--- a/src/programs/cli/run-explain/index.ts
+++ b/src/programs/cli/run-explain/index.ts
@@ -6,20 +6,20 @@
 import {
 	type CliIo, type CommandResult, exitCodes, toJsonText,
 } from '../_lib/io.js';
-import {endUnusable, readConfig} from '../_lib/read-config.js';
+import {reportReadFailure, readConfig} from '../_lib/read-config.js';
 import {toFactsText} from '../_lib/to-facts-text.js';
 
-/** What the caller of the command says of the request; the rest gets the usual values. */
+/** Facts of the request that the user gives; the others get default values. */
 export type RunExplainOptions = Partial<Omit<RequestFacts, 'headers'>> & {
 	headers: Readonly<Record<string, string>>;
 	json: boolean;
 };
 
-/** Passed-over rules that are shown to people, the last ones before the deciding one. */
-const shownRules = 50;
+/** Passed-over rules in the text output, the last ones before the deciding one; JSON lists all. */
+const maxShownRules = 50;
 
 /**
- * Explains a decision.
+ * Explains which rule decides about a request.
  *
  * @param io - Input and output.
  * @param file - Path of the document, or `-`.
@@ -29,7 +29,7 @@
 export async function runExplain(io: CliIo, file: string, options: RunExplainOptions): Promise<CommandResult> {
 	const read = await readConfig(io, file);
 	if (read.isErr()) {
-		return endUnusable(io, file, read.error, options.json);
+		return reportReadFailure(io, file, read.error, options.json);
 	}
 
 	const {config} = read.value;
@@ -57,7 +57,7 @@
 }
 
 function toText(facts: RequestFacts, {deciding, passedOver}: RuleExplanation, servers: ReturnType<typeof toServers>): string {
-	const hidden = passedOver.length - shownRules;
+	const hidden = passedOver.length - maxShownRules;
 	return [
 		`request: ${toFactsText(facts)}`,
 		...(hidden > 0 ? [`... ${hidden} rules passed over; --json lists all`] : []),
@@ -81,7 +81,7 @@
 		`  pool: ${then.pool}`,
 		`  class: ${then.class}, ${then.repeatable ? 'repeatable' : 'not repeatable: runs at most once and needs an Idempotency-Key'}`,
 		`  targets: first token ${then.target.firstTokenMs}ms, per token ${then.target.perTokenMs}ms, complete ${then.target.completeMs}ms`,
-		`  queue limit: ${then.queueLimit} requests a host`,
+		`  queue limit: ${then.queueLimit} requests per host`,
 		...(versions === '' ? [] : [`  versions: ${versions}`]),
 		...(then.adapter === undefined ? [] : [`  adapter: ${then.adapter}`]),
 	];
--- a/src/programs/cli/run-timeline/index.ts
+++ b/src/programs/cli/run-timeline/index.ts
@@ -1,4 +1,4 @@
-/** `banyanport timeline`: what hosts believed when, from their log lines. */
+/** `banyanport timeline`: when hosts noticed changes, from their log lines. */
 import {err, ok} from 'neverthrow';
 import {toEventTimeline, type TimelineRow} from '../../../domain/to-event-timeline/index.js';
 import {
@@ -6,7 +6,7 @@
 } from '../_lib/io.js';
 import {readLogs} from '../_lib/read-logs.js';
 
-/** Hosts named in a row; of more, their number. */
+/** Maximum number of hosts named in a row; for more hosts the row gives their number. */
 const maxNamedHosts = 3;
 
 /**
@@ -29,7 +29,7 @@
 }
 
 function toRowText({message, subject, firstAt, lastAt, hosts}: TimelineRow): string {
-	const who = hosts.length <= maxNamedHosts ? hosts.join(' ') : `${hosts.length} hosts, ${hosts[0]} first, ${hosts.at(-1)} last`;
-	const spread = lastAt > firstAt ? ` (all within ${lastAt - firstAt} ms)` : '';
-	return `${new Date(firstAt).toISOString()}  ${message}  ${subject}  ${who}${spread}`;
+	const hostsText = hosts.length <= maxNamedHosts ? hosts.join(' ') : `${hosts.length} hosts, ${hosts[0]} first, ${hosts.at(-1)} last`;
+	const spreadText = lastAt > firstAt ? ` (all within ${lastAt - firstAt} ms)` : '';
+	return `${new Date(firstAt).toISOString()}  ${message}  ${subject}  ${hostsText}${spreadText}`;
 }
