--- a/bench/_lib/create-random.ts
+++ b/bench/_lib/create-random.ts
@@ -1,7 +1,7 @@
 /**
- * Creates a source of numbers from a seed: Park and Miller's generator.
+ * Creates a seeded random number generator (Park-Miller).
  *
- * @param seed - A whole number from 1; far apart for streams that should not be alike.
+ * @param seed - Integer from 1; seeds of independent streams should be far apart.
  * @returns Numbers in [0, 1), the same for the same seed.
  */
 export function createRandom(seed: number): () => number {
--- a/bench/_lib/read-process.ts
+++ b/bench/_lib/read-process.ts
@@ -1,14 +1,14 @@
-/** What the system knows of a process; Linux alone. */
+/** Reads resource usage of a process from `/proc` (Linux only). */
 import {readFileSync} from 'node:fs';
 
-/** Of `/proc`, and the same on every Linux that we run on. */
+/** Unit of the times in `/proc`; the same on every supported Linux. */
 const ticksPerSecond = 100;
 const kibibytesPerMebibyte = 1024;
 
 /**
  * Reads the processor time that a process has used.
  *
- * @param pid - The process.
+ * @param pid - Process ID.
  * @returns User and system time, seconds.
  */
 export function readCpuSeconds(pid: number): number {
@@ -17,11 +17,11 @@
 }
 
 /**
- * Reads a figure of a process's memory.
+ * Reads one memory figure of a process.
  *
- * @param pid - The process.
- * @param name - Name of its line, for example `VmRSS`.
- * @param file - File of `/proc` that has the line.
+ * @param pid - Process ID.
+ * @param name - Name of the line, for example `VmRSS`.
+ * @param file - File of `/proc/<pid>` that contains the line.
  * @returns Mebibytes.
  */
 export function readMemoryMb(pid: number, name: string, file = 'status'): number {
--- a/bench/split-pool/_lib/create-engines.ts
+++ b/bench/split-pool/_lib/create-engines.ts
@@ -1,47 +1,49 @@
 /**
- * Engines of a pool, as far as they bind: prompts one after the other, and decode
- * memory that a place keeps until its answer has ended. A prompt that a decode
- * server computes holds up its answers meanwhile. Preemption, transfers and cached
- * parts are left out, so the model is kinder than the engines are.
+ * Models the engines of a pool by their limiting resources: a prefill server computes
+ * one prompt at a time, and a place in decode memory stays reserved until its answer
+ * ends. A prompt that a decode server computes blocks the server's answers meanwhile.
+ * The model omits preemption, transfers and prefix caching, so it is optimistic.
  */
 import {type Milliseconds} from '../../../src/ports/clock.js';
 
-/** Figures of the users' sheets. */
+/** Rates from the users' data sheets. */
 export const promptTokensPerMs = 33.3;
 const stepMs = 3.55;
 const stepMsPerAnswer = 0.0462;
-/** Time between two pieces of an answer as a rule, and the longest that is in time. */
+/** Usual time between two pieces of an answer, and the longest pause that counts as in time. */
 const pieceMs = 48;
 const pauseTargetMs = 300;
-/** A decode server computes a prompt at half the pace. */
+/** Speed of a decode server at computing prompts, relative to a prefill server. */
 const decodePace = 0.5;
 
 export type EngineSizes = {
 	/** Tokens that a decode server's memory holds. */
 	memoryTokens: number;
-	/** Answers that it generates at a time. */
+	/** Answers that a decode server generates at the same time. */
 	slots: number;
 };
 
 export type Engines = {
-	/** Takes a place, if there are memory and a slot for it. */
+	/** Reserves a place; returns whether the server has a slot and enough memory. */
 	reserve: (server: string, tokens: number) => boolean;
 	free: (server: string, tokens: number) => void;
-	/** Adds a prompt to the server's queue; returns when it is computed. */
+	/** Adds a prompt to the queue of a prefill server; returns the time at which the prompt is computed. */
 	prefill: (server: string, tokens: number, now: Milliseconds) => Milliseconds;
-	/** Has a decode server compute a prompt behind those that it computes already; returns when it is done. Its answers wait meanwhile. */
+	/** Adds a prompt to the queue of a decode server, whose answers are blocked meanwhile; returns the time at which the prompt is computed. */
 	prefillAtDecode: (server: string, tokens: number, now: Milliseconds) => Milliseconds;
-	/** Whether the answers of the server had a pause over the target since a time. */
+	/** Whether the answers of the server have paused for longer than the target since a time. */
 	hasPausedSince: (server: string, since: Milliseconds) => boolean;
-	/** Time for which the server's answers were held up so far. */
+	/** Total time for which prompts have blocked the server's answers. */
 	heldUpMs: (server: string) => Milliseconds;
-	/** Time that the answer takes by itself. */
+	/** Returns the time that the answer takes if no prompt blocks the server. */
 	startAnswer: (server: string, tokens: number) => Milliseconds;
 	endAnswer: (server: string) => void;
 };
 
 /**
- * @param sizes - What each decode server holds.
+ * Creates the engines of a pool.
+ *
+ * @param sizes - Memory and slots of each decode server.
  * @returns Idle engines.
  */
 export function createEngines({memoryTokens, slots}: EngineSizes): Engines {
@@ -82,7 +84,7 @@
 			const isBehind = startAt > now;
 			add(heldUp, server, tookMs);
 			busyUntil.set(server, startAt + tookMs);
-			// Prompts one behind the other are one pause for the answers.
+			// Consecutive prompts add up to one pause of the answers.
 			if (isBehind || tookMs + pieceMs > pauseTargetMs) {
 				pausedAt.set(server, now);
 			}
--- a/bench/split-pool/_lib/create-workload.ts
+++ b/bench/split-pool/_lib/create-workload.ts
@@ -1,14 +1,15 @@
-/** Requests for a pool of prefill and decode servers: waves, clumps, bursts, and lengths that spread widely. */
+/** Generates requests for a pool of prefill and decode servers: batched arrivals, bursts, and widely varying lengths. */
 import {type Milliseconds, type Random} from '../../../src/ports/clock.js';
 import {msPerSecond} from '../../../src/ports/units.js';
 
 export type Work = {
 	at: Milliseconds;
+	/** Index of the host that receives the request. */
 	host: number;
 	promptTokens: number;
-	/** Tokens that the answer will have. */
+	/** Actual length of the answer. */
 	answerTokens: number;
-	/** What its caller guesses: right at the median, often far off. */
+	/** Length that the caller estimates: unbiased at the median, with a wide spread. */
 	estimatedTokens: number;
 };
 
@@ -16,27 +17,27 @@
 	hosts: number;
 	/** Requests a second outside bursts. */
 	perSecond: number;
-	/** Length of the day, milliseconds. */
+	/** Duration of the workload. */
 	lengthMs: Milliseconds;
-	/** Requests in a burst over those outside. */
+	/** Factor by which a burst raises the request rate. */
 	burst: number;
 };
 
-/** Lengths as the users' sheets have them: means, spreads of a log-normal, and caps. */
+/** Token counts from the users' data sheets: mean, sigma of the log-normal distribution, and cap. */
 const prompt = {
 	mean: 3000, spread: 0.5, max: 6600, shared: 200,
 };
 const answer = {mean: 864, spread: 0.7, max: 2040};
 const guessSpread = 0.5;
 
-/** A burst of four seconds in each ten. */
+/** The last four of every ten seconds are a burst. */
 const burstEveryMs = 10 * msPerSecond;
 const burstFromMs = 6 * msPerSecond;
 
-/** Requests come a few at a time. */
+/** Mean number of requests that arrive at the same time. */
 const clump = 3;
 
-/** Box and Muller. */
+/** Draws from the standard normal distribution (Box-Muller transform). */
 function toNormal(random: Random): number {
 	return Math.sqrt(-2 * Math.log(1 - random())) * Math.cos(2 * Math.PI * random());
 }
@@ -58,11 +59,11 @@
 }
 
 /**
- * Draws a day.
+ * Draws the requests of one run.
  *
- * @param options - Rate, hosts, length, bursts.
- * @param random - Source of chance.
- * @returns Requests in order.
+ * @param options - Request rate, hosts, duration and bursts.
+ * @param random - Random number generator.
+ * @returns Requests by time of arrival.
  */
 export function createWorkload({hosts, perSecond, lengthMs, burst}: WorkloadOptions, random: Random): Work[] {
 	const works: Work[] = [];
--- a/bench/split-pool/_lib/simulate.ts
+++ b/bench/split-pool/_lib/simulate.ts
@@ -1,6 +1,6 @@
 /**
- * Several hosts before one pool, each with the product's own decisions: where a
- * request goes, what it reserves, how long it waits and when its caller returns.
+ * Simulates several hosts that route to one pool. Placement, reservations and
+ * `Retry-After` times come from the product's own code.
  */
 import {build as createHistogram} from 'hdr-histogram-js';
 import {createPlacement, type Placement, type PlacementDecider} from '../../../src/domain/create-placement/index.js';
@@ -15,44 +15,45 @@
 import {createWorkload, type Work} from './create-workload.js';
 
 export type Scenario = EngineSizes & {
-	/** Servers that compute prompts, and those that generate. */
+	/** Numbers of prefill and decode servers. */
 	prefills: number;
 	decodes: number;
 	hosts: number;
 	perSecond: number;
 	burst: number;
 	seconds: number;
-	/** Whether hosts tell each other what they have under way. */
+	/** Whether hosts gossip the loads of their in-flight requests. */
 	isShared: boolean;
 };
 
 export type Outcome = {
 	requests: number;
-	/** Parts of all requests. */
+	/** Fractions of all requests: `inTime`, `late` and `refused`. */
 	inTime: number;
 	late: number;
 	refused: number;
 	promptP50Ms: number;
 	promptP90Ms: number;
-	/** Part of the time for which prefill servers work. */
+	/** Fraction of the time for which prefill servers are busy. */
 	prefillBusy: number;
-	/** Part of the servers that should compute prompts, as the first host learnt it; 0 if it saw too little. */
+	/** Fraction of the servers that should be prefill servers, as estimated by the first host; 0 if the host saw too few requests. */
 	learntShare: number;
 };
 
-/** A first event within this time, and no long pause after it, is in time; callers wait for so long in all, and return once. */
+/** A request is in time if its first event arrives within this time and no long pause follows. */
 const targetMs = 900;
+/** Total time that a caller waits; a refused caller retries once. */
 const patienceMs = 14 * msPerSecond;
-/** Callers come back after a third of the time that they have left, at the latest. */
+/** A caller retries after this fraction of its remaining time, at the latest. */
 const returnShare = 1 / 3;
 
-/** The product looks for room this often, and hosts hear of each other this late. */
+/** Interval at which waiting requests look for a place and at which hosts send their loads. */
 const tickMs = 20;
 
 const zones = ['a', 'b', 'c'];
 
 type Request = Work & {
-	/** When its caller first asked. */
+	/** Time of the caller's first attempt. */
 	bornAt: Milliseconds;
 	hasReturned: boolean;
 };
@@ -79,7 +80,7 @@
 	};
 }
 
-/** Things to do, in the order of their times. */
+/** Creates a queue of events that run in order of time. */
 function createAgenda() {
 	const todos: Todo[] = [];
 	return {
@@ -100,11 +101,11 @@
 }
 
 /**
- * Plays a day.
+ * Simulates one run.
  *
  * @param scenario - Servers, hosts and load.
- * @param random - Source of chance; the same one gives the same day.
- * @returns What became of its requests.
+ * @param random - Random number generator; the same seed gives the same run.
+ * @returns Outcome of the requests.
  *
  * @example
  * ```ts
@@ -174,7 +175,7 @@
 		});
 	}
 
-	/** Ends an answer after its own time, and what its server was held up meanwhile. */
+	/** Ends an answer after `ownMs` plus the time for which prompts blocked its server meanwhile. */
 	function endAfter(ownMs: Milliseconds, answer: {server: string; reserved: number; onEnd: (end: Milliseconds) => void}, now: Milliseconds): void {
 		const before = engines.heldUpMs(answer.server);
 		agenda.add(now + ownMs, end => {
@@ -190,7 +191,7 @@
 		});
 	}
 
-	/** Asks decode servers for a place, and waits while the answer can be in time; one that comes back asks once. */
+	/** Asks decode servers for a place until one accepts, waiting as long as the answer can still be in time. A request that its caller retries asks only once. */
 	function offer(request: Request, now: Milliseconds): void {
 		const placement = hosts[request.host]!;
 		const reserved = toReservedTokens({...request, maxTokens: 2040});
--- a/bench/split-pool/index.ts
+++ b/bench/split-pool/index.ts
@@ -1,4 +1,4 @@
-/** How a pool is best split into prefill and decode servers, and what it brings that hosts tell each other their loads. */
+/** Compares splits of a pool into prefill and decode servers, with and without gossip of loads between hosts. */
 import {createRandom} from '../_lib/create-random.js';
 import {simulate, type Outcome, type Scenario} from './_lib/simulate.js';
 
@@ -6,11 +6,11 @@
 
 type Shape = Omit<Scenario, 'prefills' | 'decodes' | 'isShared'> & {
 	servers: number;
-	/** Numbers of prefill servers to compare. */
+	/** Numbers of prefill servers that are compared. */
 	splits: readonly number[];
 };
 
-/** Pools of the users, with bursts of about twice the usual load for four seconds in ten. */
+/** The users' pools, with bursts of about twice the usual load in four of every ten seconds. */
 export const shapes = {
 	'six servers, much memory each': {
 		servers: 6, splits: [1, 2, 3, 4], memoryTokens: 42_606, slots: 128, hosts: 7, perSecond: 7.3, burst: 1.8, seconds: 60,
@@ -37,12 +37,12 @@
 }
 
 /**
- * Plays one split of a shape on each seed.
+ * Simulates one split of a shape with each seed.
  *
  * @param shape - Servers and load.
- * @param prefills - Servers that compute prompts.
- * @param isShared - Whether hosts tell each other what they have under way.
- * @returns Means over the seeds: one day's bursts may suit any split.
+ * @param prefills - Number of prefill servers.
+ * @param isShared - Whether hosts gossip the loads of their in-flight requests.
+ * @returns Means over the seeds, since the bursts of a single run can favour any split.
  */
 export function playSplit({servers, splits: _, ...load}: Shape, prefills: number, isShared: boolean): Outcome {
 	const scenario = {
@@ -52,10 +52,10 @@
 }
 
 /**
- * Runs the bench and prints a row for each shape and split, with and without
- * word between hosts, as means over the seeds; after them the rows as JSON.
+ * Runs the bench. Prints a row of means over the seeds for each shape and split, with
+ * and without gossip of loads between hosts, then all rows as JSON.
  *
- * @returns The rows.
+ * @returns The printed rows.
  */
 export function runSplitPoolBench(): readonly Row[] {
 	const rows = Object.entries<Shape>(shapes).flatMap(([name, shape]) => shape.splits.flatMap(prefills => [false, true].map((isShared): Row => ({
--- a/src/domain/compare-eras/index.ts
+++ b/src/domain/compare-eras/index.ts
@@ -3,12 +3,12 @@
 export type EraOrder = 'same' | 'newer' | 'older';
 
 /**
- * Tells how an answer of the platform stands to what is known. Revisions can't be
- * compared over eras: a platform that came back from an older copy gives them out again.
+ * Compares the era of an answer of the platform with the newest known era. Revisions can't
+ * be compared across eras: a platform that was restored from an older copy reuses them.
  *
- * @param answered - Era that the answer names; `undefined` where it names none.
- * @param known - Newest era that an answer has named.
- * @returns `newer` ends all that is known by revision; `older` is a late answer and says nothing. Without an era in the answer, revisions alone count.
+ * @param answered - Era that the answer names; `undefined` if the answer names none.
+ * @param known - Newest era that any earlier answer named; `undefined` if none did.
+ * @returns `newer` if all known revisions are invalid; `older` if the answer is stale; `same` if revisions can be compared, also when the answer names no era.
  *
  * @example
  * ```ts
@@ -20,6 +20,6 @@
 		return 'same';
 	}
 
-	// Stryker disable next-line EqualityOperator: equal eras have returned above
+	// Stryker disable next-line EqualityOperator: equal eras return above
 	return known === undefined || answered > known ? 'newer' : 'older';
 }
--- a/src/domain/compare-eras/test.ts
+++ b/src/domain/compare-eras/test.ts
@@ -13,7 +13,7 @@
 		[undefined, undefined, 'same'],
 	];
 	for (const [answered, known, order] of cases) {
-		it(`is ${order} where the answer names ${String(answered)} and ${String(known)} is known`, () => {
+		it(`returns ${order} if the answer names era ${String(answered)} and the newest known era is ${String(known)}`, () => {
 			assert.equal(compareEras(answered, known), order);
 		});
 	}
