--- a/bench/placement/_lib/create-agenda.ts
+++ b/bench/placement/_lib/create-agenda.ts
@@ -1,4 +1,4 @@
-/** A logical clock with one step a millisecond, and an end. */
+/** Creates an event queue on a logical clock that advances by one millisecond a step, up to `endMs`. */
 export const createAgenda = (endMs: number) => {
 	const steps: Array<Array<() => void>> = Array.from({length: endMs + 1}, () => []);
 	let now = 0;
@@ -9,7 +9,7 @@
 		},
 		run(): void {
 			for (; now < endMs; now++) {
-				// A step may grow while it runs.
+				// An event may add events to the step that is running.
 				for (const run of steps[now] ?? []) {
 					run();
 				}
--- a/bench/placement/_lib/create-course.ts
+++ b/bench/placement/_lib/create-course.ts
@@ -1,4 +1,4 @@
-/** The course of a request: offers to decode servers, prefill, transfer, decode. */
+/** Takes requests through their stages: offers to decode servers, prefill, transfer, decode. */
 import {type Agenda} from './create-agenda.js';
 import {type DecodeState, type Fleet} from './create-fleet.js';
 import {type Choice, type Job, type Router} from './create-router.js';
@@ -10,7 +10,7 @@
 	fleet: Fleet;
 	tally: Tally;
 	scenario: Scenario;
-	/** The decode engine, or an owner, grants slots before the prefill. */
+	/** Whether the decode engine or an owner host grants a slot before the prefill. */
 	isArbitrated: boolean;
 	random: () => number;
 };
@@ -18,14 +18,14 @@
 const release = (state: DecodeState): void => {
 	state.used--;
 	while (state.waiting.length > 0 && state.waiting.shift()?.() === false) {
-		// The first that still has a use for the slot takes it.
+		// The first request that has not yet expired takes the slot.
 	}
 };
 
 export const createCourse = ({agenda, fleet, tally, scenario, isArbitrated, random}: CourseOptions) => {
 	const offerMs = scenario.strategy === 'grant' ? 3 * settings.hopMs : settings.hopMs;
 
-	/** What an entry notes of a stream while it goes on. */
+	/** Reports the tokens of a stream to its router while the stream is in flight. */
 	const noteTokens = (router: Router, choice: Choice, stepMs: number, tokensLeft: number): void => {
 		const tokens = Math.min(tokensLeft, Math.floor(settings.noteEveryMs / stepMs));
 		if (tokens > 0) {
@@ -51,7 +51,7 @@
 		});
 	};
 
-	/** Transfer and decode on a slot that is already counted. */
+	/** Transfers the KV cache and decodes, in a slot that is already taken. */
 	const serve = (router: Router, choice: Choice, state: DecodeState, job: Job): void => {
 		state.transfers++;
 		agenda.after(job.promptTokens * settings.kvBytesPerToken * state.transfers / settings.linkBytesPerSecond * 1000, () => {
@@ -60,7 +60,7 @@
 		});
 	};
 
-	/** Waits for a slot that nobody reserved, as long as the KV cache lives. */
+	/** Waits for a slot without a reservation until the KV cache expires. */
 	const awaitSlot = (router: Router, choice: Choice, state: DecodeState, job: Job): void => {
 		tally.add(job.arrivedAt, 'overfull');
 		const until = agenda.now() + settings.kvLifeMs;
@@ -103,14 +103,14 @@
 		awaitSlot(router, choice, state, job);
 	};
 
-	/** Prefill, then the decode server's slot: already held, or looked for only now. */
+	/** Runs the prefill, then takes the request to its decode server: into the reserved slot, or into a free one if slots are not reserved. */
 	const run = (router: Router, choice: Choice, job: Job): void => {
 		const startedAt = agenda.now();
 		const prefill = fleet.toPrefill(choice.prefill);
 		const ttlMs = choice.placement?.reservationTtlMs ?? settings.reservationMs;
 		const doneAt = Math.max(prefill.busyUntil, startedAt) + (job.promptTokens / settings.prefillTokensPerSecond * 1000);
 		if (isArbitrated && doneAt - startedAt > ttlMs) {
-			// The engine drops queued work at its deadline, which is the end of the reservation.
+			// The engine drops queued work when its reservation expires.
 			agenda.after(ttlMs, () => {
 				tally.add(job.arrivedAt, 'failed');
 				release(fleet.toDecode(choice.decode));
@@ -126,7 +126,7 @@
 		});
 	};
 
-	/** No server will do: the request asks again as long as the target can be met. */
+	/** Schedules another attempt if no server is suitable, as long as the target can still be met. */
 	const waitForRoom = (router: Router, job: Job, leftMs: number): void => {
 		if (leftMs <= settings.waitMs) {
 			tally.add(job.arrivedAt, 'refused');
@@ -157,7 +157,7 @@
 		});
 	};
 
-	/** One attempt of a request at its router, from the choice on. */
+	/** Has the router choose a pair for the request, then offers the request to it. */
 	const attempt = (router: Router, job: Job, exclude: ReadonlySet<string>): void => {
 		const leftMs = settings.targetMs - (agenda.now() - job.arrivedAt);
 		const choice = leftMs > 0 ? router.choose(job, leftMs, exclude) : undefined;
--- a/bench/placement/_lib/create-fleet.ts
+++ b/bench/placement/_lib/create-fleet.ts
@@ -1,4 +1,4 @@
-/** Prefill servers with a queue, decode servers with slots, and their load reports, which come late. */
+/** Models prefill servers with a queue, decode servers with slots, and their delayed load reports. */
 import {
 	toConfig, toReport, toServer, toView,
 } from '../../../src/domain/create-placement/_lib/fixtures.js';
@@ -76,7 +76,7 @@
 		toStepMs,
 		toPrefill: (entry: ServerEntry) => states.get(entry.id) as PrefillState,
 		toDecode: (entry: ServerEntry) => states.get(entry.id) as DecodeState,
-		/** The view as it is now; with instant reports, the truth. */
+		/** Returns the current view, which shows servers with instant reports as they are now. */
 		toView() {
 			for (const state of instant) {
 				statuses.set(state.entry.id, toStatus(state, agenda.now()));
--- a/bench/placement/_lib/create-router.ts
+++ b/bench/placement/_lib/create-router.ts
@@ -1,4 +1,4 @@
-/** A router of the given strategy: chooses pairs, and learns if it is one that learns. */
+/** Creates a router that chooses pairs of servers by the given strategy and passes what it observes to `createPlacement` if the strategy uses it. */
 import {createPlacement, type Placement, type ServerFailure} from '../../../src/domain/create-placement/index.js';
 import {toPlacementRequest} from '../../../src/domain/create-placement/_lib/fixtures.js';
 import {type ServerEntry} from '../../../src/ports/config.js';
@@ -6,7 +6,7 @@
 import {type Fleet} from './create-fleet.js';
 import {settings, type Strategy} from './scenario.js';
 
-/** One request: when it came, its prompt, and the answer it will get. */
+/** One request: its time of arrival and the lengths of its prompt and answer. */
 export type Job = {arrivedAt: number; promptTokens: number; answerTokens: number};
 
 export type Choice = {prefill: ServerEntry; decode: ServerEntry; placement: Placement | undefined};
--- a/bench/placement/_lib/create-tally.ts
+++ b/bench/placement/_lib/create-tally.ts
@@ -1,4 +1,4 @@
-/** Counts what became of the requests of a run, its two ends left out. */
+/** Counts the outcomes of the requests of a run, except those that arrive in its first or last `warmupMs`. */
 import {
 	settings, toCapacity, type AnswerLength, type Outcome, type Scenario,
 } from './scenario.js';
@@ -21,7 +21,7 @@
 
 	return {
 		add,
-		/** The first token came, on a server that needs `stepMs` for each. */
+		/** Counts an answer at its first token; `stepMs` is its server's time per token. */
 		addAnswer(arrivedAt: number, tookMs: number, stepMs: number): void {
 			const isSlow = stepMs > settings.perTokenTargetMs;
 			add(arrivedAt, 'answers');
@@ -34,7 +34,7 @@
 				firstTokens.push(tookMs);
 			}
 		},
-		/** An answer began on a server that was slow or not, while some were. */
+		/** Counts an answer that began while some servers were slow; `isSlow` tells whether its own server was. */
 		addBegun(arrivedAt: number, length: AnswerLength, isSlow: boolean): void {
 			if (isCounted(arrivedAt)) {
 				begun[length].all++;
--- a/bench/placement/_lib/print.ts
+++ b/bench/placement/_lib/print.ts
@@ -1,4 +1,4 @@
-/** Prints rows of the placement bench. */
+/** Prints the tables of the placement bench. */
 import {type Outcome} from './scenario.js';
 
 export const toPercent = (share: number): string => `${(share * 100).toFixed(1)}%`;
--- a/bench/placement/_lib/scenario.ts
+++ b/bench/placement/_lib/scenario.ts
@@ -1,24 +1,24 @@
-/** What a run of the placement bench is made of, and what comes out of it. */
+/** Parameters and results of the placement bench. */
 import {type ServerRole} from '../../../src/ports/config.js';
 
 /**
- * How a pair is chosen and who counts a decode server's memory.
+ * How a router chooses a pair of servers, and who reserves the slots of a decode server.
  *
- * - `round-robin`, `least-lagged`, `two-lagged`: nobody counts; the last report alone decides.
- * - `own-corrected`: createPlacement, that is two draws on reports corrected by own dispatches; nobody counts.
- * - `reserve-lagged`: `two-lagged`, and the decode engine grants or refuses.
- * - `reserve`: createPlacement as it is used, each router with a subset of its own, and the engine grants or refuses.
- * - `reserve-drawn`, `reserve-all`: the same without subsets, with two draws or all servers.
- * - `grant`: createPlacement, and one owner host for each server grants or refuses, one hop away.
+ * - `round-robin`, `least-lagged`, `two-lagged`: slots are not reserved. The first takes servers in turn; the others compare the last load reports of all servers, or of two drawn at random.
+ * - `own-corrected`: slots are not reserved. `createPlacement` draws two servers and compares their load reports, corrected by the router's own dispatches.
+ * - `reserve-lagged`: as `two-lagged`, and the decode engine grants or refuses a slot.
+ * - `reserve`: `createPlacement` as in production, with a subset of the servers for each router; the decode engine grants or refuses a slot.
+ * - `reserve-drawn`, `reserve-all`: as `reserve` but without subsets; compares two drawn servers, or all of them.
+ * - `grant`: `createPlacement`, and an owner host for each server, one hop away, grants or refuses a slot.
  */
 export type Strategy = 'round-robin' | 'least-lagged' | 'two-lagged' | 'own-corrected' | 'reserve-lagged' | 'reserve' | 'reserve-drawn' | 'reserve-all' | 'grant';
 
-/** Decode servers whose tokens come late from `fromMs` to `toMs` of the run. */
+/** Decode servers that generate tokens slowly from `fromMs` to `toMs` of the run. */
 export type SlowServers = {
 	count: number;
-	/** Time between tokens against the usual one. */
+	/** Time between tokens, as a multiple of the usual time. */
 	factor: number;
-	/** Whether the load reports of these servers say so. */
+	/** Whether the load reports of these servers show the lower rate. */
 	isReported: boolean;
 	fromMs: number;
 	toMs: number;
@@ -27,16 +27,17 @@
 export type Scenario = {
 	strategy: Strategy;
 	routers: number;
-	/** Offered requests over what the decode servers can carry. */
+	/** Offered requests as a fraction of the capacity of the decode servers. */
 	load: number;
-	/** Milliseconds between a server's reports, and until one is seen; 0 for both means instant. */
+	/** Time between two load reports of a server; 0 means that routers always see the current load. */
 	reportEveryMs: number;
+	/** Delay until routers see a load report. */
 	reportLagMs: number;
-	/** Roles whose servers are seen at once, whatever the reports do: tells which late sight costs what. */
+	/** Roles whose current load routers always see; isolates the cost of delayed reports by role. */
 	instantRoles?: readonly ServerRole[];
-	/** Size of the fleet against `settings`. */
+	/** Size of the fleet as a multiple of `settings`. */
 	scale?: number;
-	/** Part of all requests that comes to the first router, beyond an even share. */
+	/** Fraction of all requests that the first router receives on top of its even share of the rest. */
 	skew?: number;
 	slow?: SlowServers;
 	seed: number;
@@ -50,34 +51,34 @@
 	late: number;
 	refused: number;
 	failed: number;
-	/** Offers to a decode server that found no room, over all offers. */
+	/** Fraction of all offers that reached a decode server without a free slot. */
 	overfullShare: number;
-	/** Refusals by engines or owners for each request. */
+	/** Mean number of refusals by engines or owner hosts per request. */
 	refusalsPerRequest: number;
-	/** Prefills computed whose result was not used, over all prefills. */
+	/** Fraction of all prefills whose result was not used. */
 	wastedPrefillShare: number;
-	/** Good answers over what the decode servers can carry in that time. */
+	/** Answers within the target as a fraction of the capacity of the decode servers. */
 	goodput: number;
 	firstTokenP50: number;
 	firstTokenP99: number;
-	/** Answers of each length that began on a slow server, over those that began while there was one. */
+	/** Fraction of the answers of each length that began on a slow server, among those that began while some servers were slow. */
 	slowShare: Readonly<Record<AnswerLength, number>>;
-	/** Answers whose tokens came later than the target between tokens, over all answers. */
+	/** Fraction of all answers whose time per token exceeded its target. */
 	slowTokens: number;
 };
 
-/** Lookups are short, letters and scenes long. */
+/** Kinds of answers by length: lookups are short, letters and scenes long. */
 export type AnswerLength = 'short' | 'long';
 
 export const settings = {
 	decodeServers: 12,
 	prefillServers: 15,
 	slots: 20,
-	/** Mean length of a prompt; a fixed part, and an exponential one. */
+	/** Mean length of a prompt: `minPromptTokens` plus an exponentially distributed part. */
 	promptTokens: 1600,
 	minPromptTokens: 100,
 	prefillTokensPerSecond: 8000,
-	/** Mean length of an answer, exponential; at `stepMs` it holds its slot for four seconds. */
+	/** Mean length of an answer, exponentially distributed; at `stepMs` the mean answer holds its slot for four seconds. */
 	answerTokens: 200,
 	stepMs: 20,
 	/** Answers up to this length count as short. */
@@ -86,10 +87,10 @@
 	linkBytesPerSecond: 3_000_000_000,
 	targetMs: 1300,
 	perTokenTargetMs: 61,
-	/** Time after which a router notes how the tokens of a stream came. */
+	/** Interval at which a router notes the token rate of a stream. */
 	noteEveryMs: 500,
 	kvLifeMs: 800,
-	/** Life of a reservation asked for by a router that predicts nothing. */
+	/** Lifetime of a reservation by a router that makes no predictions. */
 	reservationMs: 2000,
 	hopMs: 1,
 	waitMs: 100,
@@ -99,10 +100,10 @@
 
 export const toSlots = ({scale = 1}: Pick<Scenario, 'scale'>): number => Math.round(settings.decodeServers * scale) * settings.slots;
 
-/** Requests a second that the decode servers carry when all slots are always taken and no server is slow. */
+/** Requests a second that the decode servers complete while all slots are taken and no server is slow. */
 export const toCapacity = (scenario: Pick<Scenario, 'scale'> = {}): number =>
 	toSlots(scenario) / (settings.answerTokens * settings.stepMs / 1000);
 
-/** Whether a server of the given number is slow then. */
+/** Whether the decode server with the given number is slow at a time. */
 export const isSlowAt = ({slow}: Pick<Scenario, 'slow'>, decodeNumber: number, at: number): boolean =>
 	slow !== undefined && decodeNumber < slow.count && at >= slow.fromMs && at < slow.toMs;
--- a/bench/placement/index.ts
+++ b/bench/placement/index.ts
@@ -1,4 +1,4 @@
-/** Compares ways to place requests and to count a decode server's memory, and times a pick. */
+/** Compares strategies for placing requests and reserving decode slots, and measures the time of a pick. */
 import process from 'node:process';
 import {printHead, printOutcome, printRow} from './_lib/print.js';
 import {
@@ -14,7 +14,7 @@
 const defaultSeed = 20_261_202;
 const defaultSeconds = 100;
 
-/** The zone of the target's size: 216 servers, 33 routers. */
+/** A zone of the size that the product targets: 216 servers, 33 routers. */
 const zoneScale = 8;
 const zoneRouters = 33;
 
@@ -30,7 +30,7 @@
 	};
 };
 
-/** Who counts a decode server's memory. */
+/** Compares who reserves the slots of a decode server. */
 const runCounting = (base: Base): Row[] => loads.flatMap(load => [
 	run('bound', {
 		...base, ...instant, load, strategy: 'reserve-all', routers: 1,
@@ -40,7 +40,7 @@
 	}))),
 ]);
 
-/** What more routers cost, with and without subsets; two seeds, and the zone of the target's size. */
+/** Measures the cost of more routers, with and without subsets, for two seeds, and in a zone of the target size. */
 const runRouters = (base: Base): Row[] => [
 	...loads.flatMap(load => (['reserve-drawn', 'reserve'] as const).flatMap(strategy => [1, 3, 9, 33].flatMap(routers => [0, 1].map(i => run(`${strategy}, seed ${i + 1}`, {
 		...base, ...lagged, load, strategy, routers, seed: base.seed + i,
@@ -58,7 +58,7 @@
 	})),
 ];
 
-/** Decode servers whose tokens come at a quarter of the rate from a third of the run on. */
+/** Slows some decode servers to a quarter of their token rate after a third of the run. */
 const runSlow = (base: Base): Row[] => {
 	const cases: ReadonlyArray<[string, number, boolean]> = [
 		['1 slow, reported', 1, true],
@@ -91,9 +91,9 @@
 };
 
 /**
- * Prints the comparison as tables and as one line of JSON. The seed is in
- * `BENCH_SEED`, the simulated time of a run in `BENCH_SECONDS`, and the parts
- * to run in `BENCH_PART`, by their names with commas between.
+ * Runs the bench and prints tables, then one line of JSON. Environment variables:
+ * `BENCH_SEED` sets the seed, `BENCH_SECONDS` the simulated time of a run, and
+ * `BENCH_PART` the names of the parts to run, separated by commas.
  */
 export const runPlacementBench = (): void => {
 	const base = {seed: Number(process.env.BENCH_SEED ?? defaultSeed), seconds: Number(process.env.BENCH_SECONDS ?? defaultSeconds)};
--- a/bench/placement/measure-picks.ts
+++ b/bench/placement/measure-picks.ts
@@ -1,4 +1,4 @@
-/** Time of one pick at several sizes of a zone, in the usual case and in the widest search. */
+/** Measures the time of one pick by size of the zone, in the usual case and when all servers are full, which takes the widest search. */
 import {performance} from 'node:perf_hooks';
 import {createPlacement} from '../../src/domain/create-placement/index.js';
 import {
@@ -16,14 +16,14 @@
 
 const microsecondsPerMillisecond = 1000;
 
-/** A host's arrivals at the size of the letter: 15.5 a second. */
+/** Time between arrivals at one host at the target size of the fleet: 15.5 requests a second. */
 const arrivalEveryMs = 1000 / 15.5;
 const reportEveryMs = 1000;
 
-/** Hosts of a zone at that size. */
+/** Hosts of a zone at the target size. */
 const zoneHosts = 33;
 
-/** Times picks one by one, after a warm-up, with a dispatch and an end for each. */
+/** Measures each pick together with its dispatch and end, after as many warm-up picks. */
 export const measurePicks = (serverCount: number, state: PickTiming['state'], picks: number): PickTiming => {
 	const entries = Array.from({length: serverCount}, (_, i) => toServer(`s${i}`, i % 3 === 0 ? 'prefill' : 'decode'));
 	const config = toConfig(entries);
--- a/bench/placement/simulate.ts
+++ b/bench/placement/simulate.ts
@@ -1,7 +1,7 @@
 /**
- * A small model of one zone for the decisions of placement: decode servers with
- * slots, prefill servers with a queue, load reports that come late, routers
- * that share nothing. Its clock is logical, one millisecond a step.
+ * Simulates placement in one zone: decode servers with slots, prefill servers with a
+ * queue, delayed load reports, and routers that share no state. The logical clock
+ * advances by one millisecond a step.
  */
 import {toSeededRandom} from '../../src/domain/create-placement/_lib/fixtures.js';
 import {createAgenda} from './_lib/create-agenda.js';
@@ -15,7 +15,7 @@
 
 const toExponential = (mean: number, random: () => number): number => -Math.log(1 - random()) * mean;
 
-/** Runs one scenario to its end. */
+/** Simulates one scenario and returns its outcome. */
 export const simulate = (scenario: Scenario): Outcome => {
 	const endMs = scenario.seconds * 1000;
 	const agenda = createAgenda(endMs);
@@ -41,7 +41,7 @@
 		}, new Set());
 	};
 
-	// Open loop: a Poisson stream, whatever becomes of earlier requests.
+	// Open loop: Poisson arrivals that do not depend on the outcome of earlier requests.
 	for (let at = 0; at < endMs; at += toExponential(1000 / (toCapacity(scenario) * scenario.load), random)) {
 		agenda.after(at, arrive);
 	}
