--- a/bench/admission/_lib/arrivals.ts
+++ b/bench/admission/_lib/arrivals.ts
@@ -1,4 +1,4 @@
-/** Seeded open-loop arrivals: the same seed and load give the same requests to every policy. */
+/** Generates seeded open-loop arrivals: every policy gets the same requests for the same seed and load. */
 import {type ServiceClass} from '../../../src/ports/outcome.js';
 import {
 	type Fleet, placesPerDecodeServer, type PoolTable, toHoldMs, type WorkShape,
@@ -7,53 +7,55 @@
 export type Arrival = {
 	id: string;
 	at: number;
-	/** Balancer's choice, in [0, 1). */
+	/** Random number in [0, 1) by which the load balancer chooses a router. */
 	routerChoice: number;
 	pool: string;
 	class: ServiceClass;
 	workspace: string;
 	shape: WorkShape;
-	/** When the caller leaves; `Infinity` for those who stay. */
+	/** Time at which the caller cancels; `Infinity` if it does not. */
 	leavesAt: number;
 	isMeasured: boolean;
 };
 
 export type Scenario = {
 	fleet: Fleet;
-	/** Offered place time over the fleet's place time, a slow server counted as what it does. */
+	/** Offered place time as a fraction of the fleet's place time, in which a slow server counts by its speed. */
 	load: number;
 	seed: number;
-	/** Measured requests come between the two; arrivals go on until `endsAtMs`, so that the last ones meet the same load. */
+	/** Requests that arrive between `warmupMs` and `horizonMs` are measured. Arrivals continue until `endsAtMs`, so that the last measured requests meet the same load. */
 	warmupMs: number;
 	horizonMs: number;
 	endsAtMs: number;
-	/** Part of the callers that leave early. */
+	/** Fraction of the callers that cancel. */
 	cancelPart: number;
-	/** Quick arrivals during the burst, as a multiple; it lasts a tenth of the measured time and begins in its middle. */
+	/** Factor by which the burst raises the rate of quick arrivals. The burst begins in the middle of the measured time and lasts a tenth of it. */
 	burst: number;
-	/** Factor by which one decode server of each pool is slow. */
+	/** Factor by which one decode server of each pool is slower than the others. */
 	slowFactor: number;
-	/** Part of the KV transfers that stall, and for how long. */
+	/** Fraction of the KV transfers that stall. */
 	stallPart?: number;
+	/** Duration of a stall. */
 	stallMs?: number;
-	/** Time past its expected end after which a transfer is given up and the work started again; absent for never. */
+	/** Time past its expected end after which a transfer is aborted and the request restarted; absent for never. */
 	giveUpAfterMs?: number;
-	/** Whether work of callers that left runs on to its end. */
+	/** Whether requests of callers that cancelled run to completion. */
 	isCancelIgnored?: boolean;
-	/** A zone that goes: the second router and a quarter of each pool's decode servers. */
+	/** Loss of a zone, which takes the second router and a quarter of each pool's decode servers. */
 	loss?: ZoneLoss;
-	/** Time without a first token after which quick work is started on a second server as well; absent for never. */
+	/** Time without a first token after which a quick request is hedged on a second server; absent for never. */
 	hedgeAfterMs?: number;
 };
 
 export type ZoneLoss = {
 	atMs: number;
-	/** Time until the others stop counting the lost servers' places, and the lost router's share. */
+	/** Time until the remaining routers stop counting the places of the lost servers. */
 	placesKnownAfterMs: number;
+	/** Time until the remaining routers stop counting the share of the lost router. */
 	shareKnownAfterMs: number;
 };
 
-/** Park and Miller's generator: enough chance for arrivals, and the same on every machine. */
+/** Creates a seeded random number generator (Park-Miller), which gives the same numbers on every machine. */
 export function createRandom(seed: number): () => number {
 	const modulus = 2_147_483_647;
 	let state = 1 + (seed % (modulus - 1));
@@ -63,14 +65,16 @@
 	};
 }
 
-/** Places of a pool at full speed: its slow server counts as the part that it does. */
+/** Returns the decode places of a pool, in which the slow server counts by its speed. */
 export function toPlaces(pool: PoolTable, slowFactor: number): number {
 	return (pool.decodeServers - 1 + (1 / slowFactor)) * placesPerDecodeServer;
 }
 
 /**
- * @param scenario - fleet, load and faults.
- * @returns arrivals in order of time.
+ * Draws the arrivals of a scenario.
+ *
+ * @param scenario - Fleet, load and faults.
+ * @returns Arrivals in order of time.
  */
 export function toArrivals(scenario: Scenario): Arrival[] {
 	const random = createRandom(scenario.seed);
@@ -101,7 +105,7 @@
 
 function toArrival(scenario: Scenario, {pool, class: serviceClass, at}: Pick<Arrival, 'pool' | 'class' | 'at'>, random: () => number): Arrival {
 	const nominal = scenario.fleet.shapes[serviceClass];
-	// Answers vary: half to one and a half times the nominal length.
+	// Lengths of prompts and answers vary from half to one and a half times the nominal length.
 	const factor = 0.5 + random();
 	const shape = {...nominal, promptTokens: Math.round(nominal.promptTokens * factor), outputTokens: Math.round(nominal.outputTokens * (0.5 + random()))};
 	const isLeaving = random() < scenario.cancelPart;
@@ -119,7 +123,7 @@
 	};
 }
 
-/** One workspace in a fleet sends 40 % of all requests; the others share the rest evenly. */
+/** Picks a workspace: one sends 40 % of all requests, the others share the rest evenly. */
 function toWorkspace(scenario: Scenario, random: () => number): string {
 	return random() < 0.4 ? 'w0' : `w${1 + Math.floor(random() * (scenario.fleet.workspaces - 1))}`;
 }
--- a/bench/admission/_lib/cancels.ts
+++ b/bench/admission/_lib/cancels.ts
@@ -1,4 +1,4 @@
-/** What ending work saves, by the stage at which its caller left. */
+/** Measures what cancelling requests saves, by the stage at which their callers left. */
 import {type Scenario} from './arrivals.js';
 import {fleets, toHoldMs, toPrefillMs} from './fleets.js';
 import {measure} from './measure.js';
@@ -9,7 +9,7 @@
 	fleet: string;
 	stage: string;
 	count: number;
-	/** Means over the batch requests that were left at this stage. */
+	/** Means over the batch requests whose caller cancelled at this stage. */
 	prefillSavedMs: number;
 	prefillWastedMs: number;
 	placeSavedMs: number;
@@ -20,8 +20,10 @@
 const nine = policies.find(policy => policy.name === '9 routers')!;
 
 /**
- * @param base - the scenario; a third of its callers leave here.
- * @returns a row for each fleet and stage, and goodput of those who stayed with cancels acted on and ignored.
+ * Simulates each fleet with cancels acted on and with cancels ignored.
+ *
+ * @param base - Scenario without fleet; `cancelPart` is replaced by a third.
+ * @returns `stages`: a row for each fleet and stage; `gains`: goodput of the requests whose caller did not cancel.
  */
 export function runCancels(base: Omit<Scenario, 'fleet'>): {stages: CancelRow[]; gains: CancelGain[]} {
 	const stages: CancelRow[] = [];
--- a/bench/admission/_lib/create-agenda.ts
+++ b/bench/admission/_lib/create-agenda.ts
@@ -1,10 +1,10 @@
-/** A logical clock: what is due, in order of time and then of entry. */
+/** Event of the logical clock; events run in order of `at`, then of `order`. */
 type Entry = {at: number; order: number; run: () => void};
 
 export type Agenda = {
 	readonly now: number;
 	schedule: (at: number, run: () => void) => void;
-	/** Runs all that is due until nothing is left. */
+	/** Runs events until none is left. */
 	run: () => void;
 };
 
--- a/bench/admission/_lib/create-backend.ts
+++ b/bench/admission/_lib/create-backend.ts
@@ -1,7 +1,7 @@
 /**
- * A pool's servers as places and service times: a queue and a link before each
- * prefill server, places on each decode server. Not a model of a fleet: no
- * network, no batching, no memory beyond places.
+ * Models the servers of a pool by places and service times: each prefill server has a
+ * queue and a link, each decode server has places. The model omits the network,
+ * batching, and memory beyond places.
  */
 import {type Agenda} from './create-agenda.js';
 import {type Arrival} from './arrivals.js';
@@ -13,7 +13,7 @@
 
 export type WasteCause = 'caller-gone' | 'expired' | 'hedge' | 'stalled';
 
-/** What work a request has taken, and what of it was in vain. */
+/** One copy of a request on the servers, with its prefill time and whether that was wasted. */
 export type Work = {
 	arrival: Arrival;
 	stage: Stage;
@@ -24,7 +24,7 @@
 	wasted: 'none' | WasteCause;
 	onFirstToken: () => void;
 	onEnd: (outcome: 'completed' | 'failed') => void;
-	/** Its transfer was given up, and it holds nothing more. */
+	/** Called after the transfer was aborted and all places were released. */
 	onGivenUp: () => void;
 };
 
@@ -34,28 +34,30 @@
 export type Backend = {
 	readonly slots: number;
 	readonly used: number;
-	/** Takes a decode place and queues the prefill; `undefined` when no decode server has a place. */
+	/** Takes a decode place and queues the prefill; returns `undefined` if no decode server has a free place. */
 	start: (arrival: Arrival, handlers: Pick<Work, 'onFirstToken' | 'onEnd' | 'onGivenUp'>) => Work | undefined;
-	/** Takes a quarter of the decode servers away, at least one, and breaks what runs there. */
+	/** Removes a quarter of the decode servers, at least one, and fails the requests that run on them. */
 	lose: () => void;
-	/** Places that are left of `slots`. */
+	/** Places on the remaining servers. */
 	readonly slotsLeft: number;
-	/** Places in use on the servers that are left. */
+	/** Places in use on the remaining servers. */
 	readonly usedLeft: number;
-	/** Ends the work at its present stage and frees all it holds; a prefill whose result is then not used counts as wasted. */
+	/** Ends the work at its current stage and releases its places; a prefill whose result is not used counts as wasted. */
 	cancel: (work: Work, cause: WasteCause) => void;
 };
 
 export type BackendFaults = {
-	/** Factor by which the first decode server is slow. */
+	/** Factor by which the first decode server is slower than the others. */
 	slowFactor: number;
-	/** Part of the transfers that stall, and for how long. */
+	/** Fraction of the transfers that stall. */
 	stallPart: number;
+	/** Duration of a stall. */
 	stallMs: number;
+	/** Time past its expected end after which a transfer is aborted. */
 	giveUpAfterMs: number;
 };
 
-/** Part of the decode servers that stands in one zone. */
+/** Fraction of the decode servers that are in one zone. */
 const lostPart = 0.25;
 
 export function createBackend(table: PoolTable, agenda: Agenda, faults: BackendFaults, random: () => number): Backend {
@@ -166,7 +168,7 @@
 			leavePrefill(work, agenda.now - work.prefillStartedAt);
 		}
 
-		// A caller that leaves during decode has used its prefill; the slower of two copies never will.
+		// A request that is cancelled during decode has used its prefill; the slower of two hedged copies has not.
 		if (stage === 'prefill' || stage === 'transfer' || (stage === 'decode' && cause === 'hedge')) {
 			work.wasted = cause;
 		}
@@ -206,7 +208,7 @@
 	};
 }
 
-/** The emptier of two servers drawn among those with a place. */
+/** Draws two servers among those with a free place and returns the one with fewer places in use. */
 function pickDecodeServer(servers: readonly DecodeServer[], random: () => number): DecodeServer | undefined {
 	const open = servers.filter(server => !server.isLost && server.used < placesPerDecodeServer);
 	const drawn = [open[Math.floor(random() * open.length)], open[Math.floor(random() * open.length)]];
--- a/bench/admission/_lib/decision-cost.ts
+++ b/bench/admission/_lib/decision-cost.ts
@@ -1,4 +1,4 @@
-/** Processor time of the decisions while a queue of some size waits. */
+/** Measures the time of admission decisions by length of the queue. */
 import {performance} from 'node:perf_hooks';
 import {createAdmission} from '../../../src/domain/create-admission/index.js';
 import {createRandom} from './arrivals.js';
@@ -14,7 +14,7 @@
 const ticks = 50;
 const tickEveryMs = 50;
 
-/** @returns a row for each length of the queue; 18,000 workspaces send at random. */
+/** Returns a row for each length of the queue; requests come from 18,000 workspaces at random. */
 export function measureDecisionCost(): CostRow[] {
 	return [100, 400, 1600].map(waiting => {
 		const random = createRandom(waiting);
--- a/bench/admission/_lib/fleets.ts
+++ b/bench/admission/_lib/fleets.ts
@@ -1,4 +1,4 @@
-/** The users' two fleets as tables: servers, prompts, targets. All figures of the bench follow from these. */
+/** The users' two fleets: servers, request sizes and targets. */
 import {type ServiceClass} from '../../../src/ports/outcome.js';
 
 export type WorkShape = {
@@ -12,7 +12,7 @@
 	name: string;
 	prefillServers: number;
 	decodeServers: number;
-	/** Part of the pool's place time, at capacity, that quick work offers. */
+	/** Fraction of the offered place time that belongs to quick requests. */
 	quickPart: number;
 };
 
@@ -23,13 +23,13 @@
 	workspaces: number;
 };
 
-/** Requests that one decode engine's memory holds. */
+/** Requests that fit into the memory of one decode engine. */
 export const placesPerDecodeServer = 20;
 export const decodeMsPerToken = 20;
 export const prefillTokensPerMs = 16;
 export const kvBytesPerToken = 131_072;
 export const linkBytesPerMs = 2_500_000;
-/** Life of a prefill's result. */
+/** Time after which a KV cache that has not been transferred expires. */
 export const kvLifeMs = 800;
 
 const quickShape: WorkShape = {
@@ -75,7 +75,7 @@
 	},
 ];
 
-/** Time for which a request holds a decode place when nothing stands in its way. */
+/** Returns the time, in milliseconds, for which a request holds a decode place if it never queues. */
 export function toHoldMs(shape: WorkShape): number {
 	return toPrefillMs(shape) + toTransferMs(shape) + (shape.outputTokens * decodeMsPerToken);
 }
--- a/bench/admission/_lib/hedging.ts
+++ b/bench/admission/_lib/hedging.ts
@@ -1,4 +1,4 @@
-/** What pays when some transfers stall: a second copy of quick work, or giving up the transfer and trying again. */
+/** Compares remedies for stalled transfers: hedging quick requests, or aborting the transfer and restarting the request. */
 import {type Scenario} from './arrivals.js';
 import {fleets} from './fleets.js';
 import {measure} from './measure.js';
@@ -14,13 +14,13 @@
 	quickGood: number;
 	batchGood: number;
 	quickP99: number;
-	/** Prefill time in vain, all causes, over all prefill time. */
+	/** Fraction of all prefill time whose result was not used, for all causes. */
 	wasted: number;
-	/** The part of it that was given up in a stalled transfer. */
+	/** Fraction of all prefill time whose result was dropped with an aborted transfer. */
 	wastedStalled: number;
 };
 
-/** Done nothing about stalls, a second copy, and a transfer given up and tried again. */
+/** No remedy, hedging after a delay, and aborting the transfer after a delay. */
 const remedies: ReadonlyArray<Pick<Scenario, 'hedgeAfterMs' | 'giveUpAfterMs'>> = [
 	{}, {hedgeAfterMs: 400}, {hedgeAfterMs: 800}, {giveUpAfterMs: 100}, {giveUpAfterMs: 250}, {giveUpAfterMs: 400}, {giveUpAfterMs: 800},
 ];
@@ -28,8 +28,10 @@
 const nine = policies.find(policy => policy.name === '9 routers')!;
 
 /**
- * @param base - the scenario without its load.
- * @returns a row for each fleet, load, part of stalled transfers and delay.
+ * Measures each remedy with and without stalled transfers.
+ *
+ * @param base - Scenario without fleet and load.
+ * @returns A row for each fleet, load, fraction of stalled transfers, and remedy.
  */
 export function runHedging(base: Omit<Scenario, 'fleet' | 'load'>): HedgeRow[] {
 	const cases = fleets.flatMap(fleet => [0.9, 1.5].flatMap(load => [0, 0.02].flatMap(stallPart => remedies.map(remedy => ({
--- a/bench/admission/_lib/lost-zone.ts
+++ b/bench/admission/_lib/lost-zone.ts
@@ -1,4 +1,4 @@
-/** Goodput in the seconds after a zone is lost, by when the others stop counting its router. */
+/** Measures goodput in the seconds after the loss of a zone, by the time at which the remaining routers stop counting the lost one. */
 import {type Scenario} from './arrivals.js';
 import {type Fleet, fleets} from './fleets.js';
 import {type Figures, measure} from './measure.js';
@@ -8,7 +8,7 @@
 export type LostZoneRow = {
 	fleet: string;
 	routers: number;
-	/** Whether the servers report their use, as engines do and plain services do not. */
+	/** Whether servers report their places in use: engines do, plain services do not. */
 	isUsedReported: string;
 	shareKnownAfterMs: number;
 	quickGood: number;
@@ -18,7 +18,7 @@
 };
 
 const lostAtMs = 60_000;
-/** Time from the loss in which arrivals are measured: until a silent host is declared dead, and two seconds more. */
+/** Time after the loss in which arrivals are measured: until a silent host is declared dead, plus two seconds. */
 const measuredMs = 10_000;
 const seeds = [1, 2, 3, 4, 5, 6];
 
@@ -29,8 +29,10 @@
 })))));
 
 /**
- * @param base - the scenario without its load.
- * @returns a row for each fleet, number of routers, kind of report, and time at which the share is corrected.
+ * Measures each case as the mean of several seeds.
+ *
+ * @param base - Scenario without fleet and load.
+ * @returns A row for each fleet, number of routers, kind of report, and time at which the routers correct their share.
  */
 export function runLostZone(base: Omit<Scenario, 'fleet' | 'load'>): LostZoneRow[] {
 	return cases.map(each => toRow(base, each));
--- a/bench/admission/_lib/measure.ts
+++ b/bench/admission/_lib/measure.ts
@@ -1,14 +1,14 @@
-/** Turns what became of the requests into the figures of the table. */
+/** Aggregates the results of requests into the figures of the table. */
 import {type ServiceClass} from '../../../src/ports/outcome.js';
 import {type Scenario, toPlaces} from './arrivals.js';
 import {type WasteCause} from './create-backend.js';
 import {type RequestResult, toNeedMs} from './simulate.js';
 
 export type Figures = {
-	/** Good answers over requests whose caller stayed. */
+	/** Good answers as a fraction of the requests whose caller did not cancel. */
 	quickGood: number;
 	batchGood: number;
-	/** Good batch place time over what quick work left, or over what was offered if that is less. */
+	/** Place time of good batch answers as a fraction of the place time that quick requests left over, or of the offered batch place time if that is less. */
 	batchOfLeft: number;
 	quickP50: number;
 	quickP95: number;
@@ -18,12 +18,12 @@
 	refusedQuick: number;
 	refusedBatch: number;
 	bounces: number;
-	/** Prefill time in vain over all prefill time, by cause. */
+	/** Fraction of all prefill time whose result was not used, by cause. */
 	wastedCallerGone: number;
 	wastedExpired: number;
 	wastedHedge: number;
 	wastedStalled: number;
-	/** Jain's index over workspaces of batch work got over max-min fair share. */
+	/** Jain's fairness index over workspaces, for batch place time relative to the max-min fair share. */
 	jain: number;
 };
 
@@ -54,9 +54,10 @@
 }
 
 /**
- * What the servers' settings allow on paper: places at full speed, quick work
- * first up to what batch work's guarantee leaves, the rest for batch. Leaves
- * out waiting for a prefill, chance, and the place time of callers who left.
+ * Computes an upper bound of goodput from the fleet's sizes alone: all places run at
+ * full speed, quick requests come first up to the share guaranteed to batch requests,
+ * and batch requests get the rest. The bound ignores waits for a prefill, random
+ * variation, and the place time of cancelled requests.
  */
 export function toPaperBound(scenario: Scenario, batchShare: number): Pick<Figures, 'quickGood' | 'batchGood'> {
 	const pools = scenario.fleet.pools.map(pool => {
@@ -92,8 +93,8 @@
 }
 
 /**
- * Jain's index over workspaces of what each got against what max-min fairness
- * would have given it of the same total; 1 is as fair as can be.
+ * Computes Jain's fairness index over workspaces, for the place time that each got
+ * relative to its max-min fair share of the same total; 1 is perfectly fair.
  */
 function toJain(results: readonly RequestResult[]): number {
 	const demand = new Map<string, number>();
@@ -109,7 +110,7 @@
 	return (sum(ratios) ** 2) / (ratios.length * sum(ratios.map(ratio => ratio ** 2)));
 }
 
-/** The level up to which each demand is met when `total` is shared out max-min fairly. */
+/** Returns the level up to which each demand is met if `total` is shared max-min fairly. */
 function toFairLevel(demands: readonly number[], total: number): number {
 	const sorted = [...demands].sort((a, b) => a - b);
 	let left = total;
--- a/bench/admission/_lib/policies.ts
+++ b/bench/admission/_lib/policies.ts
@@ -1,4 +1,4 @@
-/** The admission under test and the baselines, behind the few functions that the bench calls. */
+/** Defines the compared policies: `createAdmission` with several settings, and a FIFO baseline. */
 import {type Admission, createAdmission} from '../../../src/domain/create-admission/index.js';
 
 export type Policy = Pick<Admission, 'offer' | 'finish' | 'cancel' | 'tick' | 'setCapacity' | 'noteFirstToken'>;
@@ -7,10 +7,11 @@
 	name: string;
 	create: () => Policy;
 	routers: number;
-	/** Time between load reports, and their age when they arrive. */
+	/** Time between load reports. */
 	reportEveryMs: number;
+	/** Age of a load report when it arrives. */
 	reportLagMs: number;
-	/** Whether routers hear how full the pool is, so that they can borrow. */
+	/** Whether load reports include the places in use, so that routers can borrow free ones. */
 	isUsedReported: boolean;
 };
 
@@ -44,7 +45,7 @@
 	},
 ];
 
-/** First come, first served, whatever the class or workspace; drops what is already late when its turn comes. */
+/** Creates a policy that admits requests in order of arrival, regardless of class and workspace, and refuses those whose deadline has passed. */
 export function createFifo(): Policy {
 	const pools = new Map<string, {places: number; running: Set<string>; queue: Map<string, number>}>();
 	const poolOf = new Map<string, string>();
@@ -100,7 +101,7 @@
 			pool.queue.set(request.id, Math.min(request.deadline, request.firstTokenDeadline));
 			return admitNext(request.pool, now).includes(request.id) ? {kind: 'admitted'} : {kind: 'queued', position: pool.queue.size - 1};
 		},
-		noteFirstToken() {/* Predicts nothing. */},
+		noteFirstToken() {/* Makes no predictions. */},
 		finish(id, now, {outcome}) {
 			const pool = pools.get(poolOf.get(id) ?? '');
 			if (pool !== undefined && outcome === 'bounced') {
--- a/bench/admission/_lib/refusals.ts
+++ b/bench/admission/_lib/refusals.ts
@@ -1,4 +1,4 @@
-/** How late quick work is refused, and how much of it would have been in time. */
+/** Measures how late quick requests are refused, and how many of them would have been in time. */
 import {createRandom, type Scenario} from './arrivals.js';
 import {fleets} from './fleets.js';
 import {measure} from './measure.js';
@@ -10,16 +10,17 @@
 	load: number;
 	quickGood: number;
 	batchGood: number;
-	/** Refused quick requests whose caller stayed, and the part of them refused at the arrival. */
+	/** Refused quick requests whose caller did not cancel. */
 	refused: number;
+	/** Fraction of them that was refused on arrival. */
 	atArrival: number;
-	/** Time to the refusal over the first-token target, for those that waited. */
+	/** Time until the refusal as a fraction of the first-token target, for requests that waited. */
 	refusedAtP50: number;
 	refusedAtP99: number;
-	/** Refused after half and four fifths of the target. */
+	/** Requests refused after more than half, and more than four fifths, of the target. */
 	afterHalf: number;
 	afterFourFifths: number;
-	/** Part of a sample that would have been in time, had it alone not been refused: refused at the arrival, and after a wait. */
+	/** Fraction of a sample that would have been in time if that request alone had not been refused, for refusals on arrival and after a wait. */
 	wouldHaveMadeAtArrival: number;
 	wouldHaveMadeWaiting: number;
 };
@@ -30,9 +31,11 @@
 const nine = policies.find(policy => policy.name === '9 routers')!;
 
 /**
- * @param base - the scenario without its load.
- * @param options - the policy, nine routers by default, and how many refused requests of each kind are replayed.
- * @returns a row for each fleet and load.
+ * Measures the refusals of each fleet at several loads.
+ *
+ * @param base - Scenario without fleet and load.
+ * @param options - `table`: policy, nine routers by default; `sampleSize`: refused requests of each kind that are replayed.
+ * @returns A row for each fleet and load.
  */
 export function runRefusals(base: Omit<Scenario, 'fleet' | 'load'>, options: {table?: PolicyTable; sampleSize?: number} = {}): RefusalRow[] {
 	const {table = nine, sampleSize = defaultSampleSize} = options;
--- a/bench/admission/_lib/retries.ts
+++ b/bench/admission/_lib/retries.ts
@@ -1,10 +1,10 @@
-/** What the retry budget adds in load and in answers while a part of all attempts fails. */
+/** Compares the retry budget with a fixed number of attempts, by load and answers, while a fraction of all attempts fails. */
 import {createRetryBudget} from '../../../src/domain/create-retry-budget/index.js';
 import {createRandom} from './arrivals.js';
 
 export type RetryRow = {
 	failPart: number;
-	/** Attempts over requests. */
+	/** Mean attempts per request. */
 	attemptsFixed: number;
 	attemptsBudget: number;
 	answeredFixed: number;
@@ -15,7 +15,7 @@
 const requestsPerSecond = 100;
 const maxAttempts = 3;
 
-/** @returns a row for each part of attempts that fail: three attempts for each request, beside the budget. */
+/** Returns a row for each fraction of failing attempts, with up to three attempts per request, without and with the budget. */
 export function runRetries(): RetryRow[] {
 	return [0.01, 0.05, 0.2, 0.5, 1].map(failPart => {
 		const fixed = run(failPart, false);
--- a/bench/admission/_lib/simulate.ts
+++ b/bench/admission/_lib/simulate.ts
@@ -1,4 +1,4 @@
-/** Drives one policy through one scenario on a logical clock. */
+/** Simulates one policy in one scenario on a logical clock. */
 import {type PoolCapacity} from '../../../src/domain/create-admission/index.js';
 import {
 	type Arrival, createRandom, type Scenario, toArrivals,
@@ -17,22 +17,22 @@
 	fate: Fate;
 	/** Time to the first token; `undefined` without one. */
 	firstTokenMs: number | undefined;
-	/** Time until it started or was refused. */
+	/** Time until the request started or was refused. */
 	waitMs: number;
 	bounces: number;
 	prefillMs: number;
-	/** Prefill time in vain. */
+	/** Prefill time whose result was not used, by cause. */
 	wastedMs: Readonly<Record<WasteCause, number>>;
-	/** Time for which it held a decode place. */
+	/** Time for which the request held a decode place. */
 	heldMs: number;
-	/** Where a caller's leaving found it. */
+	/** Stage of the request when its caller cancelled; `undefined` if it did not. */
 	leftAt: Stage | 'waiting' | undefined;
 };
 
 const tickEveryMs = 50;
 const queuedPerPool = 360;
 const bounceDelayMs = 40;
-/** The router that goes with a lost zone. */
+/** Index of the router in the lost zone. */
 const lostRouter = 1;
 
 type Tracked = RequestResult & {works: Work[]; isOver: boolean};
@@ -41,14 +41,16 @@
 	'caller-gone': 0, expired: 0, hedge: 0, stalled: 0,
 };
 
-/** Further than any target. */
+/** Longer than any target. */
 const unboundedMs = 1e9;
 
 /**
- * @param scenario - load and faults.
- * @param table - the policy and how many routers run it.
- * @param options - `exemptId` names one request that is never refused for its prediction, to see what refusing it prevented.
- * @returns what became of each measured request.
+ * Simulates one run.
+ *
+ * @param scenario - Load and faults.
+ * @param table - Policy and number of routers that run it.
+ * @param options - `exemptId` names one request that is never refused for its predicted lateness, to show what its refusal prevented.
+ * @returns Result of each measured request.
  */
 export function simulate(scenario: Scenario, table: PolicyTable, options: {exemptId?: string} = {}): RequestResult[] {
 	const agenda = createAgenda();
@@ -77,7 +79,7 @@
 		});
 	}
 
-	/** The balancer sends nothing to a lost router. */
+	/** Picks the router of an arrival; the load balancer sends nothing to a lost router. */
 	function toRouter({routerChoice, at}: Arrival): Policy {
 		const first = Math.floor(routerChoice * routers.length);
 		return routers[first === lostRouter && at >= (loss?.atMs ?? Infinity) ? (first + 1 + (Math.floor(routerChoice * 1e6) % (routers.length - 1))) % routers.length : first]!;
@@ -95,12 +97,12 @@
 		}
 	}
 
-	/** What a router is told of a pool: lost places and the lost router's share count until they are known to be lost. */
+	/** Returns the capacity of a pool that routers are told. Lost places and the share of the lost router count until their loss is known. */
 	function toCapacity(backend: Backend): PoolCapacity {
 		const lostForMs = agenda.now - (loss?.atMs ?? Infinity);
 		const isPlaceLossKnown = lostForMs >= (loss?.placesKnownAfterMs ?? Infinity);
 		const slots = isPlaceLossKnown ? backend.slotsLeft : backend.slots;
-		// Of servers that don't answer the last report stands: taken as full.
+		// Servers that no longer report count as full.
 		const used = backend.usedLeft + (lostForMs >= 0 && !isPlaceLossKnown ? backend.slots - backend.slotsLeft : 0);
 		const share = 1 / (routers.length - (lostForMs >= (loss?.shareKnownAfterMs ?? Infinity) ? 1 : 0));
 		return table.isUsedReported ? {slots, share, used} : {slots, share};
@@ -133,7 +135,7 @@
 		}
 	}
 
-	/** Starts one copy of the work; the first one to give a token stays, the other is cancelled. */
+	/** Starts one copy of the request. The copy that generates the first token continues; any other copy is cancelled. */
 	function startCopy(router: Policy, request: Tracked): boolean {
 		const {arrival} = request;
 		const backend = backends.get(arrival.pool)!;
@@ -281,7 +283,7 @@
 	return isGood ? 'good' : 'late';
 }
 
-/** Place time that a request needs, for weighing results. */
+/** Returns the place time, in milliseconds, that a request needs; used to weight results. */
 export function toNeedMs({arrival}: RequestResult): number {
 	return toHoldMs(arrival.shape);
 }
--- a/bench/admission/index.ts
+++ b/bench/admission/index.ts
@@ -1,8 +1,8 @@
 /**
- * Compares ways of admitting on a logical clock: the same seeded arrivals for
- * each way, both users' fleets, four loads, with a burst of quick work, callers
- * that leave and one slow server in each pool. Then what cancelling saves,
- * whether hedging pays, how late quick work is refused, what retries add, and what the decisions cost.
+ * Compares admission policies on a logical clock, with the same seeded arrivals for
+ * each: both users' fleets, four loads, a burst of quick requests, callers that cancel,
+ * and one slow server in each pool. Also measures savings by cancelling, hedging, how
+ * late quick requests are refused, the loss of a zone, retries, and the cost of decisions.
  */
 import {type Scenario} from './_lib/arrivals.js';
 import {runCancels} from './_lib/cancels.js';
@@ -22,9 +22,9 @@
 type Row = {fleet: string; load: number; policy: string} & Partial<Figures>;
 
 /**
- * Runs the comparisons and prints tables and, after them, the rows as JSON.
+ * Runs the bench. Prints tables, then all rows as JSON.
  *
- * @param seed - seed of the arrivals, 1 by default.
+ * @param seed - Seed of the arrivals, 1 by default.
  */
 export function runAdmissionBench(seed = 1): void {
 	const base: Omit<Scenario, 'fleet' | 'load'> = {
@@ -37,14 +37,14 @@
 	const lostZone = runLostZone(base);
 	const retries = runRetries();
 	const cost = measureDecisionCost();
-	console.log(`seed ${seed}; parts in %, times in ms\n\n${toTable(rows)}`);
-	console.log(`\nCallers of batch work that left, a third of all, load 1.1, nine routers (means a request)\n\n${toTable(stages)}`);
-	console.log(`\nGoodput of those who stayed\n\n${toTable(gains)}`);
-	console.log(`\nHedging of quick work, and giving transfers up; a stalled transfer takes 3 s more\n\n${toTable(hedging)}`);
-	console.log(`\nRefused quick work, nine routers; a sample is replayed with one request never refused\n\n${toTable(refusals)}`);
+	console.log(`seed ${seed}; fractions in %, times in ms\n\n${toTable(rows)}`);
+	console.log(`\nBatch requests that their callers cancelled; a third of all callers cancel, load 1.1, nine routers (means per request)\n\n${toTable(stages)}`);
+	console.log(`\nGoodput of the requests that were not cancelled\n\n${toTable(gains)}`);
+	console.log(`\nHedging of quick requests, and aborting transfers; a stalled transfer takes 3 s longer\n\n${toTable(hedging)}`);
+	console.log(`\nRefused quick requests, nine routers; each request of a sample is replayed with that request never refused\n\n${toTable(refusals)}`);
 	console.log(`\nThe first 10 s after a zone is lost, load 0.9, means of six seeds\n\n${toTable(lostZone)}`);
-	console.log(`\nRetries while a part of all attempts fails: three attempts each, and the budget\n\n${toTable(retries)}`);
-	console.log(`\nProcessor time of the decisions (this machine, under whatever else it does)\n\n${toTable(cost)}\n`);
+	console.log(`\nRetries while a fraction of all attempts fails: three attempts each, and the retry budget\n\n${toTable(retries)}`);
+	console.log(`\nTime of the decisions (on this machine, with its other load)\n\n${toTable(cost)}\n`);
 	console.log(JSON.stringify({
 		bench: 'admission', seed, rows, stages, gains, hedging, refusals, lostZone, retries, cost,
 	}));
