--- a/bench/claims/index.ts
+++ b/bench/claims/index.ts
@@ -1,4 +1,4 @@
-/** Compares designs for at most once by what they refuse, and measures what a claim costs. */
+/** Compares designs for at-most-once execution by the share of requests that they refuse, and measures the cost of a claim. */
 import process from 'node:process';
 import {pickWitnesses} from '../../src/domain/pick-witnesses/index.js';
 import {type Random} from '../../src/ports/clock.js';
@@ -24,7 +24,7 @@
 	{name: 'masks 2', pick: (key, hosts) => pickWitnesses(key, hosts, {maskedSlots: 2})},
 ];
 
-/** Linear congruential generator of Lehmer, so that a seed gives the same figures. */
+/** Creates a seeded random number generator (Lehmer), so that a seed always gives the same figures. */
 function createRandom(seed: number): Random {
 	const modulus = 2_147_483_647;
 	let state = (seed % (modulus - 1)) + 1;
@@ -45,7 +45,7 @@
 		const hosts = Array.from({length: fleet.zones * fleet.perZone}, (_, i) => ({id: `host-${i}`, zone: `zone-${i % fleet.zones}`}));
 		const sets = designs.map(design => design.pick('key', hosts));
 		printRow('quorum', sets.map(set => `${set.quorum} of ${set.slots.length}`));
-		printRow('old twins that break it', sets.map(set => String((2 * set.quorum) - set.slots.length)));
+		printRow('stale duplicates of hosts that break it', sets.map(set => String((2 * set.quorum) - set.slots.length)));
 		for (const one of cases) {
 			const shares: string[] = [];
 			for (const design of designs) {
@@ -60,22 +60,22 @@
 	}
 }
 
-/** Runs the measurement and prints its tables; `CLAIMS_SEED` in the environment sets another seed. */
+/** Runs the bench and prints its tables. The environment variable `CLAIMS_SEED` sets the seed. */
 export async function runClaimsBench(): Promise<void> {
 	const seed = Number(process.env.CLAIMS_SEED ?? defaultSeed);
 	await printAvailability(seed);
 	for (const {hosts, us} of measurePicks()) {
-		console.log(`choice of witnesses among ${hosts} hosts: ${us.toFixed(1)} us`);
+		console.log(`picking witnesses among ${hosts} hosts: ${us.toFixed(1)} us`);
 	}
 
 	for (const {claims, us, bytes} of measureTable()) {
-		console.log(`witness with ${claims} claims: ${us.toFixed(1)} us a claim, ${globalThis.gc === undefined ? 'about ' : ''}${bytes.toFixed(0)} bytes of heap each`);
+		console.log(`witness with ${claims} claims: ${us.toFixed(1)} us per claim, ${globalThis.gc === undefined ? 'about ' : ''}${bytes.toFixed(0)} bytes of heap each`);
 	}
 
 	const {ask, answer} = measureMessage();
-	console.log(`a claim's question ${ask} bytes, its answer ${answer} bytes, to each witness`);
+	console.log(`claim request ${ask} bytes, reply ${answer} bytes, per witness`);
 	for (const atOnce of [1, 16, 64]) {
 		const {p50, p99, perSecond} = await measureLatency(atOnce, 2000);
-		console.log(`${atOnce} claims at once over loopback, 8 hosts in one process: p50 ${p50.toFixed(2)} ms, p99 ${p99.toFixed(2)} ms, ${perSecond.toFixed(0)} a second`);
+		console.log(`${atOnce} concurrent claims over loopback, 8 hosts in one process: p50 ${p50.toFixed(2)} ms, p99 ${p99.toFixed(2)} ms, ${perSecond.toFixed(0)} claims/s`);
 	}
 }
--- a/bench/claims/measure-availability.ts
+++ b/bench/claims/measure-availability.ts
@@ -1,4 +1,4 @@
-/** What share of first calls with a fresh key is refused, by design and by what has failed. */
+/** Measures the share of first requests with a fresh key that are refused, by design and by failure. */
 import {errAsync, okAsync} from 'neverthrow';
 import {v7} from 'uuid';
 import {claimKey} from '../../src/domain/claim-key/index.js';
@@ -20,18 +20,18 @@
 type Trial = {
 	hosts: readonly HostEntry[];
 	random: Random;
-	/** Zone in which the caller's host is. */
+	/** Zone of the host that receives the request. */
 	zone: string;
 };
 
 export type Case = {
 	name: string;
 	toStates: (trial: Trial) => ReadonlyMap<string, HostState>;
-	/** How far the caller's clock is ahead, milliseconds. */
+	/** Time by which the caller's clock is ahead. */
 	callerAheadMs?: number;
-	/** How far the clocks of all restarted hosts are ahead, milliseconds. */
+	/** Time by which the clocks of all restarted hosts are ahead. */
 	hostAheadMs?: number;
-	/** A host was added to the list a moment ago. */
+	/** Whether a host was just added to the list, so that claims also go to the witnesses of the previous list. */
 	isListNew?: boolean;
 };
 
@@ -56,7 +56,7 @@
 	return new Map(hosts.filter(host => isCut(host.zone)).map(host => [host.id, 'away']));
 }
 
-/** Another zone than the caller's. */
+/** Returns a zone other than that of the host that receives the request. */
 function toLostZone({hosts, zone}: Trial): string {
 	return hosts.find(host => host.zone !== zone)!.zone;
 }
@@ -118,9 +118,9 @@
 }
 
 /**
- * Measures one case.
+ * Measures one design in one case.
  *
- * @returns The share of keys refused, 0 to 1.
+ * @returns Share of keys refused, 0 to 1.
  */
 export async function measureRefusals(fleet: Fleet, design: Design, one: Case, random: Random): Promise<number> {
 	const hosts = toHosts(fleet);
@@ -132,14 +132,14 @@
 	return refused / (trials * keysPerTrial);
 }
 
-/** One static owner for each key. */
+/** Picks a single static owner for each key. */
 export function pickOwner(key: string, hosts: readonly HostEntry[]): WitnessSet {
 	return {
 		slots: pickWitnesses(key, hosts).slots.slice(0, 1), quorum: 1, maskedSlots: 0, survivesZone: false,
 	};
 }
 
-/** Two of three slots, in three zones where there are as many. */
+/** Picks three slots with a quorum of two, each slot in another zone. */
 export function pickThree(key: string, hosts: readonly HostEntry[]): WitnessSet {
 	const zones = new Map(hosts.map(host => [host.id, host.zone]));
 	const ranked = pickWitnesses(key, hosts).slots;
--- a/bench/claims/measure-cost.ts
+++ b/bench/claims/measure-cost.ts
@@ -1,4 +1,4 @@
-/** What a claim costs: choice of witnesses, the witness's table, messages, and time over loopback sockets. */
+/** Measures the cost of a claim: picking witnesses, the table of a witness, message sizes, and latency over loopback sockets. */
 import process from 'node:process';
 import {decode, encode} from 'cbor-x';
 import {build} from 'hdr-histogram-js';
@@ -38,7 +38,7 @@
 	return Number(process.hrtime.bigint() - startedAt) / times / nsPerUs;
 }
 
-/** Microseconds to choose the witnesses of a key, by number of hosts. */
+/** Measures the time to pick the witnesses of a key, in microseconds, by number of hosts. */
 export function measurePicks(): Array<{hosts: number; us: number}> {
 	return [8, 40, 400].map(count => {
 		const hosts = toSlots(count);
@@ -47,14 +47,14 @@
 	});
 }
 
-/** Copies what came off the wire, as the entry does. */
+/** Copies the texts of a decoded request, as the entry does, so that they don't keep the received buffer alive. */
 function toOwnTexts(request: ClaimRequest): ClaimRequest {
 	return {
 		...request, workspace: detachText(request.workspace), key: detachText(request.key), claimId: detachText(request.claimId), digest: detachText(request.digest),
 	};
 }
 
-/** Microseconds and heap bytes of a claim at its witness, by claims held. */
+/** Measures time (microseconds) and heap bytes per claim at a witness, by number of claims held. */
 export function measureTable(): Array<{claims: number; us: number; bytes: number}> {
 	return [10_000, 50_000, 200_000].map(count => {
 		const now = Date.now();
@@ -71,7 +71,7 @@
 	});
 }
 
-/** Bytes of a claim's question and its answer, without framing. */
+/** Measures the bytes of a claim request and its reply, without framing. */
 export function measureMessage(): {ask: number; answer: number} {
 	return {
 		ask: encode({
@@ -119,7 +119,7 @@
 	}));
 }
 
-/** Milliseconds of a claim over loopback, eight hosts in this one process, a few claims at a time. */
+/** Measures the latency of concurrent claims over loopback, in milliseconds, with eight hosts in this process. */
 export async function measureLatency(claimsAtOnce: number, total: number): Promise<{p50: number; p99: number; perSecond: number}> {
 	const hosts = await startHosts(8);
 	const histogram = build({lowestDiscernibleValue: 1, highestTrackableValue: 60_000_000});
@@ -130,7 +130,7 @@
 		});
 		histogram.recordValue(Math.round((performance.now() - startedAt) * nsPerUs));
 		if (claimed.kind !== 'run') {
-			throw new Error(`a claim was not granted: ${JSON.stringify(claimed)}`);
+			throw new Error(`witnesses did not grant claim with fresh key: ${JSON.stringify(claimed)}`);
 		}
 	};
 
--- a/bench/membership/_lib/measure-agents.ts
+++ b/bench/membership/_lib/measure-agents.ts
@@ -1,4 +1,4 @@
-/** Real agents, one process each, on this machine: bytes, processor time, memory, detection. */
+/** Measures real agents, one process each, on this machine: bytes, CPU time, memory, and detection of a dead host. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {startEngineStandIn} from '../../../test/stand-ins/engine/index.js';
 import {startPlatformStandIn} from '../../../test/stand-ins/platform/index.js';
@@ -13,22 +13,22 @@
 export type AgentsRow = {
 	agents: number;
 	zones: number;
-	/** Extra options of Node, as the page for operators gives them. */
+	/** Extra Node options. */
 	nodeOptions: string;
-	/** Frames alone, without TCP and IP headers. */
+	/** Bytes of frames, without TCP and IP headers. */
 	sentBytesPerSecond: number;
 	receivedBytesPerSecond: number;
-	/** Share of one core of the mean and of the busiest agent, percent. */
+	/** CPU use of the mean and of the busiest agent, as a percentage of one core. */
 	meanCpuPercent: number;
 	maxCpuPercent: number;
 	meanResidentMb: number;
 	maxResidentMb: number;
-	/** Resident memory with shared pages, such as those of Node's own file, divided among the processes that share them. */
+	/** Proportional set size: pages that processes share, such as those of the Node binary, are divided among them. */
 	meanProportionalMb: number;
-	/** Resident memory that is not of a file. */
+	/** Resident memory that is not backed by a file. */
 	meanAnonymousMb: number;
 	falseSuspicions: number;
-	/** From the kill of one agent until all others call it dead. */
+	/** Time from the kill of one agent until all others have declared it dead. */
 	deadAfterMs: number;
 	platformReads: number;
 	peakPlatformReadsPerSecond: number;
@@ -81,12 +81,12 @@
 }
 
 /**
- * Measures one size.
+ * Measures a fleet of one size, and stops all started processes before it returns.
  *
- * @param zoneCount - Zones.
- * @param hostsOfZone - Agents of each.
- * @param nodeOptions - Extra options of Node.
- * @returns The row. All that it started has ended.
+ * @param zoneCount - Number of zones.
+ * @param hostsOfZone - Number of agents in each zone.
+ * @param nodeOptions - Extra Node options.
+ * @returns Row for this size.
  */
 export async function measureAgents(zoneCount: number, hostsOfZone: number, nodeOptions: readonly string[] = []): Promise<AgentsRow> {
 	const names = Array.from({length: zoneCount * hostsOfZone}, (_, i) => ({id: `zone-${i % zoneCount}-${Math.floor(i / zoneCount)}`, zone: `zone-${i % zoneCount}`}));
--- a/bench/membership/_lib/measure-logical.ts
+++ b/bench/membership/_lib/measure-logical.ts
@@ -1,4 +1,4 @@
-/** Membership alone on a logical clock: bytes and detection times at sizes that do not fit one machine. */
+/** Measures membership on a logical clock: bytes sent and detection times for fleets too large for one machine. */
 import {performance} from 'node:perf_hooks';
 import {encodeFrame} from '../../../src/adapters/peer-tcp/_lib/frame.js';
 import {createNetwork} from '../../../src/domain/create-membership/_test/create-network.js';
@@ -6,7 +6,7 @@
 import {type KnownVersions} from '../../../src/programs/agent/_lib/peer-messages.js';
 import {createRandom} from '../../_lib/create-random.js';
 
-/** IPv4 and TCP headers with time stamps; an acknowledgement of its own costs the same again. */
+/** IPv4 and TCP headers with time stamps; a separate acknowledgement has the same size. */
 const headerBytes = 52;
 const settleMs = 60_000;
 const measureMs = 20_000;
@@ -19,16 +19,16 @@
 export type LogicalRow = {
 	hosts: number;
 	zones: number;
-	/** Sent by one host a second, headers and acknowledgements included: mean over the hosts, and the busiest. */
+	/** Bytes sent per host and second, with headers and acknowledgements: mean and maximum over the hosts. */
 	meanBytesPerSecond: number;
 	maxBytesPerSecond: number;
 	messagesPerSecond: number;
-	/** From the kill until the last host knows. */
+	/** Time from the kill until all hosts suspect the killed host, and until all have declared it dead. */
 	suspectedAfterMs: number;
 	deadAfterMs: number;
-	/** Live hosts that were seen otherwise while nothing failed. */
+	/** Live hosts that other hosts did not see as alive although nothing had failed. */
 	falseSuspicions: number;
-	/** Processor time of one host for one second, the simulated network included. */
+	/** Time to compute one second of one host, simulated network included. */
 	cpuMsPerSecond: number;
 };
 
@@ -38,10 +38,10 @@
 }
 
 /**
- * Measures one size.
+ * Measures a fleet of one size.
  *
- * @param zones - Hosts of each zone.
- * @returns The row.
+ * @param zones - Number of hosts by zone.
+ * @returns Row for this size.
  */
 export function measureLogical(zones: Readonly<Record<string, number>>): LogicalRow {
 	const sent = new Map<string, number>();
@@ -54,7 +54,7 @@
 			if (isCounting) {
 				messages += 1;
 				sent.set(from, (sent.get(from) ?? 0) + toBytes(message) + headerBytes);
-				// The receiver acknowledges; its acknowledgement is counted where the message is.
+				// The receiver's acknowledgement is counted for the sender.
 				sent.set(from, sent.get(from)! + headerBytes);
 			}
 		},
--- a/bench/membership/index.ts
+++ b/bench/membership/index.ts
@@ -1,13 +1,13 @@
 /**
- * Measures what it costs to keep agents in touch, and how soon a death is
- * known: membership alone on a logical clock up to the size of the letter, and
- * real agents up to what one machine holds.
+ * Measures the cost of membership and the time to detect a dead host: simulated on a
+ * logical clock up to the target size of the fleet, and with real agents up to the
+ * number that fits on one machine.
  */
 import process from 'node:process';
 import {measureAgents, type AgentsRow} from './_lib/measure-agents.js';
 import {measureLogical, type LogicalRow} from './_lib/measure-logical.js';
 
-/** Options for a small heap, as the first line of the agent's `main.ts` gives them. */
+/** Node options for a small heap, as in the first line of the agent's `main.ts`. */
 export const smallHeapOptions = ['--max-old-space-size=40', '--max-semi-space-size=1', '--single-threaded-gc', '--v8-pool-size=1', '--liftoff-only'];
 
 function toZones(zones: number, hosts: number): Record<string, number> {
@@ -15,9 +15,9 @@
 }
 
 /**
- * Runs the bench and prints tables and, after them, the rows as JSON.
+ * Runs the bench. Prints tables, then all rows as JSON.
  *
- * @returns The rows.
+ * @returns The printed rows.
  */
 export async function runMembershipBench(): Promise<{logical: readonly LogicalRow[]; agents: readonly AgentsRow[]}> {
 	const logical = [[2, 4], [4, 16], [8, 64], [12, 400]].map(([zones, hosts]) => measureLogical(toZones(zones!, hosts!)));
--- a/bench/spill/index.ts
+++ b/bench/spill/index.ts
@@ -1,4 +1,4 @@
-/** Compares ways to choose where the requests of a zone go that has lost its servers. */
+/** Compares strategies for spilling the requests of a zone that has lost its servers. */
 import {simulate, type SpillOutcome, type Strategy} from './simulate.js';
 
 const strategies: readonly Strategy[] = ['blind', 'round-robin', 'greatest', 'summaries', 'summaries, own alone', 'summaries, no ramp', 'summaries, digest'];
@@ -7,9 +7,9 @@
 const toShort = (value: string | number): string | number => typeof value === 'number' ? Math.round(value * 1000) / 1000 : value;
 
 /**
- * Runs the bench and prints a row for each way and seed, and after them the rows as JSON.
+ * Runs the bench. Prints a row for each strategy and seed, then all rows as JSON.
  *
- * @returns The rows.
+ * @returns The printed rows.
  */
 export function runSpillBench(): readonly SpillOutcome[] {
 	const rows = strategies.flatMap(strategy => seeds.map(seed => simulate(strategy, seed)));
--- a/bench/spill/simulate.ts
+++ b/bench/spill/simulate.ts
@@ -1,36 +1,39 @@
 /**
- * A table of twelve zones for the choice of where a crowded zone's requests go:
- * decode servers with slots, hosts that share nothing, summaries that come late.
- * Its clock is logical; nothing but the choice of zone and server is modelled.
+ * Simulates spilling between twelve zones on a logical clock: decode servers with
+ * slots, hosts that share no state, and delayed summaries. Only the choice of zone and
+ * server is modelled.
  */
 import {toSeededRandom} from '../../src/domain/create-placement/_lib/fixtures.js';
 import {pickSpillZone, type SpillZone} from '../../src/domain/pick-spill-zone/index.js';
 
 /**
- * - `blind`: any servers of the region's other zones, as without summaries.
- * - `round-robin`: the other zones in turn, wherever they are.
- * - `greatest`: the nearest region's zone that said it has most.
- * - `summaries`: `pickSpillZone`, and any servers there.
- * - `summaries, own alone`: the same, with own spills not taken for those of the neighbours too.
- * - `summaries, no ramp`: the same as `summaries`, but a zone that came back is believed at once.
- * - `summaries, digest`: `pickSpillZone`, and one of the servers that its summary called least used.
+ * How the host of a zone without room chooses a zone and a server there.
+ *
+ * - `blind`: a random zone of the same region, as without summaries; a random server.
+ * - `round-robin`: the other zones in turn, in any region; a random server.
+ * - `greatest`: the zone with the most free slots by its summary, in the nearest region that has any; a random server.
+ * - `summaries`: `pickSpillZone`; a random server.
+ * - `summaries, own alone`: as `summaries`, but the host counts only its own spills, instead of assuming that every host of its zone spills as much.
+ * - `summaries, no ramp`: as `summaries`, but a zone that has returned gets its full share at once.
+ * - `summaries, digest`: `pickSpillZone`; one of the least used servers named in the summary of the zone.
  */
 export type Strategy = 'blind' | 'round-robin' | 'greatest' | 'summaries' | 'summaries, own alone' | 'summaries, digest' | 'summaries, no ramp';
 
 export type SpillOutcome = {
 	strategy: Strategy;
 	seed: number;
-	/** While the zone is without servers: requests refused, of all and of those that left their zone. */
+	/** Fraction of all requests that were refused while the lost zone had no servers. */
 	refused: number;
+	/** Fraction of the spilled requests that were refused during that time. */
 	refusedOfSpilled: number;
-	/** Greatest share of slots in use of any zone, as a mean over that time, and its greatest over any second. */
+	/** Highest share of slots in use in any zone while the lost zone had no servers: mean over that time, and maximum of any second. */
 	worstZone: number;
 	worstSecond: number;
-	/** Offers that a full server refused, for each request that left its zone. */
+	/** Mean number of offers refused by full servers per spilled request. */
 	refusals: number;
-	/** Share of the spilled that left their region. */
+	/** Fraction of the spilled requests that left their region. */
 	farShare: number;
-	/** Most requests of other zones that came in one second to the zone in its first ten seconds back. */
+	/** Most spilled requests that the lost zone received in any of the first ten seconds after its return. */
 	foreignPeak: number;
 };
 
@@ -38,7 +41,7 @@
 const loads = [0.7, 0.8, 0.6, 0.9, 0.75, 0.65, 0.85, 0.7, 0.8, 0.75, 0.6, 0.9];
 const lostZone = 6;
 
-/** The other zone of its region, crowded when the lost one comes back. */
+/** The other zone of the region of the lost zone; overloaded from the return of the lost zone on. */
 const neighbour = 7;
 const crowdedLoad = 1.3;
 const serversOfZone = 100;
@@ -50,8 +53,9 @@
 const backAtMs = 60_000;
 const endMs = 75_000;
 
-/** Age of a summary when it comes, and time between two. */
+/** Age of a summary on arrival. */
 const lateMs = 4000;
+/** Time between two summaries. */
 const everyMs = 3000;
 const offers = 3;
 const digestServers = 4;
@@ -66,7 +70,7 @@
 	return {at, free: zone.isLost ? 0 : (serversOfZone * slots) - toUsed(zone), least: order.slice(0, digestServers).map(({i}) => i)};
 }
 
-/** Poisson by its exponential gaps. */
+/** Draws from a Poisson distribution by adding up exponential gaps. */
 function drawCount(mean: number, random: () => number): number {
 	let count = 0;
 	for (let sum = -Math.log(1 - random()); sum < mean; sum -= Math.log(1 - random())) {
@@ -76,7 +80,7 @@
 	return count;
 }
 
-/** Runs one strategy to the end. */
+/** Simulates one strategy and returns its outcome. */
 export function simulate(strategy: Strategy, seed: number): SpillOutcome {
 	const random = toSeededRandom(seed);
 	const zones: Zone[] = regions.map((_, id) => ({
@@ -94,7 +98,7 @@
 	let worstSecond = 0;
 	let turn = Math.floor(random() * zones.length);
 
-	/** What a zone's hosts have heard of another at a time; each pair of zones hears at moments of its own. */
+	/** Returns the latest summary that the hosts of one zone have received from another. Each pair of zones has its own phase. */
 	function toHeard(from: number, of: number, now: number): Said | undefined {
 		const phase = ((from * 7) + (of * 13)) % (everyMs / 1000) * 1000;
 		const heardAt = (Math.floor((now - phase) / everyMs) * everyMs) + phase;
@@ -155,7 +159,7 @@
 	function spill(from: number, now: number): boolean {
 		const host = Math.floor(random() * hostsOfZone);
 		const isCounted = now >= lostAtMs && now < backAtMs;
-		// After a refusal the product picks anew, the zone too.
+		// After a refusal the product picks a new zone and server.
 		for (let offer = 0; offer < offers; offer++) {
 			const id = pickZone(from, host, now);
 			if (id === undefined) {
@@ -178,7 +182,7 @@
 		return false;
 	}
 
-	/** Of the own zone the loads are known: a server with room is found as long as there is one. */
+	/** Places a request in its own zone, whose loads are known, if any server there has a free slot. */
 	function placeAtHome(zone: Zone, now: number): boolean {
 		const start = Math.floor(random() * serversOfZone);
 		return zone.used.some((_, i) => take(zone, (start + i) % serversOfZone, now));
--- a/bench/zone-spread/_lib/create-spread-fleet.ts
+++ b/bench/zone-spread/_lib/create-spread-fleet.ts
@@ -1,4 +1,4 @@
-/** Agents' membership, loads and summaries on a logical clock, joined by links, with the bytes of their frames counted. */
+/** Simulates the membership, loads and summaries of agents on a logical clock, and counts the bytes of their frames. */
 import {encodeFrame} from '../../../src/adapters/peer-tcp/_lib/frame.js';
 import {createFleetTable} from '../../../src/domain/create-fleet-table/index.js';
 import {createLeavingOverrides} from '../../../src/domain/create-leaving-overrides/index.js';
@@ -13,7 +13,7 @@
 import {spreadSummaries} from '../../../src/programs/agent/_lib/spread-summaries.js';
 import {createRandom} from '../../_lib/create-random.js';
 
-/** IPv4 and TCP headers with time stamps, and the acknowledgement's. */
+/** IPv4 and TCP headers with time stamps, of the message and of its acknowledgement. */
 const headerBytes = 104;
 const tickMs = 200;
 const pollMs = 1000;
@@ -38,11 +38,11 @@
 }
 
 /**
- * Creates the fleet. Loads are polled and told from `startLoads` on.
+ * Creates the fleet. Agents poll and send loads only after `startLoads`.
  *
- * @param hostsOfZone - Hosts of each zone.
- * @param seed - Of chance.
- * @returns Its agents, its clock, the zones that are full, and what each host has sent.
+ * @param hostsOfZone - Number of hosts by zone.
+ * @param seed - Seed of the random number generator.
+ * @returns Agents, network with its clock, zones that are full, and bytes sent by host.
  */
 export function createSpreadFleet(hostsOfZone: Readonly<Record<string, number>>, seed: number) {
 	const random = createRandom(seed);
@@ -171,7 +171,7 @@
 		full,
 		sent,
 		network,
-		/** Polls begin; who polls is settled by the hosts that live now. */
+		/** Assigns each server to a poller among the hosts that are alive now, and starts polling. */
 		startLoads() {
 			assignPolls();
 			hasLoads = true;
@@ -179,7 +179,7 @@
 		async run(ms: number) {
 			for (let left = ms; left > 0; left -= sliceMs) {
 				network.run(Math.min(left, sliceMs), step);
-				// Calls between agents are promises; they go on between two slices.
+				// Calls between agents are promises, which settle between two slices.
 				await new Promise(resolve => {
 					setImmediate(resolve);
 				});
--- a/bench/zone-spread/_lib/measure-spread.ts
+++ b/bench/zone-spread/_lib/measure-spread.ts
@@ -1,7 +1,7 @@
 /**
- * Membership, loads and summaries together on a logical clock: bytes sent by
- * the mean host and by a zone's contact, and how soon the other zones know that
- * a zone has filled up or emptied.
+ * Measures membership, loads and summaries together on a logical clock: bytes sent by
+ * the mean host and by the contacts of a zone, and the time until other zones know that
+ * a zone has become full or free again.
  */
 import {performance} from 'node:perf_hooks';
 import {pickZoneContacts} from '../../../src/domain/pick-zone-contacts/index.js';
@@ -20,24 +20,24 @@
 export type SpreadRow = {
 	hosts: number;
 	zones: number;
-	/** Bytes a second sent by one host, headers and acknowledgements included. */
+	/** Bytes a second that the mean host sends, with headers and acknowledgements. */
 	meanMembership: number;
 	meanLoads: number;
 	meanSummaries: number;
 	meanAll: number;
-	/** The same for the contact that sends most. */
+	/** Bytes a second that the busiest zone contact sends. */
 	contactMembership: number;
 	contactLoads: number;
 	contactSummaries: number;
 	contactAll: number;
-	/** The host that sends most of all. */
+	/** Bytes a second that the busiest of all hosts sends. */
 	busiestAll: number;
-	/** From a change of a zone until the first, the middle and the last host of the other zones shows it: medians of the changes, and the worst; `undefined` in a small fleet, which has no summaries. */
+	/** Time from a change of a zone until the first, the median and the last host of the other zones know it, as medians over the changes, and the longest time of all; `undefined` in a small fleet, which has no summaries. */
 	firstKnewMs: number | undefined;
 	middleKnewMs: number | undefined;
 	lastKnewMs: number | undefined;
 	worstKnewMs: number | undefined;
-	/** Real time that the run took. */
+	/** Wall-clock time of the run. */
 	seconds: number;
 };
 
@@ -84,11 +84,11 @@
 }
 
 /**
- * Measures one size.
+ * Measures a fleet of one size.
  *
- * @param hostsOfZone - Hosts of each zone.
- * @param seed - Of chance.
- * @returns The row.
+ * @param hostsOfZone - Number of hosts by zone.
+ * @param seed - Seed of the random number generator.
+ * @returns Row for this size.
  */
 export async function measureSpread(hostsOfZone: Readonly<Record<string, number>>, seed = 42): Promise<SpreadRow> {
 	const startedAt = performance.now();
--- a/bench/zone-spread/index.ts
+++ b/bench/zone-spread/index.ts
@@ -1,4 +1,4 @@
-/** Measures, on a logical clock, what agents send each other at three sizes, and how soon a zone's change is known in all others. */
+/** Measures, on a logical clock and for three sizes, the bytes that agents send each other and the time until other zones know of a change in a zone. */
 import {measureSpread, type SpreadRow} from './_lib/measure-spread.js';
 
 const sizes = [[4, 16], [8, 64], [12, 400]] as const;
@@ -8,9 +8,9 @@
 }
 
 /**
- * Runs the bench and prints a row for each size, and after them the rows as JSON.
+ * Runs the bench. Prints a row for each size, then all rows as JSON.
  *
- * @returns The rows.
+ * @returns The printed rows.
  */
 export async function runZoneSpreadBench(): Promise<readonly SpreadRow[]> {
 	const rows: SpreadRow[] = [];
