--- a/bench/capacity/index.ts
+++ b/bench/capacity/index.ts
@@ -1,6 +1,6 @@
 /**
- * Measures the slopes from which `docs/CAPACITY.md` is worked out, and prints
- * them as a table and as JSON.
+ * Measures the slopes from which the figures of `docs/CAPACITY.md` are computed, and
+ * prints them as a table and as JSON.
  */
 import {measureAgentLoad, type AgentLoadRow} from './measure-agent-load.js';
 import {measureSlopes, type Slope} from './measure-slopes.js';
@@ -11,7 +11,7 @@
 	return Number(value.toPrecision(3));
 }
 
-/** Prints slopes, then real agents. */
+/** Runs the bench. Prints the slopes, then the measurements of real agents, then both as JSON. */
 export async function runCapacityBench(): Promise<{slopes: readonly Slope[]; agents: readonly AgentLoadRow[]}> {
 	const slopes = measureSlopes();
 	console.table(slopes.map(({name, unit, per, slope, intercept, r2, points}) => ({
--- a/bench/capacity/measure-agent-load.ts
+++ b/bench/capacity/measure-agent-load.ts
@@ -1,4 +1,4 @@
-/** One real agent under documents and server lists of several sizes: memory, processor time, reads of the platform. */
+/** Measures one real agent with documents and server lists of several sizes: memory, CPU time, and reads of the platform. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {toFleetConfig} from '../../src/domain/_test/to-fleet-config.js';
 import {toConfigText} from '../../src/domain/to-config-text/index.js';
@@ -8,7 +8,7 @@
 import {readCpuSeconds, readMemoryMb} from '../_lib/read-process.js';
 import {smallHeapOptions} from '../membership/index.js';
 
-/** The quick sweeps after a start last 15 s. */
+/** Longer than the first 15 s after a start, in which the agent sweeps more often. */
 const settleMs = 25_000;
 const measureMs = 10_000;
 
@@ -31,12 +31,12 @@
 }
 
 /**
- * Measures one size.
+ * Measures one size, and stops all started processes before it returns.
  *
- * @param workspaces - Workspaces that the document names.
- * @param polledServers - Engines that the agent polls, at least two.
- * @param isSmallHeap - Whether Node is started as the page for operators says.
- * @returns The row. All that it started has ended.
+ * @param workspaces - Number of workspaces in the document.
+ * @param polledServers - Number of engines that the agent polls, at least two.
+ * @param isSmallHeap - Whether to start Node with the recommended options for a small heap.
+ * @returns Row for this size.
  */
 export async function measureAgentLoad(workspaces: number, polledServers: number, isSmallHeap = true): Promise<AgentLoadRow> {
 	const engines = await Promise.all(Array.from({length: polledServers}, async (_, i) => startEngineStandIn({
--- a/bench/capacity/measure-heap.ts
+++ b/bench/capacity/measure-heap.ts
@@ -1,11 +1,11 @@
-/** Heap that a value holds, by garbage collection before and after copies of it were made. */
+/** Measures the heap that a value holds, by garbage collections before and after creating copies of it. */
 import {setFlagsFromString} from 'node:v8';
 import {runInNewContext} from 'node:vm';
 
 setFlagsFromString('--expose-gc');
 const collect = runInNewContext('gc') as () => void;
 
-/** Several copies, so that what the collector gives back late weighs little. */
+/** Several copies reduce the weight of memory that the garbage collector frees late. */
 const copies = 8;
 const collections = 4;
 
@@ -19,13 +19,13 @@
 }
 
 /**
- * Measures what a value holds.
+ * Measures the memory that a value holds.
  *
- * @param make - Makes the value anew; what it needs for that is not counted.
- * @returns Bytes on the heap and in array buffers, the mean of several copies.
+ * @param make - Creates a new copy of the value; its temporary memory does not count.
+ * @returns Bytes on the heap and in array buffers, as the mean of several copies.
  */
 export function measureHeap(make: () => unknown): number {
-	// What a first call leaves behind (compiled code, caches) is no part of the value.
+	// Compiled code and caches that the first call leaves behind are not part of the value.
 	make();
 	const kept: unknown[] = [];
 	const before = toHeldBytes();
--- a/bench/capacity/measure-slopes.ts
+++ b/bench/capacity/measure-slopes.ts
@@ -1,4 +1,4 @@
-/** Slopes of state and processor time, each at three sizes or more, one process. */
+/** Measures how memory and time grow with size, in one process and for at least three sizes each. */
 import {performance} from 'node:perf_hooks';
 import {toFleetConfig} from '../../src/domain/_test/to-fleet-config.js';
 import {compileRules} from '../../src/domain/compile-rules/index.js';
@@ -35,7 +35,7 @@
 	return sizes.map(size => ({size, value: measure(size)}));
 }
 
-/** The best of a few rounds: the machine does other work as well. */
+/** Returns the best time of a few rounds, since other load on the machine slows some of them. */
 function timeMs(run: () => unknown): number {
 	let best = Infinity;
 	for (let round = 0; round < rounds; round++) {
@@ -47,7 +47,7 @@
 	return best;
 }
 
-/** Rules and workspaces in the ratio that a document of one megabyte holds. */
+/** Creates a document with rules and workspaces in the ratio of a document of one megabyte. */
 function toDocument(workspaces: number): string {
 	return toConfigText(toFleetConfig(Math.round(workspaces * 11 / 18), workspaces));
 }
@@ -164,7 +164,7 @@
 /**
  * Measures all slopes.
  *
- * @returns One for each.
+ * @returns A fitted line for each measured quantity.
  */
 export function measureSlopes(): Slope[] {
 	const claims = measureTable();
--- a/bench/capacity/to-fit.ts
+++ b/bench/capacity/to-fit.ts
@@ -1,4 +1,4 @@
-/** Straight lines through measured points. */
+/** Fits straight lines to measured points. */
 
 export type Point = {
 	size: number;
@@ -8,15 +8,15 @@
 export type Fit = {
 	slope: number;
 	intercept: number;
-	/** Share of the points' variance that the line explains; 1 is a perfect line. */
+	/** Coefficient of determination: share of the variance that the line explains; 1 is a perfect fit. */
 	r2: number;
 };
 
 /**
  * Fits a line by least squares.
  *
- * @param points - At least two, of different sizes.
- * @returns The line.
+ * @param points - At least two points of different sizes.
+ * @returns Slope, intercept and quality of the fit.
  *
  * @example
  * ```ts
--- a/bench/config-changes/index.ts
+++ b/bench/config-changes/index.ts
@@ -1,4 +1,4 @@
-/** What a change of a full document each 5.4 s costs an agent that reads the platform. */
+/** Measures the cost to an agent of reading a full-size document that changes every 5.4 s. */
 import {toFleetConfig} from '../../src/domain/_test/to-fleet-config.js';
 import {toPartDocument} from '../../src/domain/_test/to-part-document.js';
 import {readPlainValues} from '../../src/domain/parse-config/index.js';
@@ -11,7 +11,7 @@
 const rules = 11_000;
 const partCounts = [60];
 
-/** One rule has another name each time, as a line changed by staff. */
+/** Renames one rule in each round, like a line edited by an operator. */
 function toEdited(config: Config, round: number): Config {
 	const at = (round * 997) % (config.rules.length - 1);
 	return {...config, rules: config.rules.with(at, {...config.rules[at]!, name: `edit ${round}`})};
@@ -29,7 +29,7 @@
 	};
 }
 
-/** The same document in parts of equal length; an edit publishes one part and the root. */
+/** Creates a publisher of the same document in parts of equal length; an edit publishes one part and the root. */
 export function toPartsPublisher(servers: readonly ServerEntry[], count: number): Publisher {
 	const config = {...toFleetConfig(rules, workspaces), servers};
 	const cuts = Array.from({length: count}, (_, i) => Math.floor(rules * (i + 1) / (count + 1)));
@@ -50,7 +50,7 @@
 	};
 }
 
-/** Prints a table. */
+/** Runs the bench. Prints a table, then the rows as JSON. */
 export async function runConfigChangesBench(): Promise<void> {
 	const rows: ChangesRow[] = [];
 	const publishers = [toWholePublisher, ...partCounts.map(count => (servers: readonly ServerEntry[]) => toPartsPublisher(servers, count))];
--- a/bench/config-changes/measure-changes.ts
+++ b/bench/config-changes/measure-changes.ts
@@ -1,4 +1,4 @@
-/** One real agent under a full document that changes as often as the target says. */
+/** Measures one real agent with a full-size document that changes at the target rate. */
 import {readFileSync} from 'node:fs';
 import {setTimeout as sleep} from 'node:timers/promises';
 import {startEngineStandIn} from '../../test/stand-ins/engine/index.js';
@@ -8,20 +8,20 @@
 import {type ServerEntry} from '../../src/ports/config.js';
 import {smallHeapOptions} from '../membership/index.js';
 
-/** 16,000 changes a day. */
+/** Interval of 16,000 changes a day. */
 const changeEveryMs = 5400;
 const changes = 6;
-/** The quick sweeps after a start last 15 s. */
+/** Longer than the first 15 s after a start, in which the agent sweeps more often. */
 const settleMs = 25_000;
 const measuredSeconds = changes * changeEveryMs / 1000;
 const firstDeadlineMs = 60_000;
 const ticksPerSecond = 100;
 const polledServers = 8;
 
-/** A document and its edits as they are published. */
+/** Publishes a document and its edits. */
 export type Publisher = {
 	name: string;
-	/** Publishes edit number `round`; 0 is the first document. Returns the bytes published. */
+	/** Publishes edit number `round`, where 0 is the first document, and returns the bytes published. */
 	publish: (platform: PlatformStandIn, round: number) => number;
 };
 
@@ -31,9 +31,9 @@
 	publishedBytesEach: number;
 	servedBytesEach: number;
 	readsEach: number;
-	/** Of one core, between changes. */
+	/** CPU use between changes, as a percentage of one core. */
 	restPercent: number;
-	/** Of one core, with a change each 5.4 s. */
+	/** CPU use with a change every 5.4 s, as a percentage of one core. */
 	cpuPercent: number;
 	cpuMsEach: number;
 	residentMb: number;
@@ -49,7 +49,7 @@
 	return Number(new RegExp(String.raw`${name}:\s+(\d+)`, 'v').exec(readFileSync(`/proc/${pid}/status`, 'utf8'))?.[1]) / 1024;
 }
 
-/** Starts what the agent polls; `toPublisher` makes the documents that name these servers. */
+/** Starts the engines that the agent polls. */
 async function startEngines() {
 	const engines = await Promise.all(Array.from({length: polledServers}, async (_, i) => startEngineStandIn({
 		id: `e${i}`, role: i === 0 ? 'prefill' : 'decode', model: 'm', version: '1',
@@ -61,10 +61,11 @@
 }
 
 /**
- * Measures one form of the document, at rest and under changes.
+ * Measures one form of the document, without and with changes, and stops all started
+ * processes before it returns.
  *
- * @param toPublisher - Makes the publisher for these servers.
- * @returns The row. All that it started has ended.
+ * @param toPublisher - Creates the publisher of a document that lists the given servers.
+ * @returns Row for this form.
  */
 export async function measureChanges(toPublisher: (servers: readonly ServerEntry[]) => Publisher): Promise<ChangesRow> {
 	const engines = await startEngines();
@@ -87,7 +88,7 @@
 		let published = 0;
 		let [restCpu, changeCpu] = [0, 0];
 		for (let round = 1; round <= changes; round++) {
-			// By turns, so that what else the machine does falls on both.
+			// Alternates idle and changing periods, so that other load on the machine affects both.
 			const restBefore = readCpuSeconds(agent.pid);
 			await sleep(changeEveryMs);
 			const before = readCpuSeconds(agent.pid);
@@ -98,7 +99,7 @@
 		}
 
 		if (accepted() !== changes + 1) {
-			throw new Error(`${accepted()} documents came in force, not ${changes + 1}`);
+			throw new Error(`agent accepted ${accepted()} documents instead of ${changes + 1}`);
 		}
 
 		const {reads, servedBytes} = platform.judge();
--- a/bench/config-chunks/index.ts
+++ b/bench/config-chunks/index.ts
@@ -1,9 +1,8 @@
 /**
- * Measures what one change of a document with 18,000 workspaces costs between
- * two hosts: the manifest and the chunks that the other lacks, for several
- * average lengths of a chunk, and the time to cut and to put together; then the
- * same document in parts, of which the root and the changed part travel, and
- * what a reader gets of the platform.
+ * Measures the cost of one change of a document with 18,000 workspaces. Between two hosts:
+ * bytes of the manifest and of the missing chunks for several average chunk lengths, and
+ * the time to split and join the document. For the same document in parts: bytes of the
+ * root and of the changed part, between two hosts and from the platform.
  */
 import {Buffer} from 'node:buffer';
 import {performance} from 'node:perf_hooks';
@@ -21,7 +20,7 @@
 	documentBytes: number;
 	changes: number;
 	manifestBytes: number;
-	/** Bytes of chunks that the other host lacks, on average of all changes. */
+	/** Bytes of the chunks that the other host is missing: mean over the changes. */
 	chunkBytesMean: number;
 	chunkBytesMax: number;
 	totalBytesMean: number;
@@ -33,9 +32,9 @@
 const digestBytes = 32;
 
 /**
- * Runs the bench and prints a table and the rows as JSON.
+ * Runs the bench. Prints tables, then the rows as JSON.
  *
- * @returns The rows.
+ * @returns Rows by average chunk length.
  */
 export function runConfigChunksBench(): readonly ConfigChunksRow[] {
 	const config = toFleetConfig(11_000, 18_000);
@@ -57,13 +56,13 @@
 export type PartChunksRow = {
 	parts: number;
 	rootBytes: number;
-	/** Manifest and chunks of the root and of the changed part, on average of all changes. */
+	/** Bytes of the manifests and missing chunks of the root and of the changed part: mean over the changes. */
 	betweenHostsMean: number;
-	/** Root and changed part. */
+	/** Bytes of the root and of the changed part: mean over the changes. */
 	ofPlatformMean: number;
 };
 
-/** Bytes of the manifest and of the chunks that are not among the known ones. */
+/** Returns the bytes of the manifest's digests and of the chunks that are not known yet. */
 function toCost({manifest, chunks}: ConfigChunks, known: ReadonlySet<string>): number {
 	const missing = [...chunks].filter(([digest]) => !known.has(digest));
 	return missing.reduce((sum, [, chunk]) => sum + Buffer.byteLength(chunk), manifest.chunkDigests.length);
@@ -105,7 +104,7 @@
 		const joined = fromConfigChunks(manifest, digest => held.chunks.get(digest) ?? chunks.get(digest));
 		joinMs += performance.now() - joinStart;
 		if (!joined.isOk() || joined.value !== text) {
-			throw new Error('the chunks do not make up the document');
+			throw new Error('document joined from chunks differs from the original');
 		}
 
 		return {manifest: manifest.chunkDigests.length + 32, chunks: missing.reduce((sum, [, chunk]) => sum + Buffer.byteLength(chunk), 0)};
--- a/bench/config-reading/index.ts
+++ b/bench/config-reading/index.ts
@@ -1,4 +1,4 @@
-/** What a changed document costs a host that has read the one before. */
+/** Measures the cost of a changed document for a host that has read the previous one. */
 import {Buffer} from 'node:buffer';
 import {toFleetConfig} from '../../src/domain/_test/to-fleet-config.js';
 import {compileRules} from '../../src/domain/compile-rules/index.js';
@@ -19,7 +19,7 @@
 	return performance.now() - startedAt;
 }
 
-/** As a host gets it: a text of its own, and not one that shares parts with the one before. */
+/** Returns the edited document as a separate string that, as on a host, shares no memory with the previous one. */
 function toEdited(config: Config, round: number): string {
 	const at = (round * 997) % (config.rules.length - 1);
 	const rules = config.rules.with(at, {...config.rules[at]!, name: `edit ${round}`});
@@ -51,7 +51,7 @@
 	return {rules, bytes: toConfigText(config).length, ...medians};
 }
 
-/** Prints a table; medians in milliseconds. */
+/** Runs the bench. Prints a table of medians in milliseconds, then the rows as JSON. */
 export function runConfigReadingBench(): void {
 	const rows = sizes.map(([rules, workspaces]) => measureSize(rules, workspaces));
 	console.table(rows);
--- a/bench/engine-stream/index.ts
+++ b/bench/engine-stream/index.ts
@@ -1,7 +1,7 @@
 /**
- * How many tokens a second one process reads from engines through
+ * Measures how many tokens a second one process reads from engines through
  * `adapters/engine-http`, by the number of tokens that an engine sends in one
- * piece. The engines are worker threads that send as fast as they are read.
+ * piece. The engines are worker threads that send as fast as the process reads.
  */
 import {Worker} from 'node:worker_threads';
 import {createEngineHttp} from '../../src/adapters/engine-http/index.js';
@@ -11,7 +11,7 @@
 const tokensPerStream = 20_000;
 const linesPerPiece = [1, 4, 64];
 
-/** A bare server of streams; JavaScript, as a worker of its own takes text. */
+/** Minimal stream server, as JavaScript text because the worker evaluates it. */
 const engineSource = `
 	const {createServer} = require('node:http');
 	const {parentPort, workerData: {lines, total}} = require('node:worker_threads');
@@ -71,15 +71,15 @@
 	const seconds = (performance.now() - from) / 1000;
 	const tokens = counts.reduce((sum, count) => sum + count, 0);
 	if (tokens !== streams * tokensPerStream) {
-		throw new Error(`read ${tokens} tokens of ${streams * tokensPerStream}`);
+		throw new Error(`read ${tokens} of ${streams * tokensPerStream} tokens`);
 	}
 
-	console.log(`${lines} tokens a piece: ${Math.round(tokens / seconds)} tokens/s, ${(active * 1000 / tokens).toFixed(2)} us of the main loop a token`);
+	console.log(`${lines} tokens per piece: ${Math.round(tokens / seconds)} tokens/s, ${(active * 1000 / tokens).toFixed(2)} us of the main loop per token`);
 	await Promise.all(clients.map(async client => client.close()));
 	await Promise.all(started.map(async ({worker}) => worker.terminate()));
 }
 
-/** Prints tokens a second for each size of piece. */
+/** Runs the bench. Prints tokens a second for each piece size. */
 export async function runEngineStreamBench(): Promise<void> {
 	console.log(`${streams} streams of ${tokensPerStream} tokens from ${engines} engines`);
 	for (const lines of linesPerPiece) {
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,5 +1,5 @@
 /**
- * Runs the measurements named on the command line, or all of them. Each is a
+ * Runs the benches named on the command line, or all of them. Each bench is a
  * folder here whose `index.ts` exports `run<Name>Bench`.
  *
  * Usage: `npm run bench -- placement admission`
@@ -45,7 +45,7 @@
 const unknown = wanted.filter(name => !(benches as readonly string[]).includes(name));
 
 if (unknown.length > 0) {
-	console.error(`No bench named ${unknown.join(', ')}. Write one of: ${benches.join(', ')}.`);
+	console.error(`No bench named ${unknown.join(', ')}. Available: ${benches.join(', ')}.`);
 	process.exit(2);
 }
 
--- a/bench/match-rule/index.ts
+++ b/bench/match-rule/index.ts
@@ -1,7 +1,7 @@
 /**
- * Measures how long it takes to find the deciding rule, with the index and with
- * a look at each rule in turn, at several sizes of the rule list. Also what a
- * host pays once for each accepted document: reading, validating, compiling.
+ * Measures the time to find the deciding rule with the index and with a linear search, for
+ * several sizes of the rule list. Also measures the cost of each accepted document to a
+ * host: parsing, validating and compiling.
  */
 import {performance} from 'node:perf_hooks';
 import process from 'node:process';
@@ -20,11 +20,11 @@
 	documentBytes: number;
 	parseMs: number;
 	compileMs: number;
-	/** Heap that the parsed configuration and the compiled rules keep. */
+	/** Heap that the parsed configuration and the compiled rules hold. */
 	heapBytes: number;
 	indexedMicroseconds: number;
 	linearMicroseconds: number;
-	/** Whether both ways found the same rule for every sample. */
+	/** Whether both searches found the same rule for every sample. */
 	isSame: boolean;
 };
 
@@ -32,9 +32,9 @@
 const sampleCount = 2000;
 
 /**
- * Runs the bench and prints a table and, after it, the rows as JSON.
+ * Runs the bench. Prints a table, then the rows as JSON.
  *
- * @returns The rows.
+ * @returns The printed rows.
  */
 export function runMatchRuleBench(): readonly MatchRuleRow[] {
 	const rows = sizes.map(([rules, workspaces]) => measure(rules, workspaces));
@@ -65,7 +65,7 @@
 	};
 }
 
-/** Samples from a fixed seed: known and unknown workspaces, all paths and headers that rules name. */
+/** Draws samples with a fixed seed: known and unknown workspaces, and paths and headers that rules name. */
 function toSamples(rules: number, workspaces: number): readonly RequestFacts[] {
 	const index = fc.nat(rules - 1);
 	return fc.sample(fc.record({
@@ -79,7 +79,7 @@
 	}), {numRuns: sampleCount, seed: 1});
 }
 
-/** The best of several rounds: the machine does other work as well. */
+/** Returns the best time of several rounds, since other load on the machine slows some of them. */
 function toMicroseconds(samples: readonly RequestFacts[], match: (facts: RequestFacts) => CompiledRules['rules'][number]['rule'] | undefined): number {
 	let best = Infinity;
 	for (let round = 0; round < 10; round++) {
@@ -94,7 +94,7 @@
 	return toRounded(best * 1000 / samples.length);
 }
 
-/** Heap in use after a full collection, which Node offers only behind a flag. */
+/** Returns the heap in use after a full garbage collection, which Node exposes only behind a flag. */
 function toHeapBytes(): number {
 	setFlagsFromString('--expose-gc');
 	const collect = runInNewContext('gc') as () => void;
--- a/bench/metrics/index.ts
+++ b/bench/metrics/index.ts
@@ -1,6 +1,5 @@
 /**
- * Cost of a count, of a recorded value and of a log line that is off, on the
- * hot path of a request.
+ * Measures the cost of counters, histograms and log lines on the hot path of a request.
  */
 import {createLog} from '../../src/adapters/log/index.js';
 import {createMetrics, latencyBoundsMs} from '../../src/adapters/metrics/index.js';
@@ -9,7 +8,7 @@
 const callsPerRound = 1_000_000;
 const nanosecondsPerCall = 1e6 / callsPerRound;
 
-/** Prints nanoseconds a call: the best of some rounds, and the worst. */
+/** Runs the bench. Prints nanoseconds per call of the best and the worst round. */
 export function runMetricsBench(): void {
 	const metrics = createMetrics();
 	const counter = metrics.createCounter({name: 'c', help: 'C.', labels: {class: ['quick', 'batch'], rule: {max: 300}}});
--- a/bench/rollout/index.ts
+++ b/bench/rollout/index.ts
@@ -1,6 +1,6 @@
 /**
- * Time that a rollout takes on a logical clock, from the publication of the
- * edition to the end of the last load, and what it took away meanwhile.
+ * Measures the time of a rollout on a logical clock, from the publication of the edition
+ * to the end of the last load, and lists the faults that the rollout caused meanwhile.
  */
 import {toSeededRandom} from '../../src/domain/create-placement/_lib/fixtures.js';
 import {runRollout, type ModelZone} from '../../src/domain/plan-rollout/_test/rollout-model.js';
@@ -17,9 +17,9 @@
 	['four zones of 1 and 2, 1 and 2, 1 and 2, 1 and 3', [{prefills: 1, decodes: 2}, {prefills: 1, decodes: 2}, {prefills: 1, decodes: 2}, {prefills: 1, decodes: 3}]],
 ];
 
-/** Runs it for pools of 13 servers. */
+/** Runs the bench for pools of 13 servers and prints a table. */
 export function runRolloutBench(): void {
-	console.log(`pools of 13 servers, ${loadMs / msPerSecond} s a load, reports up to 3 s late`);
+	console.log(`pools of 13 servers, ${loadMs / msPerSecond} s per load, reports up to 3 s late`);
 	console.log('| prefill and decode servers | loads at once | seconds | loads | faults |');
 	console.log('|---|---|---|---|---|');
 	for (const [name, zones] of shapes) {
@@ -28,7 +28,7 @@
 				zones, random: toSeededRandom(13), editions: [{at: publishedAt, version: 'v2'}], endAt, maxLagMs: 3000, toLoadMs: () => loadMs, storeSlots,
 			});
 			const isDone = Object.values(versions).every(version => version === 'v2');
-			const seconds = isDone ? Math.round((doneAt - publishedAt) / msPerSecond) : 'stands still';
+			const seconds = isDone ? Math.round((doneAt - publishedAt) / msPerSecond) : 'not finished';
 			console.log(`| ${name} | ${storeSlots} | ${seconds} | ${loads} | ${faults.map(({kind}) => kind).join(', ') || 'none'} |`);
 		}
 	}
--- a/bench/slo/index.ts
+++ b/bench/slo/index.ts
@@ -1,6 +1,6 @@
 /**
- * Cost and memory of the service-level ledger at 18,000 workspaces and 300
- * rules, and of its document, its burn rates and its page.
+ * Measures time and memory of the service-level ledger with 300 rules and up to 18,000
+ * workspaces, and of its document, burn rates and page.
  */
 import {setTimeout} from 'node:timers/promises';
 import {createSloLedger} from '../../src/domain/create-slo-ledger/index.js';
@@ -13,7 +13,7 @@
 const samplesPerSecond = 15.5;
 const target = {firstTokenMs: 1300, perTokenMs: 61, completeMs: 10_000};
 
-/** Prints microseconds a sample and memory held, at three numbers of workspaces. */
+/** Runs the bench. Prints microseconds per sample and memory held for three numbers of workspaces. */
 export async function runSloBench(): Promise<void> {
 	for (const workspaces of [200, 2000, 18_000]) {
 		await runAt(workspaces);
@@ -28,7 +28,7 @@
 	const start = performance.now();
 	for (let i = 0; i < samples; i++) {
 		now += 1000 / samplesPerSecond;
-		// A linear congruential generator: the same workspaces in every run.
+		// A linear congruential generator gives the same workspaces in every run.
 		seed = ((seed * 1_103_515_245) + 12_345) % 2_147_483_648;
 		ledger.addSample({
 			class: i % 3 === 0 ? 'batch' : 'quick',
@@ -51,7 +51,7 @@
 	const page = toBurnPage(document, toBurnRates(document), {writtenAt: 0});
 	const pageMs = performance.now() - pageStart;
 	console.log([
-		`${workspaces} workspaces: ${perSample.toFixed(2)} µs a sample`,
+		`${workspaces} workspaces: ${perSample.toFixed(2)} µs per sample`,
 		`${held.toFixed(1)} MiB held`,
 		`${document.series.length} series`,
 		`document ${documentMs.toFixed(1)} ms and ${(JSON.stringify(document).length / 1024).toFixed(0)} KiB`,
@@ -59,9 +59,9 @@
 	].join(', '));
 }
 
-/** Typed arrays live outside the heap; both count. Exact only with --expose-gc. */
+/** Returns the bytes in use on the heap and in typed arrays, which live outside the heap. Exact only with `--expose-gc`. */
 async function toHeldBytes(): Promise<number> {
-	// Buffers that were collected are given back a little later, and what held them only then.
+	// The memory of collected buffers is freed with a delay, and the objects that hold them only after that.
 	for (let round = 0; round < 3; round++) {
 		(globalThis as {gc?: () => void}).gc?.();
 		await setTimeout(300);
