--- a/bench/admission/_lib/arrivals.ts
+++ b/bench/admission/_lib/arrivals.ts
@@ -109,7 +109,7 @@
 	const factor = 0.5 + random();
 	const shape = {...nominal, promptTokens: Math.round(nominal.promptTokens * factor), outputTokens: Math.round(nominal.outputTokens * (0.5 + random()))};
 	const isLeaving = random() < scenario.cancelPart;
-	const patienceMs = random() * 1.5 * toHoldMs(shape);
+	const cancelAfterMs = random() * 1.5 * toHoldMs(shape);
 	return {
 		id: '',
 		at,
@@ -118,7 +118,7 @@
 		class: serviceClass,
 		workspace: toWorkspace(scenario, random),
 		shape,
-		leavesAt: isLeaving ? at + patienceMs : Infinity,
+		leavesAt: isLeaving ? at + cancelAfterMs : Infinity,
 		isMeasured: at >= scenario.warmupMs && at < scenario.horizonMs,
 	};
 }
--- a/bench/admission/_lib/cancels.ts
+++ b/bench/admission/_lib/cancels.ts
@@ -17,7 +17,7 @@
 
 export type CancelGain = {fleet: string; cancels: 'acted on' | 'ignored'; quickGood: number; batchGood: number};
 
-const nine = policies.find(policy => policy.name === '9 routers')!;
+const nineRouters = policies.find(policy => policy.name === '9 routers')!;
 
 /**
  * Simulates each fleet with cancels acted on and with cancels ignored.
@@ -33,7 +33,7 @@
 			const scenario: Scenario = {
 				...base, fleet, cancelPart: 1 / 3, isCancelIgnored,
 			};
-			const results = simulate(scenario, nine);
+			const results = simulate(scenario, nineRouters);
 			const {quickGood, batchGood} = measure(scenario, results);
 			gains.push({
 				fleet: fleet.name, cancels: isCancelIgnored ? 'ignored' : 'acted on', quickGood, batchGood,
--- a/bench/admission/_lib/create-agenda.ts
+++ b/bench/admission/_lib/create-agenda.ts
@@ -19,7 +19,7 @@
 		[heap[i], heap[j]] = [heap[j]!, heap[i]!];
 	}
 
-	function rise(start: number): void {
+	function siftUp(start: number): void {
 		for (let i = start; i > 0;) {
 			const parent = Math.floor((i - 1) / 2);
 			if (!isBefore(heap[i]!, heap[parent]!)) {
@@ -31,7 +31,7 @@
 		}
 	}
 
-	function sink(): void {
+	function siftDown(): void {
 		for (let i = 0; ;) {
 			const [left, right] = [(2 * i) + 1, (2 * i) + 2];
 			let least = i;
@@ -58,14 +58,14 @@
 		},
 		schedule(at, run) {
 			heap.push({at: Math.max(at, now), order: order++, run});
-			rise(heap.length - 1);
+			siftUp(heap.length - 1);
 		},
 		run() {
 			while (heap.length > 0) {
 				const first = heap[0]!;
 				swap(0, heap.length - 1);
 				heap.pop();
-				sink();
+				siftDown();
 				now = first.at;
 				first.run();
 			}
--- a/bench/admission/_lib/hedging.ts
+++ b/bench/admission/_lib/hedging.ts
@@ -25,7 +25,7 @@
 	{}, {hedgeAfterMs: 400}, {hedgeAfterMs: 800}, {giveUpAfterMs: 100}, {giveUpAfterMs: 250}, {giveUpAfterMs: 400}, {giveUpAfterMs: 800},
 ];
 
-const nine = policies.find(policy => policy.name === '9 routers')!;
+const nineRouters = policies.find(policy => policy.name === '9 routers')!;
 
 /**
  * Measures each remedy with and without stalled transfers.
@@ -41,7 +41,7 @@
 		const scenario: Scenario = {
 			...base, fleet, load, stallPart, stallMs: 3000, ...remedy,
 		};
-		const figures = measure(scenario, simulate(scenario, nine));
+		const figures = measure(scenario, simulate(scenario, nineRouters));
 		return {
 			fleet: fleet.name,
 			load,
--- a/bench/admission/_lib/refusals.ts
+++ b/bench/admission/_lib/refusals.ts
@@ -28,7 +28,7 @@
 /** Refused requests of each kind that are replayed for one row. */
 const defaultSampleSize = 8;
 
-const nine = policies.find(policy => policy.name === '9 routers')!;
+const nineRouters = policies.find(policy => policy.name === '9 routers')!;
 
 /**
  * Measures the refusals of each fleet at several loads.
@@ -38,7 +38,7 @@
  * @returns A row for each fleet and load.
  */
 export function runRefusals(base: Omit<Scenario, 'fleet' | 'load'>, options: {table?: PolicyTable; sampleSize?: number} = {}): RefusalRow[] {
-	const {table = nine, sampleSize = defaultSampleSize} = options;
+	const {table = nineRouters, sampleSize = defaultSampleSize} = options;
 	return fleets.flatMap(fleet => [0.9, 1.1, 1.5].map(load => toRefusalRow({...base, fleet, load}, table, sampleSize)));
 }
 
--- a/bench/admission/index.ts
+++ b/bench/admission/index.ts
@@ -65,7 +65,7 @@
 	return [heads, ...lines].map(line => line.map((cell, index) => cell.padEnd(widths[index]!)).join('  ').trimEnd()).join('\n');
 }
 
-const parts = new Set([
+const percentColumns = new Set([
 	'quickGood',
 	'batchGood',
 	'batchOfLeft',
@@ -90,7 +90,7 @@
 		return value ?? '-';
 	}
 
-	if (parts.has(head)) {
+	if (percentColumns.has(head)) {
 		return (100 * value).toFixed(1);
 	}
 
--- a/bench/fleet/_lib/drive.ts
+++ b/bench/fleet/_lib/drive.ts
@@ -153,7 +153,7 @@
 	const startedAt = performance.now();
 	const calls: Array<Promise<CallerResult>> = [];
 	let lateMs = 0;
-	let hasLost = plan.fault !== 'lost zone';
+	let hasLostZone = plan.fault !== 'lost zone';
 	for (const {arrival, isDesk} of toRunArrivals(plan, windows, seed)) {
 		const waitMs = (arrival.at / timeScale) - (performance.now() - startedAt);
 		if (waitMs > 1) {
@@ -161,8 +161,8 @@
 		}
 
 		lateMs = Math.max(lateMs, performance.now() - startedAt - (arrival.at / timeScale));
-		if (!hasLost && arrival.at >= windows.warmupMs + ((windows.horizonMs - windows.warmupMs) / 4)) {
-			hasLost = true;
+		if (!hasLostZone && arrival.at >= windows.warmupMs + ((windows.horizonMs - windows.warmupMs) / 4)) {
+			hasLostZone = true;
 			void deployment.loseZone();
 		}
 
--- a/bench/fleet/_lib/plan.ts
+++ b/bench/fleet/_lib/plan.ts
@@ -127,6 +127,6 @@
 }
 
 /** Returns the text of the `fault` column for a run. */
-export function toSpecial({fault, isInstant, isBaseline}: RunPlan): string {
+export function toFaultText({fault, isInstant, isBaseline}: RunPlan): string {
 	return isBaseline ? 'baseline: round robin, no admission' : (isInstant ? 'bound: instant reports' : fault);
 }
--- a/bench/fleet/_lib/to-row.ts
+++ b/bench/fleet/_lib/to-row.ts
@@ -4,7 +4,7 @@
 import {measure, toPaperBound} from '../../admission/_lib/measure.js';
 import {type CallerResult, type Windows} from './drive.js';
 import {
-	batchShare, burst, cancelPart, type RunPlan, toSpecial,
+	batchShare, burst, cancelPart, type RunPlan, toFaultText,
 } from './plan.js';
 import {type JudgedPrefills} from './servers-worker.js';
 import {type LateRefusal, lateShare} from './trace-late.js';
@@ -145,7 +145,7 @@
 		fleet: plan.fleet.table.name,
 		load: plan.load,
 		hosts: plan.hosts,
-		fault: toSpecial(plan),
+		fault: toFaultText(plan),
 		paperQuick: paper.quickGood,
 		paperBatch: paper.batchGood,
 		paperDesk: Math.min(1, 1 / plan.load),
--- a/bench/fleet/index.ts
+++ b/bench/fleet/index.ts
@@ -13,7 +13,7 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {drive, type Windows} from './_lib/drive.js';
 import {
-	type RunPlan, timeScale, toDeployment, toPlans, toSpecial,
+	type RunPlan, timeScale, toDeployment, toPlans, toFaultText,
 } from './_lib/plan.js';
 import {startBenchFleet, type BenchDeployment} from './_lib/start-bench-fleet.js';
 import {type Row, toRow} from './_lib/to-row.js';
@@ -24,7 +24,7 @@
 const smallWindows: Windows = {warmupMs: 3000, horizonMs: 9000, endsAtMs: 10_000};
 /** Time between two runs on one deployment, in which the requests of the first run end. */
 const pauseMs = 1000;
-const lanes = 2;
+const maxDeployments = 2;
 
 function toPercent(share: number): string {
 	return (share * 100).toFixed(1);
@@ -93,7 +93,7 @@
 
 function isWanted(plan: RunPlan): boolean {
 	const {fleet, load, hosts} = plan;
-	const name = `${fleet.table.name} ${load} ${hosts} ${toSpecial(plan)}`;
+	const name = `${fleet.table.name} ${load} ${hosts} ${toFaultText(plan)}`;
 	return name.includes(process.env.BENCH_FLEET ?? '');
 }
 
@@ -132,7 +132,7 @@
 		}
 	};
 
-	await Promise.all(Array.from({length: lanes}, async () => work()));
+	await Promise.all(Array.from({length: maxDeployments}, async () => work()));
 	return rows.toSorted((a, b) => a.index - b.index).map(({row}) => row);
 }
 
--- a/bench/placement/_lib/create-course.ts
+++ b/bench/placement/_lib/create-request-flow.ts
@@ -5,7 +5,7 @@
 import {type Tally} from './create-tally.js';
 import {isSlowAt, settings, type Scenario} from './scenario.js';
 
-export type CourseOptions = {
+export type RequestFlowOptions = {
 	agenda: Agenda;
 	fleet: Fleet;
 	tally: Tally;
@@ -22,7 +22,7 @@
 	}
 };
 
-export const createCourse = ({agenda, fleet, tally, scenario, isArbitrated, random}: CourseOptions) => {
+export const createRequestFlow = ({agenda, fleet, tally, scenario, isArbitrated, random}: RequestFlowOptions) => {
 	const offerMs = scenario.strategy === 'grant' ? 3 * settings.hopMs : settings.hopMs;
 
 	/** Reports the tokens of a stream to its router while the stream is in flight. */
--- a/bench/placement/_lib/print.ts
+++ b/bench/placement/_lib/print.ts
@@ -7,7 +7,7 @@
 	console.log(cells.map((cell, i) => i === 0 ? String(cell).padEnd(28) : String(cell).padStart(10)).join(''));
 };
 
-export const printHead = (...columns: readonly string[]): void => {
+export const printHeader = (...columns: readonly string[]): void => {
 	printRow([...columns, 'goodput', 'overfull', 'refusals', 'wasted', 'late', 'refused', 'failed', 'p50 ms', 'p99 ms', 'slow short', 'slow long', 'slow tok.']);
 };
 
--- a/bench/placement/index.ts
+++ b/bench/placement/index.ts
@@ -1,6 +1,6 @@
 /** Compares strategies for placing requests and reserving decode slots, and measures the time of a pick. */
 import process from 'node:process';
-import {printHead, printOutcome, printRow} from './_lib/print.js';
+import {printHeader, printOutcome, printRow} from './_lib/print.js';
 import {
 	settings, toCapacity, type Outcome, type Scenario, type SlowServers, type Strategy,
 } from './_lib/scenario.js';
@@ -100,7 +100,7 @@
 	const names = process.env.BENCH_PART?.split(',') ?? Object.keys(parts);
 	console.log(`seed ${base.seed}, ${base.seconds} s simulated, ${settings.warmupMs / 1000} s at each end not counted; decode capacity ${toCapacity()} requests/s`);
 	const results = names.map((name): [string, unknown] => {
-		printHead(name, 'routers', 'load');
+		printHeader(name, 'routers', 'load');
 		return [name, parts[name]?.(base)];
 	});
 	console.log(JSON.stringify({
--- a/bench/placement/simulate.ts
+++ b/bench/placement/simulate.ts
@@ -5,7 +5,7 @@
  */
 import {toSeededRandom} from '../../src/domain/create-placement/_lib/fixtures.js';
 import {createAgenda} from './_lib/create-agenda.js';
-import {createCourse} from './_lib/create-course.js';
+import {createRequestFlow} from './_lib/create-request-flow.js';
 import {createFleet, toRouterName} from './_lib/create-fleet.js';
 import {createRouter} from './_lib/create-router.js';
 import {createTally} from './_lib/create-tally.js';
@@ -26,7 +26,7 @@
 	}));
 	const isArbitrated = scenario.strategy.startsWith('reserve') || scenario.strategy === 'grant';
 	const tally = createTally(scenario, isArbitrated);
-	const {attempt} = createCourse({
+	const {attempt} = createRequestFlow({
 		agenda, fleet, tally, scenario, isArbitrated, random,
 	});
 
--- a/bench/relay/_lib/measure-latency.ts
+++ b/bench/relay/_lib/measure-latency.ts
@@ -23,7 +23,7 @@
 const microseconds = 1000;
 
 /** Makes the calls of the entry directly and returns the time to the first token. */
-async function takeDirect({prefill, decode, maxTokens}: Target, id: string): Promise<number> {
+async function measureDirect({prefill, decode, maxTokens}: Target, id: string): Promise<number> {
 	const start = performance.now();
 	const key = {requestId: id, attempt: 1, owner: {host: 'bench', incarnation: 1}};
 	const reserved = await decode.client.reserve(key, {
@@ -47,7 +47,7 @@
 	return firstMs;
 }
 
-async function takeThrough(url: string, maxTokens: number, dispatcher: Agent): Promise<number> {
+async function measureThroughUrl(url: string, maxTokens: number, dispatcher: Agent): Promise<number> {
 	const start = performance.now();
 	const {body} = await request(`${url}/v1/completions`, {
 		method: 'POST', dispatcher, headers: {'content-type': 'application/json'}, body: JSON.stringify({
@@ -83,9 +83,9 @@
 	async function call(caller: number): Promise<void> {
 		for (let i = 0; left > 0; i++) {
 			left--;
-			const directMs = await takeDirect({...target, maxTokens}, `${caller}-${i}`);
-			const bareMs = await takeThrough(control.url, maxTokens, dispatcher);
-			const throughMs = await takeThrough(target.entry.url, maxTokens, dispatcher);
+			const directMs = await measureDirect({...target, maxTokens}, `${caller}-${i}`);
+			const bareMs = await measureThroughUrl(control.url, maxTokens, dispatcher);
+			const throughMs = await measureThroughUrl(target.entry.url, maxTokens, dispatcher);
 			// The first calls of each caller open connections and warm up the code.
 			if (i >= 3) {
 				taken++;
--- a/bench/spill/simulate.ts
+++ b/bench/spill/simulate.ts
@@ -42,7 +42,7 @@
 const lostZone = 6;
 
 /** The other zone of the region of the lost zone; overloaded from the return of the lost zone on. */
-const neighbour = 7;
+const neighbourZone = 7;
 const crowdedLoad = 1.3;
 const serversOfZone = 100;
 const slots = 20;
@@ -54,18 +54,18 @@
 const endMs = 75_000;
 
 /** Age of a summary on arrival. */
-const lateMs = 4000;
+const summaryAgeMs = 4000;
 /** Time between two summaries. */
-const everyMs = 3000;
-const offers = 3;
+const summaryIntervalMs = 3000;
+const maxOffers = 3;
 const digestServers = 4;
 
 type Zone = {id: number; used: number[]; isLost: boolean; returnedAt: number};
-type Said = {at: number; free: number; least: readonly number[]};
+type Summary = {at: number; free: number; least: readonly number[]};
 
 const toUsed = ({used}: Zone): number => used.reduce((sum, one) => sum + one, 0);
 
-function sayOf(zone: Zone, at: number): Said {
+function toSummary(zone: Zone, at: number): Summary {
 	const order = zone.used.map((used, i) => ({used, i})).toSorted((a, b) => a.used - b.used);
 	return {at, free: zone.isLost ? 0 : (serversOfZone * slots) - toUsed(zone), least: order.slice(0, digestServers).map(({i}) => i)};
 }
@@ -86,7 +86,7 @@
 	const zones: Zone[] = regions.map((_, id) => ({
 		id, used: Array.from({length: serversOfZone}, () => 0), isLost: false, returnedAt: -Infinity,
 	}));
-	const said = new Map<number, Said[]>(zones.map(({id}) => [id, []]));
+	const summaries = new Map<number, Summary[]>(zones.map(({id}) => [id, []]));
 	const sent = new Map<string, number[]>();
 	const ends: Array<Array<() => void>> = Array.from({length: (endMs / stepMs) + 1}, () => []);
 	const tally = {
@@ -99,10 +99,10 @@
 	let turn = Math.floor(random() * zones.length);
 
 	/** Returns the latest summary that the hosts of one zone have received from another. Each pair of zones has its own phase. */
-	function toHeard(from: number, of: number, now: number): Said | undefined {
-		const phase = ((from * 7) + (of * 13)) % (everyMs / 1000) * 1000;
-		const heardAt = (Math.floor((now - phase) / everyMs) * everyMs) + phase;
-		return said.get(of)![Math.floor((heardAt - lateMs) / 1000)];
+	function toLatestSummary(from: number, of: number, now: number): Summary | undefined {
+		const phase = ((from * 7) + (of * 13)) % (summaryIntervalMs / 1000) * 1000;
+		const receivedAt = (Math.floor((now - phase) / summaryIntervalMs) * summaryIntervalMs) + phase;
+		return summaries.get(of)![Math.floor((receivedAt - summaryAgeMs) / 1000)];
 	}
 
 	function take(zone: Zone, server: number, now: number): boolean {
@@ -119,18 +119,18 @@
 	}
 
 	function toSpillZone(from: number, host: number, {id, returnedAt}: Zone, now: number): SpillZone {
-		const heard = toHeard(from, id, now);
-		const at = heard?.at ?? -Infinity;
+		const summary = toLatestSummary(from, id, now);
+		const at = summary?.at ?? -Infinity;
 		const own = sent.get(`${from} ${host} ${id}`)?.filter(time => time > at).length ?? 0;
 		return {
 			zone: `${id}`,
 			distance: regions[id] === regions[from] ? 0 : 1,
 			isReachable: true,
-			free: heard?.free ?? 0,
+			free: summary?.free ?? 0,
 			spilled: own * (strategy === 'summaries, own alone' ? 1 : hostsOfZone),
 			waitMs: 0,
 			at,
-			returnedAt: returnedAt + lateMs,
+			returnedAt: returnedAt + summaryAgeMs,
 		};
 	}
 
@@ -160,7 +160,7 @@
 		const host = Math.floor(random() * hostsOfZone);
 		const isCounted = now >= lostAtMs && now < backAtMs;
 		// After a refusal the product picks a new zone and server.
-		for (let offer = 0; offer < offers; offer++) {
+		for (let offer = 0; offer < maxOffers; offer++) {
 			const id = pickZone(from, host, now);
 			if (id === undefined) {
 				return false;
@@ -169,7 +169,7 @@
 			const key = `${from} ${host} ${id}`;
 			foreign[Math.floor(now / 1000)]! += id === lostZone ? 1 : 0;
 			sent.set(key, [...(sent.get(key) ?? []).filter(time => now - time < 20_000), now]);
-			const least = toHeard(from, id, now)?.least ?? [];
+			const least = toLatestSummary(from, id, now)?.least ?? [];
 			const server = strategy === 'summaries, digest' ? least[Math.floor(random() * least.length)] ?? 0 : Math.floor(random() * serversOfZone);
 			if (take(zones[id]!, server, now)) {
 				tally.far += isCounted && regions[id] !== regions[from] ? 1 : 0;
@@ -201,7 +201,7 @@
 
 	function noteSecond(now: number) {
 		for (const zone of zones) {
-			said.get(zone.id)!.push(sayOf(zone, now));
+			summaries.get(zone.id)!.push(toSummary(zone, now));
 		}
 
 		if (now >= lostAtMs + 5000 && now < backAtMs) {
@@ -233,7 +233,7 @@
 		}
 
 		for (const zone of zones) {
-			const load = zone.id === neighbour && now >= backAtMs ? crowdedLoad : loads[zone.id]!;
+			const load = zone.id === neighbourZone && now >= backAtMs ? crowdedLoad : loads[zone.id]!;
 			const mean = load * serversOfZone * slots / holdMs * stepMs;
 			for (let left = drawCount(mean, random); left > 0; left--) {
 				arrive(zone, now);
--- a/bench/split-pool/_lib/create-engines.ts
+++ b/bench/split-pool/_lib/create-engines.ts
@@ -14,7 +14,7 @@
 const pieceMs = 48;
 const pauseTargetMs = 300;
 /** Speed of a decode server at computing prompts, relative to a prefill server. */
-const decodePace = 0.5;
+const relativePrefillSpeed = 0.5;
 
 export type EngineSizes = {
 	/** Tokens that a decode server's memory holds. */
@@ -79,7 +79,7 @@
 			return doneAt;
 		},
 		prefillAtDecode(server, tokens, now) {
-			const tookMs = tokens / promptTokensPerMs / decodePace;
+			const tookMs = tokens / promptTokensPerMs / relativePrefillSpeed;
 			const startAt = Math.max(now, busyUntil.get(server) ?? now);
 			const isBehind = startAt > now;
 			add(heldUp, server, tookMs);
--- a/bench/split-pool/_lib/create-workload.ts
+++ b/bench/split-pool/_lib/create-workload.ts
@@ -28,14 +28,14 @@
 	mean: 3000, spread: 0.5, max: 6600, shared: 200,
 };
 const answer = {mean: 864, spread: 0.7, max: 2040};
-const guessSpread = 0.5;
+const estimateSpread = 0.5;
 
 /** The last four of every ten seconds are a burst. */
 const burstEveryMs = 10 * msPerSecond;
 const burstFromMs = 6 * msPerSecond;
 
 /** Mean number of requests that arrive at the same time. */
-const clump = 3;
+const meanGroupSize = 3;
 
 /** Draws from the standard normal distribution (Box-Muller transform). */
 function toNormal(random: Random): number {
@@ -54,7 +54,7 @@
 		host: Math.floor(random() * hosts),
 		promptTokens: prompt.shared + toLength(prompt, random),
 		answerTokens,
-		estimatedTokens: Math.round(answerTokens * Math.exp(guessSpread * toNormal(random))),
+		estimatedTokens: Math.round(answerTokens * Math.exp(estimateSpread * toNormal(random))),
 	};
 }
 
@@ -69,11 +69,11 @@
 	const works: Work[] = [];
 	for (let at = 0; at < lengthMs;) {
 		const isBurst = at % burstEveryMs >= burstFromMs;
-		const clumpsPerMs = perSecond * (isBurst ? burst : 1) / clump / msPerSecond;
-		at -= Math.log(1 - random()) / clumpsPerMs;
-		const clumpAt = at;
-		const count = 1 + Math.floor(random() * ((2 * clump) - 1));
-		works.push(...Array.from({length: count}, () => toWork(clumpAt, hosts, random)));
+		const groupsPerMs = perSecond * (isBurst ? burst : 1) / meanGroupSize / msPerSecond;
+		at -= Math.log(1 - random()) / groupsPerMs;
+		const groupAt = at;
+		const count = 1 + Math.floor(random() * ((2 * meanGroupSize) - 1));
+		works.push(...Array.from({length: count}, () => toWork(groupAt, hosts, random)));
 	}
 
 	return works.filter(({at}) => at < lengthMs);
--- a/bench/split-pool/_lib/simulate.ts
+++ b/bench/split-pool/_lib/simulate.ts
@@ -43,9 +43,9 @@
 /** A request is in time if its first event arrives within this time and no long pause follows. */
 const targetMs = 900;
 /** Total time that a caller waits; a refused caller retries once. */
-const patienceMs = 14 * msPerSecond;
+const callerTimeoutMs = 14 * msPerSecond;
 /** A caller retries after this fraction of its remaining time, at the latest. */
-const returnShare = 1 / 3;
+const maxRetryDelayShare = 1 / 3;
 
 /** Interval at which waiting requests look for a place and at which hosts send their loads. */
 const tickMs = 20;
@@ -54,8 +54,8 @@
 
 type Request = Work & {
 	/** Time of the caller's first attempt. */
-	bornAt: Milliseconds;
-	hasReturned: boolean;
+	firstAttemptAt: Milliseconds;
+	hasRetried: boolean;
 };
 
 type Todo = {at: Milliseconds; run: (now: Milliseconds) => void};
@@ -118,14 +118,14 @@
 	const servers = [...toServers('prefill', scenario), ...toServers('decode', scenario)];
 	const view = toView(servers, scenario);
 	const shared = Array.from({length: scenario.hosts}, () => createSharedLoads());
-	const nobody: SharedLoads['read'] = () => ({requests: 0, promptTokens: 0});
-	const hosts = shared.map((loads, i) => createPlacement({zone: zones[i % zones.length]!, readPeerLoad: scenario.isShared ? loads.read : nobody}));
+	const readNoLoad: SharedLoads['read'] = () => ({requests: 0, promptTokens: 0});
+	const hosts = shared.map((loads, i) => createPlacement({zone: zones[i % zones.length]!, readPeerLoad: scenario.isShared ? loads.read : readNoLoad}));
 	const prompts = createHistogram();
-	const ends = {inTime: 0, late: 0, refused: 0};
+	const outcomes = {inTime: 0, late: 0, refused: 0};
 	let busyMs = 0;
 	let sequence = 0;
 
-	function tell(now: Milliseconds): void {
+	function shareLoads(now: Milliseconds): void {
 		sequence++;
 		for (const [from, host] of hosts.entries()) {
 			const message = {
@@ -140,35 +140,35 @@
 	}
 
 	function refuse(request: Request, now: Milliseconds): void {
-		if (request.hasReturned) {
-			ends.refused++;
+		if (request.hasRetried) {
+			outcomes.refused++;
 			return;
 		}
 
-		const left = request.bornAt + patienceMs - now;
-		const delayMs = Math.min(left * returnShare, toFullPoolRetryAfter(3 * msPerSecond, random));
+		const left = request.firstAttemptAt + callerTimeoutMs - now;
+		const delayMs = Math.min(left * maxRetryDelayShare, toFullPoolRetryAfter(3 * msPerSecond, random));
 		agenda.add(now + delayMs, later => {
-			offer({...request, hasReturned: true}, later);
+			offer({...request, hasRetried: true}, later);
 		});
 	}
 
 	function start(request: Request, placement: PlacementDecider, pair: Placement, reserved: number, now: Milliseconds): void {
 		placement.noteDispatched(pair, now);
 		placement.noteReserved(pair, reserved, now);
-		const isAlone = pair.prefill.id === pair.decode.id;
-		const computedAt = isAlone ? engines.prefillAtDecode(pair.decode.id, request.promptTokens, now) : engines.prefill(pair.prefill.id, request.promptTokens, now);
-		busyMs += isAlone ? 0 : request.promptTokens / promptTokensPerMs;
+		const isDecodeOnly = pair.prefill.id === pair.decode.id;
+		const computedAt = isDecodeOnly ? engines.prefillAtDecode(pair.decode.id, request.promptTokens, now) : engines.prefill(pair.prefill.id, request.promptTokens, now);
+		busyMs += isDecodeOnly ? 0 : request.promptTokens / promptTokensPerMs;
 		agenda.add(computedAt, at => {
 			prompts.recordValue(Math.max(1, Math.round(at - now)));
-			if (!isAlone) {
+			if (!isDecodeOnly) {
 				placement.notePrefilled(pair, {promptTokens: request.promptTokens, cachedTokens: 0, bytes: 0}, at);
 			}
 
 			placement.noteFirstToken(pair, at);
-			const isPrompt = at - request.bornAt <= targetMs;
+			const isPrompt = at - request.firstAttemptAt <= targetMs;
 			endAfter(engines.startAnswer(pair.decode.id, request.answerTokens), {
 				server: pair.decode.id, reserved, onEnd(end) {
-					ends[isPrompt && !engines.hasPausedSince(pair.decode.id, at) ? 'inTime' : 'late']++;
+					outcomes[isPrompt && !engines.hasPausedSince(pair.decode.id, at) ? 'inTime' : 'late']++;
 					placement.noteFinished(pair, end);
 				},
 			}, at);
@@ -197,7 +197,7 @@
 		const reserved = toReservedTokens({...request, maxTokens: 2040});
 		for (;;) {
 			const picked = placement.pick({
-				pool: 'model', model: 'm', version: undefined, adapter: undefined, promptTokens: request.promptTokens, maxTokens: 2040, class: 'quick', firstTokenBudgetMs: patienceMs,
+				pool: 'model', model: 'm', version: undefined, adapter: undefined, promptTokens: request.promptTokens, maxTokens: 2040, class: 'quick', firstTokenBudgetMs: callerTimeoutMs,
 			}, view, now, random);
 			if (picked.isErr()) {
 				break;
@@ -212,7 +212,7 @@
 			placement.noteFailure(decode, {kind: 'refused', reason: 'full'}, now);
 		}
 
-		if (request.hasReturned || now + tickMs - request.bornAt > targetMs) {
+		if (request.hasRetried || now + tickMs - request.firstAttemptAt > targetMs) {
 			refuse(request, now);
 			return;
 		}
@@ -226,20 +226,20 @@
 	const works = createWorkload({...scenario, lengthMs}, random);
 	for (const work of works) {
 		agenda.add(work.at, now => {
-			offer({...work, bornAt: now, hasReturned: false}, now);
+			offer({...work, firstAttemptAt: now, hasRetried: false}, now);
 		});
 	}
 
 	for (let at = 0; scenario.isShared && at < lengthMs * 2; at += tickMs) {
-		agenda.add(at, tell);
+		agenda.add(at, shareLoads);
 	}
 
 	agenda.runAll();
 	return {
 		requests: works.length,
-		inTime: ends.inTime / works.length,
-		late: ends.late / works.length,
-		refused: ends.refused / works.length,
+		inTime: outcomes.inTime / works.length,
+		late: outcomes.late / works.length,
+		refused: outcomes.refused / works.length,
 		promptP50Ms: prompts.getValueAtPercentile(50),
 		promptP90Ms: prompts.getValueAtPercentile(90),
 		prefillBusy: busyMs / lengthMs / scenario.prefills,
--- a/bench/split-pool/index.ts
+++ b/bench/split-pool/index.ts
@@ -44,7 +44,7 @@
  * @param isShared - Whether hosts gossip the loads of their in-flight requests.
  * @returns Means over the seeds, since the bursts of a single run can favour any split.
  */
-export function playSplit({servers, splits: _, ...load}: Shape, prefills: number, isShared: boolean): Outcome {
+export function simulateSplit({servers, splits: _, ...load}: Shape, prefills: number, isShared: boolean): Outcome {
 	const scenario = {
 		...load, prefills, decodes: servers - prefills, isShared,
 	};
@@ -59,7 +59,7 @@
  */
 export function runSplitPoolBench(): readonly Row[] {
 	const rows = Object.entries<Shape>(shapes).flatMap(([name, shape]) => shape.splits.flatMap(prefills => [false, true].map((isShared): Row => ({
-		shape: name, prefills, decodes: shape.servers - prefills, isShared, ...playSplit(shape, prefills, isShared),
+		shape: name, prefills, decodes: shape.servers - prefills, isShared, ...simulateSplit(shape, prefills, isShared),
 	}))));
 	console.table(rows);
 	console.log(JSON.stringify({bench: 'split-pool', seeds, rows}));
--- a/bench/zone-spread/_lib/create-spread-fleet.ts
+++ b/bench/zone-spread/_lib/create-spread-fleet.ts
@@ -68,13 +68,13 @@
 		zones: hostsOfZone,
 		random,
 		onMessage(from, message, to) {
-			const opens = message.kind === 'ping' || message.kind === 'zones';
-			const plain = frameBytes(peerEvents.member, opens ? {message, versions} : {message});
-			count(from, 'membership', plain + headerBytes);
-			const rider = message.kind === 'ping' ? agents.get(from)?.summaries.toPiggybackedSummary(to) : undefined;
-			if (rider) {
-				count(from, 'summaries', frameBytes(peerEvents.member, {message, versions, summaries: rider}) - plain);
-				later(() => agents.get(to)?.summaries.handlePiggybackedSummary(rider));
+			const hasVersions = message.kind === 'ping' || message.kind === 'zones';
+			const plainBytes = frameBytes(peerEvents.member, hasVersions ? {message, versions} : {message});
+			count(from, 'membership', plainBytes + headerBytes);
+			const summary = message.kind === 'ping' ? agents.get(from)?.summaries.toPiggybackedSummary(to) : undefined;
+			if (summary) {
+				count(from, 'summaries', frameBytes(peerEvents.member, {message, versions, summaries: summary}) - plainBytes);
+				later(() => agents.get(to)?.summaries.handlePiggybackedSummary(summary));
 			}
 		},
 	});
--- a/bench/zone-spread/_lib/measure-spread.ts
+++ b/bench/zone-spread/_lib/measure-spread.ts
@@ -41,7 +41,7 @@
 	seconds: number;
 };
 
-const toMiddle = (values: readonly number[]): number => values.toSorted((a, b) => a - b)[Math.floor(values.length / 2)] ?? Infinity;
+const toMedian = (values: readonly number[]): number => values.toSorted((a, b) => a - b)[Math.floor(values.length / 2)] ?? Infinity;
 
 const toSum = ({membership, loads, summaries}: Sent): number => membership + loads + summaries;
 
@@ -79,7 +79,7 @@
 
 	const lasts = runs.map(times => times.at(-1)!);
 	return {
-		firstKnewMs: toMiddle(runs.map(times => times[0]!)), middleKnewMs: toMiddle(runs.map(times => toMiddle(times))), lastKnewMs: toMiddle(lasts), worstKnewMs: Math.max(...lasts),
+		firstKnewMs: toMedian(runs.map(times => times[0]!)), middleKnewMs: toMedian(runs.map(times => toMedian(times))), lastKnewMs: toMedian(lasts), worstKnewMs: Math.max(...lasts),
 	};
 }
 
