--- a/bench/claims/measure-availability.ts
+++ b/bench/claims/measure-availability.ts
@@ -139,7 +139,7 @@
 	};
 }
 
-/** Picks three slots with a quorum of two, each slot in another zone. */
+/** Picks a quorum of two among three slots, each slot in another zone; fewer slots if there are fewer zones. */
 export function pickThree(key: string, hosts: readonly HostEntry[]): WitnessSet {
 	const zones = new Map(hosts.map(host => [host.id, host.zone]));
 	const ranked = pickWitnesses(key, hosts).slots;
--- a/bench/fleet/_lib/baseline-placement.ts
+++ b/bench/fleet/_lib/baseline-placement.ts
@@ -23,7 +23,7 @@
 		pool, chosen, passedOver: [], counts: {}, notLookedAt: 0,
 	});
 	const toRefusal = (pool: string) => err({
-		reason: 'no-server' as const, message: `all servers of pool ${pool} are excluded`, retryAfterMs, account: toAccount(pool, []),
+		reason: 'no-server' as const, message: `no untried server of pool ${pool}`, retryAfterMs, account: toAccount(pool, []),
 	});
 
 	return {
