--- a/bench/placement/_lib/print.ts
+++ b/bench/placement/_lib/print.ts
@@ -1,4 +1,4 @@
-/** Prints rows of the placement bench. */
+/** Prints the tables of the placement bench. */
 import {type Outcome} from './scenario.js';
 
 export const toPercent = (share: number): string => `${(share * 100).toFixed(1)}%`;
@@ -7,7 +7,7 @@
 	console.log(cells.map((cell, i) => i === 0 ? String(cell).padEnd(28) : String(cell).padStart(10)).join(''));
 };
 
-export const printHead = (...columns: readonly string[]): void => {
+export const printHeader = (...columns: readonly string[]): void => {
 	printRow([...columns, 'goodput', 'overfull', 'refusals', 'wasted', 'late', 'refused', 'failed', 'p50 ms', 'p99 ms', 'slow short', 'slow long', 'slow tok.']);
 };
 
--- a/bench/split-pool/_lib/simulate.ts
+++ b/bench/split-pool/_lib/simulate.ts
@@ -1,6 +1,6 @@
 /**
- * Several hosts before one pool, each with the product's own decisions: where a
- * request goes, what it reserves, how long it waits and when its caller returns.
+ * Simulates several hosts that route to one pool. Placement, reservations and
+ * `Retry-After` times come from the product's own code.
  */
 import {build as createHistogram} from 'hdr-histogram-js';
 import {createPlacement, type Placement, type PlacementDecider} from '../../../src/domain/create-placement/index.js';
@@ -15,46 +15,47 @@
 import {createWorkload, type Work} from './create-workload.js';
 
 export type Scenario = EngineSizes & {
-	/** Servers that compute prompts, and those that generate. */
+	/** Numbers of prefill and decode servers. */
 	prefills: number;
 	decodes: number;
 	hosts: number;
 	perSecond: number;
 	burst: number;
 	seconds: number;
-	/** Whether hosts tell each other what they have under way. */
+	/** Whether hosts gossip the loads of their in-flight requests. */
 	isShared: boolean;
 };
 
 export type Outcome = {
 	requests: number;
-	/** Parts of all requests. */
+	/** Fractions of all requests: `inTime`, `late` and `refused`. */
 	inTime: number;
 	late: number;
 	refused: number;
 	promptP50Ms: number;
 	promptP90Ms: number;
-	/** Part of the time for which prefill servers work. */
+	/** Fraction of the time for which prefill servers are busy. */
 	prefillBusy: number;
-	/** Part of the servers that should compute prompts, as the first host learnt it; 0 if it saw too little. */
+	/** Fraction of the servers that should be prefill servers, as estimated by the first host; 0 if the host saw too few requests. */
 	learntShare: number;
 };
 
-/** A first event within this time, and no long pause after it, is in time; callers wait for so long in all, and return once. */
+/** A request is in time if its first event arrives within this time and no long pause follows. */
 const targetMs = 900;
-const patienceMs = 14 * msPerSecond;
-/** Callers come back after a third of the time that they have left, at the latest. */
-const returnShare = 1 / 3;
+/** Total time that a caller waits; a refused caller retries once. */
+const callerTimeoutMs = 14 * msPerSecond;
+/** A caller retries after this fraction of its remaining time, at the latest. */
+const maxRetryDelayShare = 1 / 3;
 
-/** The product looks for room this often, and hosts hear of each other this late. */
+/** Interval at which waiting requests look for a place and at which hosts send their loads. */
 const tickMs = 20;
 
 const zones = ['a', 'b', 'c'];
 
 type Request = Work & {
-	/** When its caller first asked. */
-	bornAt: Milliseconds;
-	hasReturned: boolean;
+	/** Time of the caller's first attempt. */
+	firstAttemptAt: Milliseconds;
+	hasRetried: boolean;
 };
 
 type Todo = {at: Milliseconds; run: (now: Milliseconds) => void};
@@ -79,7 +80,7 @@
 	};
 }
 
-/** Things to do, in the order of their times. */
+/** Creates a queue of events that run in order of time. */
 function createAgenda() {
 	const todos: Todo[] = [];
 	return {
@@ -100,11 +101,11 @@
 }
 
 /**
- * Plays a day.
+ * Simulates one run.
  *
  * @param scenario - Servers, hosts and load.
- * @param random - Source of chance; the same one gives the same day.
- * @returns What became of its requests.
+ * @param random - Random number generator; the same seed gives the same run.
+ * @returns Outcome of the requests.
  *
  * @example
  * ```ts
@@ -117,14 +118,14 @@
 	const servers = [...toServers('prefill', scenario), ...toServers('decode', scenario)];
 	const view = toView(servers, scenario);
 	const shared = Array.from({length: scenario.hosts}, () => createSharedLoads());
-	const nobody: SharedLoads['read'] = () => ({requests: 0, promptTokens: 0});
-	const hosts = shared.map((loads, i) => createPlacement({zone: zones[i % zones.length]!, readPeerLoad: scenario.isShared ? loads.read : nobody}));
+	const readNoLoad: SharedLoads['read'] = () => ({requests: 0, promptTokens: 0});
+	const hosts = shared.map((loads, i) => createPlacement({zone: zones[i % zones.length]!, readPeerLoad: scenario.isShared ? loads.read : readNoLoad}));
 	const prompts = createHistogram();
-	const ends = {inTime: 0, late: 0, refused: 0};
+	const outcomes = {inTime: 0, late: 0, refused: 0};
 	let busyMs = 0;
 	let sequence = 0;
 
-	function tell(now: Milliseconds): void {
+	function shareLoads(now: Milliseconds): void {
 		sequence++;
 		for (const [from, host] of hosts.entries()) {
 			const message = {
@@ -139,42 +140,42 @@
 	}
 
 	function refuse(request: Request, now: Milliseconds): void {
-		if (request.hasReturned) {
-			ends.refused++;
+		if (request.hasRetried) {
+			outcomes.refused++;
 			return;
 		}
 
-		const left = request.bornAt + patienceMs - now;
-		const delayMs = Math.min(left * returnShare, toFullPoolRetryAfter(3 * msPerSecond, random));
+		const left = request.firstAttemptAt + callerTimeoutMs - now;
+		const delayMs = Math.min(left * maxRetryDelayShare, toFullPoolRetryAfter(3 * msPerSecond, random));
 		agenda.add(now + delayMs, later => {
-			offer({...request, hasReturned: true}, later);
+			offer({...request, hasRetried: true}, later);
 		});
 	}
 
 	function start(request: Request, placement: PlacementDecider, pair: Placement, reserved: number, now: Milliseconds): void {
 		placement.noteDispatched(pair, now);
 		placement.noteReserved(pair, reserved, now);
-		const isAlone = pair.prefill.id === pair.decode.id;
-		const computedAt = isAlone ? engines.prefillAtDecode(pair.decode.id, request.promptTokens, now) : engines.prefill(pair.prefill.id, request.promptTokens, now);
-		busyMs += isAlone ? 0 : request.promptTokens / promptTokensPerMs;
+		const isDecodeOnly = pair.prefill.id === pair.decode.id;
+		const computedAt = isDecodeOnly ? engines.prefillAtDecode(pair.decode.id, request.promptTokens, now) : engines.prefill(pair.prefill.id, request.promptTokens, now);
+		busyMs += isDecodeOnly ? 0 : request.promptTokens / promptTokensPerMs;
 		agenda.add(computedAt, at => {
 			prompts.recordValue(Math.max(1, Math.round(at - now)));
-			if (!isAlone) {
+			if (!isDecodeOnly) {
 				placement.notePrefilled(pair, {promptTokens: request.promptTokens, cachedTokens: 0, bytes: 0}, at);
 			}
 
 			placement.noteFirstToken(pair, at);
-			const isPrompt = at - request.bornAt <= targetMs;
+			const isPrompt = at - request.firstAttemptAt <= targetMs;
 			endAfter(engines.startAnswer(pair.decode.id, request.answerTokens), {
 				server: pair.decode.id, reserved, onEnd(end) {
-					ends[isPrompt && !engines.hasPausedSince(pair.decode.id, at) ? 'inTime' : 'late']++;
+					outcomes[isPrompt && !engines.hasPausedSince(pair.decode.id, at) ? 'inTime' : 'late']++;
 					placement.noteFinished(pair, end);
 				},
 			}, at);
 		});
 	}
 
-	/** Ends an answer after its own time, and what its server was held up meanwhile. */
+	/** Ends an answer after `ownMs` plus the time for which prompts blocked its server meanwhile. */
 	function endAfter(ownMs: Milliseconds, answer: {server: string; reserved: number; onEnd: (end: Milliseconds) => void}, now: Milliseconds): void {
 		const before = engines.heldUpMs(answer.server);
 		agenda.add(now + ownMs, end => {
@@ -190,13 +191,13 @@
 		});
 	}
 
-	/** Asks decode servers for a place, and waits while the answer can be in time; one that comes back asks once. */
+	/** Asks decode servers for a place until one accepts, waiting as long as the answer can still be in time. A request that its caller retries asks only once. */
 	function offer(request: Request, now: Milliseconds): void {
 		const placement = hosts[request.host]!;
 		const reserved = toReservedTokens({...request, maxTokens: 2040});
 		for (;;) {
 			const picked = placement.pick({
-				pool: 'model', model: 'm', version: undefined, adapter: undefined, promptTokens: request.promptTokens, maxTokens: 2040, class: 'quick', firstTokenBudgetMs: patienceMs,
+				pool: 'model', model: 'm', version: undefined, adapter: undefined, promptTokens: request.promptTokens, maxTokens: 2040, class: 'quick', firstTokenBudgetMs: callerTimeoutMs,
 			}, view, now, random);
 			if (picked.isErr()) {
 				break;
@@ -211,7 +212,7 @@
 			placement.noteFailure(decode, {kind: 'refused', reason: 'full'}, now);
 		}
 
-		if (request.hasReturned || now + tickMs - request.bornAt > targetMs) {
+		if (request.hasRetried || now + tickMs - request.firstAttemptAt > targetMs) {
 			refuse(request, now);
 			return;
 		}
@@ -225,20 +226,20 @@
 	const works = createWorkload({...scenario, lengthMs}, random);
 	for (const work of works) {
 		agenda.add(work.at, now => {
-			offer({...work, bornAt: now, hasReturned: false}, now);
+			offer({...work, firstAttemptAt: now, hasRetried: false}, now);
 		});
 	}
 
 	for (let at = 0; scenario.isShared && at < lengthMs * 2; at += tickMs) {
-		agenda.add(at, tell);
+		agenda.add(at, shareLoads);
 	}
 
 	agenda.runAll();
 	return {
 		requests: works.length,
-		inTime: ends.inTime / works.length,
-		late: ends.late / works.length,
-		refused: ends.refused / works.length,
+		inTime: outcomes.inTime / works.length,
+		late: outcomes.late / works.length,
+		refused: outcomes.refused / works.length,
 		promptP50Ms: prompts.getValueAtPercentile(50),
 		promptP90Ms: prompts.getValueAtPercentile(90),
 		prefillBusy: busyMs / lengthMs / scenario.prefills,
