--- a/src/programs/relay/create-role-manager/index.ts
+++ b/src/programs/relay/create-role-manager/index.ts
@@ -54,7 +54,7 @@
  * Lost prefill servers are made good sooner: where one was left of four, prompts
  * took 0.5 s in place of 0.2 for the eighteen seconds until the next order.
  */
-const settleMs: Readonly<Record<RoleChange['role'], Milliseconds>> = {
+const settleAfterLossMs: Readonly<Record<RoleChange['role'], Milliseconds>> = {
 	decode: 10 * msPerSecond,
 	prefill: 5 * msPerSecond,
 };
@@ -63,24 +63,24 @@
 
 type PoolChange = {pool: PoolEntry; change: RoleChange; share: number};
 
-type Ordered = {role: RoleChange['role']; until: Milliseconds};
+type PendingOrder = {role: RoleChange['role']; expiresAt: Milliseconds};
 
 type PoolServers = {
 	published: readonly ServerEntry[];
 	/** Those of them that don't leave. */
-	staying: readonly ServerEntry[];
+	remaining: readonly ServerEntry[];
 };
 
 /** Remembers when each pool last lost a server that had not said that it would leave; one that did stays away, and nothing is gained by waiting. */
-function createPoolWatch() {
-	const seen = new Map<string, {staying: readonly ServerEntry[]; lostAt: Milliseconds}>();
+function createLossTracker() {
+	const seen = new Map<string, {remaining: readonly ServerEntry[]; lostAt: Milliseconds}>();
 	return {
-		lastLossAt(pool: string, {published, staying}: PoolServers, now: Milliseconds): Milliseconds {
+		lastLossAt(pool: string, {published, remaining}: PoolServers, now: Milliseconds): Milliseconds {
 			const ids = new Set(published.map(({id}) => id));
 			const known = seen.get(pool);
-			const isLoss = known?.staying.some(({id}) => !ids.has(id)) ?? false;
+			const isLoss = known?.remaining.some(({id}) => !ids.has(id)) ?? false;
 			const lostAt = isLoss ? now : known?.lostAt ?? -Infinity;
-			seen.set(pool, {staying, lostAt});
+			seen.set(pool, {remaining, lostAt});
 			return lostAt;
 		},
 	};
@@ -97,25 +97,25 @@
 		host, prefillShare, toPrefillShare, clock, log, assignRole, toView, isConnected,
 	} = options;
 	const startedAt = clock.now();
-	const startedWall = clock.wallNow();
-	const ordered = new Map<ServerId, Ordered>();
-	const pools = createPoolWatch();
+	const startedWallMs = clock.wallNow();
+	const pendingOrders = new Map<ServerId, PendingOrder>();
+	const lossTracker = createLossTracker();
 
 	/** Seconds of the day at the start, counted on by the steady clock: within one life no step of the time of day makes it lower. */
-	const toFence = (now: Milliseconds): number => Math.floor((startedWall + now - startedAt) / msPerSecond);
+	const toFence = (now: Milliseconds): number => Math.floor((startedWallMs + now - startedAt) / msPerSecond);
 
 	/** Forgets orders that are done, lost, or whose server is gone. */
-	function forgetDone(config: Config, now: Milliseconds): void {
+	function removeFinishedOrders(config: Config, now: Milliseconds): void {
 		const roles = new Map(config.servers.map(({id, role}) => [id, role]));
-		for (const [id, {role, until}] of ordered) {
-			if (now >= until || !roles.has(id) || roles.get(id) === role) {
-				ordered.delete(id);
+		for (const [id, {role, expiresAt}] of pendingOrders) {
+			if (now >= expiresAt || !roles.has(id) || roles.get(id) === role) {
+				pendingOrders.delete(id);
 			}
 		}
 	}
 
-	async function order({pool, change: {server, role}, share}: PoolChange, now: Milliseconds): Promise<void> {
-		ordered.set(server.id, {role, until: now + (pool.roleChangeMs ?? 0) + orderMarginMs});
+	async function giveOrder({pool, change: {server, role}, share}: PoolChange, now: Milliseconds): Promise<void> {
+		pendingOrders.set(server.id, {role, expiresAt: now + (pool.roleChangeMs ?? 0) + orderMarginMs});
 		const fence = toFence(now);
 		const done = await assignRole(server, {role, host, fence});
 		if (done.isOk()) {
@@ -137,15 +137,15 @@
 			.filter(pool => pool.roleChangeMs !== undefined)
 			.map(pool => {
 				const published = config.servers.filter(server => server.pool === pool.name);
-				const staying = published.filter(({id}) => view.servers.get(id)?.leaving !== true);
-				return {pool, servers: staying, sinceLossMs: now - pools.lastLossAt(pool.name, {published, staying}, now)};
+				const remaining = published.filter(({id}) => view.servers.get(id)?.leaving !== true);
+				return {pool, servers: remaining, sinceLossMs: now - lossTracker.lastLossAt(pool.name, {published, remaining}, now)};
 			});
 	}
 
 	function pickChanges({pool, servers, sinceLossMs}: ChangeablePool): PoolChange[] {
 		const share = toPrefillShare(pool, servers) ?? prefillShare;
-		return pickRoleChanges(servers, {prefillShare: share, changing: new Set(ordered.keys())})
-			.filter(({role}) => sinceLossMs >= settleMs[role])
+		return pickRoleChanges(servers, {prefillShare: share, changing: new Set(pendingOrders.keys())})
+			.filter(({role}) => sinceLossMs >= settleAfterLossMs[role])
 			.map(change => ({pool, change, share}));
 	}
 
@@ -159,13 +159,13 @@
 
 			const {config} = view.accepted;
 			const changeable = findChangeable(view, config, now);
-			forgetDone(config, now);
+			removeFinishedOrders(config, now);
 			if (now - startedAt < startGraceMs || !isConnected()) {
 				return;
 			}
 
 			const changes = changeable.flatMap(pool => pickChanges(pool));
-			await Promise.all(changes.map(async change => order(change, now)));
+			await Promise.all(changes.map(async change => giveOrder(change, now)));
 		},
 	};
 }
--- a/src/programs/relay/create-role-manager/test.ts
+++ b/src/programs/relay/create-role-manager/test.ts
@@ -31,21 +31,21 @@
 	receivedAt: 0,
 });
 
-type Given = RoleOrder & {server: string; at: number};
+type GivenOrder = RoleOrder & {server: string; at: number};
 
 let now: number;
 let wall: number;
 let servers: readonly ServerEntry[];
 let leaving: readonly string[];
 let isConnected: boolean;
-let isTaken: boolean;
-let orders: Given[];
-let learntShare: number | undefined;
+let isAccepted: boolean;
+let orders: GivenOrder[];
+let measuredShare: number | undefined;
 
 function start(): RoleManager {
 	const assignRole: RoleManagerOptions['assignRole'] = ({id}, order) => {
 		orders.push({...order, server: id, at: now});
-		return isTaken
+		return isAccepted
 			? okAsync(undefined)
 			: errAsync({
 				kind: 'refused', reason: 'other', server: id, message: 'status 409', retryAfterMs: undefined,
@@ -55,7 +55,7 @@
 	return createRoleManager({
 		host: 'front-a-1',
 		prefillShare: 0.33,
-		toPrefillShare: () => learntShare,
+		toPrefillShare: () => measuredShare,
 		clock: {now: () => now, wallNow: () => wall},
 		log: createLog({
 			level: 'error', program: 'test', host: 'front-a-1', zone: 'a', incarnation: 1, sink: {write: () => true, writableLength: 0, on: () => undefined},
@@ -67,11 +67,11 @@
 }
 
 /** Looks once a second, as the program does. */
-async function passTime(keeper: RoleManager, seconds: number): Promise<void> {
+async function advance(manager: RoleManager, seconds: number): Promise<void> {
 	for (let second = 0; second < seconds; second++) {
 		now += 1000;
 		wall += 1000;
-		await keeper.tick();
+		await manager.tick();
 	}
 }
 
@@ -88,94 +88,94 @@
 		servers = six;
 		leaving = [];
 		isConnected = true;
-		isTaken = true;
+		isAccepted = true;
 		orders = [];
-		learntShare = undefined;
+		measuredShare = undefined;
 	});
 
 	it('goes by what requests cost once that is known', async () => {
-		learntShare = 0.45;
-		const keeper = start();
-		await passTime(keeper, 20);
+		measuredShare = 0.45;
+		const manager = start();
+		await advance(manager, 20);
 		assert.deepEqual(orders, []);
-		learntShare = 0.3;
-		await passTime(keeper, 1);
+		measuredShare = 0.3;
+		await advance(manager, 1);
 		assert.deepEqual(orders.map(({role}) => role), ['decode']);
 	});
 
 	it('orders the one prefill server too many, once, and waits for it', async () => {
-		const keeper = start();
-		await passTime(keeper, 5);
+		const manager = start();
+		await advance(manager, 5);
 		assert.deepEqual(orders, [], 'not right after its start');
-		await passTime(keeper, 15);
+		await advance(manager, 15);
 		assert.deepEqual(orders.map(({server, role, host}) => ({server, role, host})), [{server: 'p1', role: 'decode', host: 'front-a-1'}]);
 	});
 
 	it('gives the order again when it was lost', async () => {
-		isTaken = false;
-		const keeper = start();
-		await passTime(keeper, 40);
+		isAccepted = false;
+		const manager = start();
+		await advance(manager, 40);
 		assert.deepEqual(orders.map(({server}) => server), ['p1', 'p1']);
 		assert.ok(orders[1]!.at - orders[0]!.at >= 26_000);
 	});
 
 	it('gives none while the platform does not answer', async () => {
 		isConnected = false;
-		const keeper = start();
-		await passTime(keeper, 30);
+		const manager = start();
+		await advance(manager, 30);
 		assert.deepEqual(orders, []);
 	});
 
 	it('waits ten seconds after a server went away, also one that went before it could order', async () => {
-		const keeper = start();
-		await passTime(keeper, 2);
+		const manager = start();
+		await advance(manager, 2);
 		servers = six.filter(({id}) => id !== 'd3');
-		await passTime(keeper, 1);
+		await advance(manager, 1);
 		servers = six;
-		await passTime(keeper, 9);
+		await advance(manager, 9);
 		assert.deepEqual(orders, []);
-		await passTime(keeper, 2);
+		await advance(manager, 2);
 		assert.equal(orders.length, 1);
 	});
 
 	it('makes lost prefill servers good after five seconds', async () => {
-		learntShare = 0.6;
-		const keeper = start();
-		await passTime(keeper, 10);
+		measuredShare = 0.6;
+		const manager = start();
+		await advance(manager, 10);
 		servers = six.filter(({id}) => id !== 'p1' && id !== 'p2');
-		await passTime(keeper, 5);
+		await advance(manager, 5);
 		assert.deepEqual(orders, []);
-		await passTime(keeper, 1);
+		await advance(manager, 1);
 		assert.deepEqual(orders.map(({role}) => role), ['prefill']);
 	});
 
 	it('does not wait after a server went away that had said so', async () => {
-		const keeper = start();
-		await passTime(keeper, 3);
+		const manager = start();
+		await advance(manager, 3);
 		leaving = ['d3'];
-		await passTime(keeper, 1);
+		await advance(manager, 1);
 		servers = six.filter(({id}) => id !== 'd3');
-		await passTime(keeper, 1);
+		await advance(manager, 1);
 		assert.deepEqual(orders, []);
-		await passTime(keeper, 2);
+		await advance(manager, 2);
 		assert.deepEqual(orders.map(({role}) => role), ['decode']);
 	});
 
 	it('numbers an order after a restart higher, though the time of day was set back meanwhile', async () => {
-		isTaken = false;
-		await passTime(start(), 7);
+		isAccepted = false;
+		await advance(start(), 7);
 		wall -= 5000;
-		await passTime(start(), 7);
+		await advance(start(), 7);
 		assert.equal(orders.length, 2);
 		assert.ok(orders[1]!.fence > orders[0]!.fence, JSON.stringify(orders));
 	});
 
 	it('numbers orders by the steady clock within one life', async () => {
-		isTaken = false;
-		const keeper = start();
-		await passTime(keeper, 7);
+		isAccepted = false;
+		const manager = start();
+		await advance(manager, 7);
 		wall -= 3_600_000;
-		await passTime(keeper, 30);
+		await advance(manager, 30);
 		assert.equal(orders.length, 2);
 		assert.ok(orders[1]!.fence > orders[0]!.fence, JSON.stringify(orders));
 	});
--- a/src/programs/relay/run-relay/index.ts
+++ b/src/programs/relay/run-relay/index.ts
@@ -19,7 +19,7 @@
 	createSource: (settings: RelaySettings) => PublishedSource;
 };
 
-function load({argv, readEnv}: RunRelayOptions) {
+function loadRelaySettings({argv, readEnv}: RunRelayOptions) {
 	return loadSettings(relaySettings, {
 		program, description: 'Serves callers by the rules and servers that a platform publishes.', argv, env: readEnv(), check: checkRelaySettings,
 	});
@@ -44,8 +44,8 @@
 }
 
 /** Settings take effect at the next start; what differs is told, so that nobody takes it for being in force. */
-function reload(options: RunRelayOptions, settings: RelaySettings, log: Log): void {
-	const loaded = load(options);
+function checkChangedSettings(options: RunRelayOptions, settings: RelaySettings, log: Log): void {
+	const loaded = loadRelaySettings(options);
 	if (loaded.kind === 'exit') {
 		log.error('settings were changed and are wrong; those of the start stay in force', {reason: loaded.stderr});
 		return;
@@ -62,7 +62,7 @@
  * @param options - Arguments, settings, and what speaks to the platform and its servers.
  */
 export async function runRelay(options: RunRelayOptions): Promise<void> {
-	const loaded = load(options);
+	const loaded = loadRelaySettings(options);
 	if (loaded.kind === 'exit') {
 		process.stdout.write(loaded.stdout);
 		process.stderr.write(loaded.stderr);
@@ -75,7 +75,7 @@
 		level: values.logLevel, program, host: values.hostId, zone: values.zone, incarnation: Date.now(),
 	});
 	process.on('SIGHUP', () => {
-		reload(options, values, log);
+		checkChangedSettings(options, values, log);
 	});
 	await runUntilStopped(log, async () => start(options, values, log));
 }
--- a/src/programs/relay/share-loads/crashes.test.ts
+++ b/src/programs/relay/share-loads/crashes.test.ts
@@ -10,23 +10,23 @@
 import {startHosts, stepMs, type Host} from './_test/start-hosts.js';
 
 /** What a host may spend on control, the brief's bound. */
-const bytesOfHost = 8 * bytesPerKibibyte;
+const maxControlBytes = 8 * bytesPerKibibyte;
 
 /** Time after the third crash from which on the request reaches no server. */
-const learnMs: Milliseconds = 3 * msPerSecond;
+const spreadMs: Milliseconds = 3 * msPerSecond;
 
 const culprit = 'crashes-them';
 
 type Fleet = Awaited<ReturnType<typeof startHosts>>;
 
-type Course = {crashes: Milliseconds[]; host: Host[]};
+type CrashHistory = {crashes: Milliseconds[]; host: Host[]};
 
 function pick(hosts: readonly Host[], random: Random): Host {
 	return hosts[Math.floor(random() * hosts.length)]!;
 }
 
 /** Sends the request to some host; where it is not quarantined, a server ends under it and under as many others as run there. */
-function send(fleet: Fleet, course: Course, {random, victims}: {random: Random; victims: number}): void {
+function send(fleet: Fleet, history: CrashHistory, {random, victims}: {random: Random; victims: number}): void {
 	const now = fleet.now();
 	const host = pick(fleet.hosts, random);
 	if (host.suspects.isQuarantined(culprit, now)) {
@@ -34,26 +34,26 @@
 		return;
 	}
 
-	course.crashes.push(now);
-	course.host.push(host);
-	const server = `i-93770e37e${course.crashes.length}`;
+	history.crashes.push(now);
+	history.host.push(host);
+	const server = `i-93770e37e${history.crashes.length}`;
 	host.suspects.noteBroken(culprit, server, now);
 	for (let i = 0; i < victims; i++) {
-		pick(fleet.hosts, random).suspects.noteBroken(`victim-${course.crashes.length}-${i}`, server, now);
+		pick(fleet.hosts, random).suspects.noteBroken(`victim-${history.crashes.length}-${i}`, server, now);
 	}
 }
 
-function run(fleet: Fleet, {gapMs, forMs, random, victims = 40}: {gapMs: Milliseconds; forMs: Milliseconds; random: Random; victims?: number}): Course {
-	const course: Course = {crashes: [], host: []};
+function run(fleet: Fleet, {gapMs, forMs, random, victims = 40}: {gapMs: Milliseconds; forMs: Milliseconds; random: Random; victims?: number}): CrashHistory {
+	const history: CrashHistory = {crashes: [], host: []};
 	for (let passedMs = 0; passedMs < forMs; passedMs += gapMs) {
-		send(fleet, course, {random, victims});
+		send(fleet, history, {random, victims});
 		fleet.pass(gapMs);
 	}
 
-	return course;
+	return history;
 }
 
-const toLate = ({crashes}: Course): Milliseconds[] => crashes.filter(at => at > crashes[2]! + learnMs);
+const toLateCrashes = ({crashes}: CrashHistory): Milliseconds[] => crashes.filter(at => at > crashes[2]! + spreadMs);
 
 describe('hosts that hear of a request under which servers crash', () => {
 	const counts: ReadonlyArray<{count: number; gaps: readonly Milliseconds[]}> = [
@@ -68,10 +68,10 @@
 				const random = createRandom(count + gapMs);
 				const fleet = await startHosts(count, {lossShare: 0.05, random});
 				fleet.pass(10 * msPerSecond);
-				const course = run(fleet, {gapMs, forMs: 24 * msPerSecond, random});
-				t.diagnostic(`${course.crashes.length} crashes in all`);
-				assert.ok(course.crashes.length >= 3);
-				assert.deepEqual(toLate(course), []);
+				const history = run(fleet, {gapMs, forMs: 24 * msPerSecond, random});
+				t.diagnostic(`${history.crashes.length} crashes in all`);
+				assert.ok(history.crashes.length >= 3);
+				assert.deepEqual(toLateCrashes(history), []);
 			});
 		}
 	}
@@ -85,7 +85,7 @@
 			await fleet.restart(host);
 		}
 
-		fleet.pass(learnMs);
+		fleet.pass(spreadMs);
 		assert.deepEqual(fleet.hosts.filter(({suspects}) => !suspects.isQuarantined(culprit, fleet.now())).map(({name}) => name), []);
 	});
 
@@ -103,7 +103,7 @@
 			await fleet.restart(host);
 		}
 
-		fleet.pass(learnMs);
+		fleet.pass(spreadMs);
 		assert.equal(run(fleet, {gapMs: 1000, forMs: 20 * msPerSecond, random}).crashes.length, 3);
 	});
 
@@ -116,6 +116,6 @@
 		});
 		const {messages, bytes} = fleet.measure(5 * msPerSecond);
 		t.diagnostic(`${messages.toFixed(1)} messages, ${(bytes / bytesPerKibibyte).toFixed(2)} KB a second and host`);
-		assert.ok(bytes <= bytesOfHost, `${bytes} bytes a second`);
+		assert.ok(bytes <= maxControlBytes, `${bytes} bytes a second`);
 	});
 });
--- a/src/programs/relay/share-loads/fleet.test.ts
+++ b/src/programs/relay/share-loads/fleet.test.ts
@@ -13,7 +13,7 @@
 } from './_test/start-hosts.js';
 
 /** What a host may spend on control, the brief's bound. */
-const bytesOfHost = 8 * bytesPerKibibyte;
+const maxControlBytes = 8 * bytesPerKibibyte;
 
 describe('hundreds of hosts that share loads', () => {
 	for (const count of [100, 200, 400]) {
@@ -22,7 +22,7 @@
 			fleet.pass(15 * msPerSecond);
 			const {messages, bytes} = fleet.measure(5 * msPerSecond);
 			t.diagnostic(`${messages.toFixed(1)} messages, ${(bytes / bytesPerKibibyte).toFixed(2)} KB a second and host`);
-			assert.ok(bytes <= bytesOfHost, `${bytes} bytes a second`);
+			assert.ok(bytes <= maxControlBytes, `${bytes} bytes a second`);
 		});
 	}
 
--- a/src/programs/relay/share-loads/index.ts
+++ b/src/programs/relay/share-loads/index.ts
@@ -46,40 +46,40 @@
 };
 
 /** A host that has nothing new to tell speaks this often all the same, so that its last word still counts. */
-const repeatMs: Milliseconds = 500;
+const keepAliveMs: Milliseconds = 500;
 
 /** Hosts are named to others this often, and seeds greeted that are not known to live; in a large fleet nothing else is said. */
 const roundMs: Milliseconds = msPerSecond;
 
 /** A host's word counts until it should have spoken so many times again. */
-const spokenTimes = 3;
+const maxMissedMessages = 3;
 
 /** Reports of crashes in a message that tells of them at once; most are of one crash and take some 50 bytes. */
 const maxReports = 16;
 
 /** Reports in each message of a round, of which a host of a large fleet sends some twenty a second. */
-const maxReportsOfRound = 5;
+const maxReportsPerRound = 5;
 
 /**
  * Crashes of a request that all hosts of a large fleet are told of. The first one
  * of each, most of them victims, goes to the few that collect what is known of it.
  */
-const leastCrashesForAll = 2;
+const minCrashesToBroadcast = 2;
 
 /** Faulty datagrams are counted, and told of this often at most. */
-const faultLineMs: Milliseconds = 10 * msPerSecond;
+const faultLogIntervalMs: Milliseconds = 10 * msPerSecond;
 
-const toText = (loads: readonly HostLoad[]): string => loads.map(({server, requests, promptTokens}) => `${server} ${requests} ${promptTokens}`).join(',');
+const toLoadsText = (loads: readonly HostLoad[]): string => loads.map(({server, requests, promptTokens}) => `${server} ${requests} ${promptTokens}`).join(',');
 
 function createFaultLog({clock, log}: Pick<ShareLoadsOptions, 'clock' | 'log'>): (reason: string) => void {
 	let count = 0;
-	let toldAt: Milliseconds | undefined;
+	let loggedAt: Milliseconds | undefined;
 	return reason => {
 		count++;
 		const now = clock.now();
-		if (toldAt === undefined || now - toldAt >= faultLineMs) {
+		if (loggedAt === undefined || now - loggedAt >= faultLogIntervalMs) {
 			log.warn('message of a peer lost or not understood', {count, reason});
-			toldAt = now;
+			loggedAt = now;
 			count = 0;
 		}
 	};
@@ -96,7 +96,7 @@
 		address, seeds, host, zone, incarnation, clock, log, suspects, open = openLoadDatagrams,
 	} = options;
 	const peers = createPeerList({self: address, zone, seeds});
-	const shared = createSharedLoads({toMaxAgeMs: now => spokenTimes * (peers.isLarge(now) ? roundMs : repeatMs)});
+	const shared = createSharedLoads({toMaxAgeMs: now => maxMissedMessages * (peers.isLarge(now) ? roundMs : keepAliveMs)});
 	let sequence = 0;
 	let lastText = '';
 	let sentAt: Milliseconds = -Infinity;
@@ -123,11 +123,11 @@
 		},
 	});
 
-	type Said = {loads: readonly HostLoad[]; crashes: readonly CrashReport[]; named?: readonly NamedPeer[]; isAsking?: boolean};
+	type OutgoingMessage = {loads: readonly HostLoad[]; crashes: readonly CrashReport[]; named?: readonly NamedPeer[]; isAsking?: boolean};
 
 	function send({
 		loads, crashes, named = [], isAsking = false,
-	}: Said, to: readonly string[]): void {
+	}: OutgoingMessage, to: readonly string[]): void {
 		if (to.length === 0) {
 			return;
 		}
@@ -144,13 +144,13 @@
 	 * load there, and each message costs both ends about a tenth of a millisecond.
 	 */
 	function isDue(text: string, now: Milliseconds): boolean {
-		return !peers.isLarge(now) && (text !== lastText || now - sentAt >= repeatMs);
+		return !peers.isLarge(now) && (text !== lastText || now - sentAt >= keepAliveMs);
 	}
 
 	/** Crashes that all hosts are told of; the others are for collectors. */
-	const toLeastCrashes = (now: Milliseconds): number => peers.isLarge(now) ? leastCrashesForAll : 1;
+	const toMinCrashes = (now: Milliseconds): number => peers.isLarge(now) ? minCrashesToBroadcast : 1;
 
-	function tellCollectors(loads: readonly HostLoad[], reports: readonly CrashReport[]): void {
+	function sendToCollectors(loads: readonly HostLoad[], reports: readonly CrashReport[]): void {
 		const byCollector = new Map<string, CrashReport[]>();
 		for (const report of reports) {
 			for (const collector of peers.collectors(report.fingerprint)) {
@@ -164,27 +164,27 @@
 	}
 
 	/** A request that crashes servers may be anywhere the next moment: each host that hears of it hands it on. */
-	function tellOfCrashes(loads: readonly HostLoad[], now: Milliseconds): void {
+	function sendCrashReports(loads: readonly HostLoad[], now: Milliseconds): void {
 		const changed = suspects.takeChanged(now, maxReports);
-		const leastCrashes = toLeastCrashes(now);
+		const leastCrashes = toMinCrashes(now);
 		const crashes = changed.filter(report => report.crashes.length >= leastCrashes);
 		if (crashes.length > 0) {
 			send({loads, crashes}, [...peers.directPeers(now), ...peers.remotePeers(now)]);
 		}
 
-		tellCollectors(loads, changed.filter(report => report.crashes.length < leastCrashes));
+		sendToCollectors(loads, changed.filter(report => report.crashes.length < leastCrashes));
 	}
 
-	const toReports = (now: Milliseconds): readonly CrashReport[] => suspects.toReports(now, {leastFresh: toLeastCrashes(now), limit: maxReportsOfRound});
+	const toRoundReports = (now: Milliseconds): readonly CrashReport[] => suspects.toReports(now, {leastFresh: toMinCrashes(now), limit: maxReportsPerRound});
 
-	function tell(loads: readonly HostLoad[], now: Milliseconds): void {
-		const text = toText(loads);
+	function sendUpdates(loads: readonly HostLoad[], now: Milliseconds): void {
+		const text = toLoadsText(loads);
 		const unanswered = peers.takeUnanswered();
-		tellOfCrashes(loads, now);
+		sendCrashReports(loads, now);
 		if (now - roundAt >= roundMs) {
 			roundAt = now;
 			const named = peers.takeAdvertised(now);
-			const crashes = toReports(now);
+			const crashes = toRoundReports(now);
 			const asked = new Set([...peers.directPeers(now), ...peers.remotePeers(now), ...peers.silentSeeds(now)]);
 			send({
 				loads, crashes, named, isAsking: true,
@@ -192,7 +192,7 @@
 			send({loads, crashes, named}, [...new Set([...peers.remoteRequesters(now), ...unanswered])].filter(address => !asked.has(address)));
 		} else {
 			if (unanswered.length > 0) {
-				send({loads, crashes: toReports(now), named: peers.takeAdvertised(now)}, unanswered);
+				send({loads, crashes: toRoundReports(now), named: peers.takeAdvertised(now)}, unanswered);
 			}
 
 			if (!isDue(text, now)) {
@@ -213,7 +213,7 @@
 		countHosts: peers.count,
 		countSharers: () => peers.isSettled(clock.now()) ? peers.count() : undefined,
 		tick(loads) {
-			tell(loads, clock.now());
+			sendUpdates(loads, clock.now());
 		},
 		close: socket.close,
 	};
--- a/src/programs/relay/share-loads/retries.test.ts
+++ b/src/programs/relay/share-loads/retries.test.ts
@@ -52,7 +52,7 @@
 		return budget.takeRetry(failed, fleet.now(), random).kind === 'retry';
 	}
 
-	function spend(budget: RetryBudget): number {
+	function spendBudget(budget: RetryBudget): number {
 		let granted = 0;
 		while (budget.takeRetry(failed, fleet.now(), random).kind === 'retry') {
 			granted++;
@@ -70,7 +70,7 @@
 		/** Each host makes all the retries that it may, for no more requests than that takes. */
 		spendAll() {
 			fleet.pass(stepMs);
-			const granted = fleet.hosts.filter(({isDead}) => !isDead).map(host => spend(toBudget(host)));
+			const granted = fleet.hosts.filter(({isDead}) => !isDead).map(host => spendBudget(toBudget(host)));
 			requests.push(sum(granted));
 			retries.push(sum(granted));
 		},
@@ -90,14 +90,14 @@
 			}
 		},
 		/** The callers of some hosts come back at once. */
-		comeBack(hosts: readonly Host[]) {
+		returnCallers(hosts: readonly Host[]) {
 			for (let i = 0; i < returningRequests; i++) {
 				fleet.pass(stepMs);
 				send(hosts);
 			}
 		},
 		/** Most calls beyond what is allowed, of all windows. */
-		toMostOver(): number {
+		toMaxExcess(): number {
 			const steps = windowMs / stepMs;
 			const sumFrom = (counts: readonly number[], from: number) => sum(counts.slice(from, from + steps));
 			const over = retries.map((_, from) => sumFrom(retries, from) - (limits.retryRatio * sumFrom(requests, from)) - limits.retrySlack);
@@ -110,30 +110,30 @@
 type Traffic = ReturnType<typeof createTraffic>;
 
 /** Starts hosts again, whose callers are back soon. */
-async function replace(fleet: Fleet, traffic: Traffic, hosts: readonly Host[]): Promise<void> {
+async function restartHosts(fleet: Fleet, traffic: Traffic, hosts: readonly Host[]): Promise<void> {
 	const places = hosts.map(host => fleet.hosts.indexOf(host));
 	for (const host of hosts) {
 		await fleet.restart(host);
 	}
 
 	traffic.pass(returnAfterMs);
-	traffic.comeBack(places.map(place => fleet.hosts[place]!));
+	traffic.returnCallers(places.map(place => fleet.hosts[place]!));
 }
 
-type Course = {name: string; play: (fleet: Fleet, traffic: Traffic) => Promise<void>};
+type Scenario = {name: string; run: (fleet: Fleet, traffic: Traffic) => Promise<void>};
 
-const courses: Course[] = [
+const scenarios: Scenario[] = [
 	{
 		name: 'that all start while the service fails',
-		async play(fleet, traffic) {
+		async run(fleet, traffic) {
 			traffic.pass(returnAfterMs);
-			traffic.comeBack(fleet.hosts);
+			traffic.returnCallers(fleet.hosts);
 			traffic.pass(2 * windowMs);
 		},
 	},
 	{
 		name: 'of which half are killed at one moment and started again',
-		async play(fleet, traffic) {
+		async run(fleet, traffic) {
 			fleet.pass(15 * msPerSecond);
 			traffic.pass(3 * msPerSecond);
 			const killed = fleet.hosts.filter((_, i) => i % 9 < 5);
@@ -142,26 +142,26 @@
 			}
 
 			traffic.pass(2 * msPerSecond);
-			await replace(fleet, traffic, killed);
+			await restartHosts(fleet, traffic, killed);
 			traffic.pass(windowMs);
 		},
 	},
 	{
 		name: 'that are all killed and started again',
-		async play(fleet, traffic) {
+		async run(fleet, traffic) {
 			fleet.pass(15 * msPerSecond);
 			traffic.pass(3 * msPerSecond);
-			await replace(fleet, traffic, [...fleet.hosts]);
+			await restartHosts(fleet, traffic, [...fleet.hosts]);
 			traffic.pass(windowMs);
 		},
 	},
 	{
 		name: 'that are replaced one after the other',
-		async play(fleet, traffic) {
+		async run(fleet, traffic) {
 			fleet.pass(15 * msPerSecond);
 			const atOnce = Math.ceil(fleet.hosts.length / 10);
 			for (let from = 0; from < fleet.hosts.length; from += atOnce) {
-				await replace(fleet, traffic, fleet.hosts.slice(from, from + atOnce));
+				await restartHosts(fleet, traffic, fleet.hosts.slice(from, from + atOnce));
 			}
 
 			traffic.pass(windowMs);
@@ -169,7 +169,7 @@
 	},
 	{
 		name: 'of which some hear the others only seconds after their start',
-		async play(fleet, traffic) {
+		async run(fleet, traffic) {
 			fleet.pass(15 * msPerSecond);
 			const isLate = (_: Host, i: number) => i % 3 !== 0;
 			for (const host of fleet.hosts.filter((host, i) => isLate(host, i))) {
@@ -180,13 +180,13 @@
 			fleet.pass(windowMs);
 			fleet.heal();
 			traffic.pass(returnAfterMs);
-			traffic.comeBack(fleet.hosts.filter((host, i) => isLate(host, i)));
+			traffic.returnCallers(fleet.hosts.filter((host, i) => isLate(host, i)));
 			traffic.pass(windowMs);
 		},
 	},
 	{
 		name: 'of which a zone is cut off for some seconds',
-		async play(fleet, traffic) {
+		async run(fleet, traffic) {
 			fleet.pass(15 * msPerSecond);
 			traffic.pass(2 * msPerSecond);
 			for (const host of fleet.hosts.filter(({zone}) => zone === 'a')) {
@@ -200,7 +200,7 @@
 	},
 	{
 		name: 'that spend all, are killed, and spend all again once they know each other',
-		async play(fleet, traffic) {
+		async run(fleet, traffic) {
 			fleet.pass(15 * msPerSecond);
 			traffic.spendAll();
 			for (const host of fleet.hosts) {
@@ -215,7 +215,7 @@
 	},
 	{
 		name: 'that crash one time after the other within a window',
-		async play(fleet, traffic) {
+		async run(fleet, traffic) {
 			fleet.pass(15 * msPerSecond);
 			for (let i = 0; i < 5; i++) {
 				traffic.spendAll();
@@ -232,7 +232,7 @@
 	},
 	{
 		name: 'of which two zones are cut off for minutes, and all sides spend all',
-		async play(fleet, traffic) {
+		async run(fleet, traffic) {
 			fleet.pass(15 * msPerSecond);
 			for (const host of fleet.hosts.filter(({zone}) => zone === 'a' || zone === 'b')) {
 				fleet.cut(host);
@@ -248,13 +248,13 @@
 
 describe('retries of all hosts together', () => {
 	for (const [hosts, retrySlack] of [[7, 54], [74, 188], [195, 430]] as const) {
-		for (const {name, play} of courses) {
+		for (const {name, run} of scenarios) {
 			for (const failShare of hosts > 100 ? [1] : [1, 0.4]) {
 				it(`stay within the ratio and the slack at ${hosts} hosts ${name}, ${failShare} of the calls failing`, async () => {
 					const fleet = await startHosts(hosts);
 					const traffic = createTraffic(fleet, {retryRatio: 0.2, retrySlack, retryWindow: windowMs}, failShare);
-					await play(fleet, traffic);
-					assert.ok(traffic.toMostOver() <= 0, `${traffic.toMostOver()} too many`);
+					await run(fleet, traffic);
+					assert.ok(traffic.toMaxExcess() <= 0, `${traffic.toMaxExcess()} too many`);
 					assert.ok(traffic.sent() >= hosts, `${traffic.sent()} by ${hosts} hosts: too careful`);
 				});
 			}
--- a/src/programs/relay/start-relay/_lib/add-relay-metrics.ts
+++ b/src/programs/relay/start-relay/_lib/add-relay-metrics.ts
@@ -28,10 +28,10 @@
 			return ageMs === undefined ? noAnswer : ageMs / msPerSecond;
 		},
 	});
-	const resets = metrics.createCounter({name: 'platform_resets_total', help: 'Times that the platform came back from an older copy.'});
+	const resetCounter = metrics.createCounter({name: 'platform_resets_total', help: 'Times that the platform came back from an older copy.'});
 	return {
 		noteReset() {
-			resets.add({});
+			resetCounter.add({});
 		},
 	};
 }
--- a/src/programs/relay/start-relay/_lib/with-roles.ts
+++ b/src/programs/relay/start-relay/_lib/with-roles.ts
@@ -36,11 +36,11 @@
 	}
 
 	log.info('this host gives orders to servers');
-	const keeper = createRoleManager({
+	const roleManager = createRoleManager({
 		host: hostId, prefillShare, clock, log, assignRole, isConnected, toView: entry.view, toPrefillShare: entry.toPrefillShare,
 	});
 	const timer = setInterval(() => {
-		void keeper.tick();
+		void roleManager.tick();
 	}, roleTickMs);
 	return {
 		...entry,
