--- a/src/programs/relay/create-role-manager/index.ts
+++ b/src/programs/relay/create-role-manager/index.ts
@@ -1,10 +1,11 @@
 /**
- * Gives the orders that bring a pool's servers to the roles that it needs.
+ * Orders servers of a pool to change roles, so that the pool has the prefill and
+ * decode servers that it needs.
  *
- * Two hosts that order one server undo each other's work, and there is no store
- * to hold a lease in. So one host alone gives orders: the one that all hosts'
- * settings name. No cut, pause or restart makes a second one; while it is away,
- * servers keep the roles that they have.
+ * Two hosts that give orders to the same server undo each other's work, and there
+ * is no store to hold a lease in. So only the host that is named in the settings of
+ * all hosts gives orders. No network cut, pause or restart makes a second host give
+ * orders; while that host is down, servers keep their roles.
  */
 import {type Log} from '../../../adapters/log/index.js';
 import {pickRoleChanges, type RoleChange} from '../../../domain/pick-role-changes/index.js';
@@ -17,42 +18,42 @@
 
 export type RoleManagerOptions = {
 	host: HostId;
-	/** Part of a pool's servers that is to compute prompts until requests have told what they cost. */
+	/** Share of a pool's servers in the prefill role, used until it can be estimated from requests. */
 	prefillShare: number;
-	/** The same, by what requests cost; `undefined` while too little is known. */
+	/** Returns the share estimated from the cost of requests; `undefined` while too little is known. */
 	toPrefillShare: (pool: PoolEntry, servers: readonly ServerEntry[]) => number | undefined;
 	clock: Clock;
 	log: Log;
 	/** Tells a server to change its role. */
 	assignRole: NonNullable<ServerCalls['assignRole']>;
 	toView: () => FleetView | undefined;
-	/** Whether the platform answered the last read. Behind a cut, servers that were replaced look as if they still served. */
+	/** Whether the platform answered the last read. On a host that is cut off, servers that have been replaced still look as if they served. */
 	isConnected: () => boolean;
 };
 
 export type RoleManager = {
-	/** Looks at all pools, and orders what is needed; the program calls it now and then. */
+	/** Checks all pools and gives the orders that are due; called periodically. */
 	tick: () => Promise<void>;
 };
 
 /**
  * Time after the start in which no order is given. A host that was killed right
- * after an order doesn't remember it. Fencing numbers come from the time of day,
- * which may be set back by some seconds meanwhile; after this time the next one
- * is higher all the same.
+ * after an order doesn't remember that order. Fencing tokens come from the wall
+ * clock, which may have been set back by some seconds since; after this time the
+ * next token is higher nevertheless.
  */
 const startGraceMs: Milliseconds = 6 * msPerSecond;
 
-/** Time beyond the change itself after which an order counts as lost: running answers end first, and they take ten seconds at most. */
+/** Time beyond the role change itself after which an order counts as lost. The server first finishes running answers, which takes ten seconds at most. */
 const orderMarginMs: Milliseconds = 20 * msPerSecond;
 
 /**
- * Time after a server of a pool went away unannounced in which no server changes
- * to a role. Entries lapse while a zone is cut off or a server restarts, and come
- * back within five seconds: judged by what is left meanwhile, a pool of six
- * changed its last but one prefill server, and prompts took 1.3 s from then on.
- * Lost prefill servers are made good sooner: where one was left of four, prompts
- * took 0.5 s in place of 0.2 for the eighteen seconds until the next order.
+ * Time after the unannounced loss of a server in which no other server of the pool
+ * is ordered to a role. Entries lapse while a zone is cut off or a server restarts,
+ * and come back within five seconds. Without this time, a pool of six changed its
+ * last but one prefill server, and prompts took 1.3 s from then on. Lost prefill
+ * servers are replaced sooner: with one of four left, prompts took 0.5 s instead of
+ * 0.2 s for the eighteen seconds until the next order.
  */
 const settleAfterLossMs: Readonly<Record<RoleChange['role'], Milliseconds>> = {
 	decode: 10 * msPerSecond,
@@ -67,11 +68,11 @@
 
 type PoolServers = {
 	published: readonly ServerEntry[];
-	/** Those of them that don't leave. */
+	/** Published servers that aren't leaving. */
 	remaining: readonly ServerEntry[];
 };
 
-/** Remembers when each pool last lost a server that had not said that it would leave; one that did stays away, and nothing is gained by waiting. */
+/** Tracks when each pool last lost a server without notice. A server that announced its leaving does not come back, so waiting for it has no use. */
 function createLossTracker() {
 	const seen = new Map<string, {remaining: readonly ServerEntry[]; lostAt: Milliseconds}>();
 	return {
@@ -87,10 +88,10 @@
 }
 
 /**
- * Creates the keeper of one host.
+ * Creates the role manager of one host.
  *
- * @param options - What is wanted, what is known, and how servers are told.
- * @returns The keeper.
+ * @param options - See {@link RoleManagerOptions}.
+ * @returns The role manager.
  */
 export function createRoleManager(options: RoleManagerOptions): RoleManager {
 	const {
@@ -101,10 +102,10 @@
 	const pendingOrders = new Map<ServerId, PendingOrder>();
 	const lossTracker = createLossTracker();
 
-	/** Seconds of the day at the start, counted on by the steady clock: within one life no step of the time of day makes it lower. */
+	/** Fencing token: Unix seconds at the start plus the monotonic time since, so that a step of the wall clock does not lower the token within one process. */
 	const toFence = (now: Milliseconds): number => Math.floor((startedWallMs + now - startedAt) / msPerSecond);
 
-	/** Forgets orders that are done, lost, or whose server is gone. */
+	/** Removes orders that are done or lost, or whose server is gone. */
 	function removeFinishedOrders(config: Config, now: Milliseconds): void {
 		const roles = new Map(config.servers.map(({id, role}) => [id, role]));
 		for (const [id, {role, expiresAt}] of pendingOrders) {
@@ -126,12 +127,12 @@
 		}
 
 		const {kind, reason, message} = done.error;
-		log.warn('server did not take the order to change its role', {
+		log.warn('server did not accept the order to change its role', {
 			server: server.id, state: role, fence, kind, reason: reason ?? message,
 		});
 	}
 
-	/** The pools whose servers can change roles, with their servers in service and the time since one was lost. */
+	/** Returns the pools whose servers can change roles, with their remaining servers and the time since one was lost. */
 	function findChangeable(view: FleetView, config: Config, now: Milliseconds): ChangeablePool[] {
 		return config.pools
 			.filter(pool => pool.roleChangeMs !== undefined)
--- a/src/programs/relay/create-role-manager/test.ts
+++ b/src/programs/relay/create-role-manager/test.ts
@@ -66,7 +66,7 @@
 	});
 }
 
-/** Looks once a second, as the program does. */
+/** Advances time with one tick a second, as the program does. */
 async function advance(manager: RoleManager, seconds: number): Promise<void> {
 	for (let second = 0; second < seconds; second++) {
 		now += 1000;
@@ -76,12 +76,12 @@
 }
 
 /*
- * An order costs a server six seconds, and there is no store to hold a lease in:
- * the one host that gives orders may be killed right after one, cut off from the
- * platform, or see servers lapse that are back a moment later. Callers would be
- * refused for want of servers that change roles for nothing.
+ * Guards against needless role changes: each takes a server out of service for six
+ * seconds, and callers are refused for lack of servers. There is no store to hold a
+ * lease in, and the one host that gives orders may be killed right after an order,
+ * be cut off from the platform, or see entries lapse that are back a moment later.
  */
-describe('keepRoles', () => {
+describe('createRoleManager', () => {
 	beforeEach(() => {
 		now = 1000;
 		wall = 1_780_000_000_000;
@@ -93,7 +93,7 @@
 		measuredShare = undefined;
 	});
 
-	it('goes by what requests cost once that is known', async () => {
+	it('uses the share estimated from requests once it is known', async () => {
 		measuredShare = 0.45;
 		const manager = start();
 		await advance(manager, 20);
@@ -103,7 +103,7 @@
 		assert.deepEqual(orders.map(({role}) => role), ['decode']);
 	});
 
-	it('orders the one prefill server too many, once, and waits for it', async () => {
+	it('orders the one surplus prefill server to change, once, and waits for the change', async () => {
 		const manager = start();
 		await advance(manager, 5);
 		assert.deepEqual(orders, [], 'not right after its start');
@@ -111,7 +111,7 @@
 		assert.deepEqual(orders.map(({server, role, host}) => ({server, role, host})), [{server: 'p1', role: 'decode', host: 'front-a-1'}]);
 	});
 
-	it('gives the order again when it was lost', async () => {
+	it('repeats an order that was lost', async () => {
 		isAccepted = false;
 		const manager = start();
 		await advance(manager, 40);
@@ -119,14 +119,14 @@
 		assert.ok(orders[1]!.at - orders[0]!.at >= 26_000);
 	});
 
-	it('gives none while the platform does not answer', async () => {
+	it('gives no order while the platform does not answer', async () => {
 		isConnected = false;
 		const manager = start();
 		await advance(manager, 30);
 		assert.deepEqual(orders, []);
 	});
 
-	it('waits ten seconds after a server went away, also one that went before it could order', async () => {
+	it('waits ten seconds after a server was lost, also if that was before it may give orders', async () => {
 		const manager = start();
 		await advance(manager, 2);
 		servers = six.filter(({id}) => id !== 'd3');
@@ -138,7 +138,7 @@
 		assert.equal(orders.length, 1);
 	});
 
-	it('makes lost prefill servers good after five seconds', async () => {
+	it('replaces lost prefill servers after five seconds', async () => {
 		measuredShare = 0.6;
 		const manager = start();
 		await advance(manager, 10);
@@ -149,7 +149,7 @@
 		assert.deepEqual(orders.map(({role}) => role), ['prefill']);
 	});
 
-	it('does not wait after a server went away that had said so', async () => {
+	it('does not wait after the loss of a server that had announced its leaving', async () => {
 		const manager = start();
 		await advance(manager, 3);
 		leaving = ['d3'];
@@ -161,7 +161,7 @@
 		assert.deepEqual(orders.map(({role}) => role), ['decode']);
 	});
 
-	it('numbers an order after a restart higher, though the time of day was set back meanwhile', async () => {
+	it('gives an order after a restart a higher fencing token, though the wall clock was set back meanwhile', async () => {
 		isAccepted = false;
 		await advance(start(), 7);
 		wall -= 5000;
@@ -170,7 +170,7 @@
 		assert.ok(orders[1]!.fence > orders[0]!.fence, JSON.stringify(orders));
 	});
 
-	it('numbers orders by the steady clock within one life', async () => {
+	it('takes fencing tokens from the monotonic clock within one process', async () => {
 		isAccepted = false;
 		const manager = start();
 		await advance(manager, 7);
--- a/src/programs/relay/run-relay/index.ts
+++ b/src/programs/relay/run-relay/index.ts
@@ -1,4 +1,4 @@
-/** `banyanport-relay`: serves callers by what a platform publishes. */
+/** `banyanport-relay`: serves callers by the rules and servers that a platform publishes. */
 import process from 'node:process';
 import {createLog, type Log} from '../../../adapters/log/index.js';
 import {addProcessMetrics, createMetrics} from '../../../adapters/metrics/index.js';
@@ -14,7 +14,7 @@
 
 export type RunRelayOptions = Pick<RelayOptions, 'createCalls' | 'callers'> & {
 	argv: readonly string[];
-	/** Reads the settings; called again when they are told to have changed. */
+	/** Reads the environment; called again on SIGHUP. */
 	readEnv: () => NodeJS.ProcessEnv;
 	createSource: (settings: RelaySettings) => PublishedSource;
 };
@@ -43,11 +43,11 @@
 	});
 }
 
-/** Settings take effect at the next start; what differs is told, so that nobody takes it for being in force. */
+/** Logs which settings have changed. They take effect only at the next start, and the log line keeps operators from assuming that they are in force. */
 function checkChangedSettings(options: RunRelayOptions, settings: RelaySettings, log: Log): void {
 	const loaded = loadRelaySettings(options);
 	if (loaded.kind === 'exit') {
-		log.error('settings were changed and are wrong; those of the start stay in force', {reason: loaded.stderr});
+		log.error('changed settings are invalid; the settings read at the start stay in force', {reason: loaded.stderr});
 		return;
 	}
 
@@ -59,7 +59,7 @@
 /**
  * Runs the program until a signal ends it.
  *
- * @param options - Arguments, settings, and what speaks to the platform and its servers.
+ * @param options - See {@link RunRelayOptions}.
  */
 export async function runRelay(options: RunRelayOptions): Promise<void> {
 	const loaded = loadRelaySettings(options);
--- a/src/programs/relay/share-loads/_test/start-hosts.ts
+++ b/src/programs/relay/share-loads/_test/start-hosts.ts
@@ -1,4 +1,4 @@
-/** Hosts in virtual time, whose messages reach each other within the same step. */
+/** Starts hosts in virtual time, whose messages arrive within the step in which they are sent. */
 import {createLog} from '../../../../adapters/log/index.js';
 import {decodeLoadMessage, encodeLoadMessage, type openLoadDatagrams} from '../../../../adapters/load-datagrams/index.js';
 import {createCrashSuspects, type CrashSuspects} from '../../../../domain/create-crash-suspects/index.js';
@@ -19,9 +19,9 @@
 /**
  * Starts hosts.
  *
- * @param count - How many, spread over the zones.
- * @param network - Part of all messages that is lost, and the chance that picks them.
- * @returns The hosts, and what lets time pass.
+ * @param count - Number of hosts, spread over the zones.
+ * @param network - Share of messages that is lost, and the source of randomness that picks them.
+ * @returns The hosts, and functions to advance time and inject faults.
  */
 export async function startHosts(count: number, {lossShare = 0, random = () => 1}: {lossShare?: number; random?: Random} = {}) {
 	let now: Milliseconds = 0;
@@ -37,7 +37,7 @@
 				sent.messages += to.length;
 				const bytes = encodeLoadMessage(message);
 				sent.bytes += to.length * bytes.length;
-				// What does not fit into a datagram does not arrive; the rest is worth decoding only where that can matter.
+				// Reports that do not fit into a datagram are cut off, so messages with reports are decoded as received; the others are passed on without decoding to save time.
 				const received = message.crashes.length === 0 ? message : decodeLoadMessage(bytes)._unsafeUnwrap();
 				for (const target of to.filter(() => random() >= lossShare).filter(target => !cutOff.has(address) && !cutOff.has(target))) {
 					receivers.get(target)?.(received, address);
@@ -63,7 +63,7 @@
 		hosts.push(await start(i));
 	}
 
-	/** Each host has a request under way; those of each third end, and others begin, three times a second. */
+	/** Each host has a request in flight; a third of the hosts changes its number of requests three times a second. */
 	function tick(host: Host, i: number): void {
 		const isBusy = Math.floor(i / zones.length) % 3 === 0;
 		const requests = isBusy ? 1 + (Math.floor(now / 333) % 3) : 1;
@@ -86,7 +86,7 @@
 		hosts,
 		pass,
 		now: () => now,
-		/** What one host sends a second over some seconds, on average. */
+		/** Returns the average number of messages and bytes that a host sends a second. */
 		measure(ms: Milliseconds) {
 			const before = {...sent};
 			pass(ms);
@@ -100,12 +100,12 @@
 			hosts.push(host);
 			return host;
 		},
-		/** Replaces the process of a host by one that knows nothing. */
+		/** Replaces the process of a host by a new one, without any state. */
 		async restart(host: Host): Promise<void> {
 			const i = hosts.indexOf(host);
 			hosts[i] = await start(i);
 		},
-		/** Takes a host's way to all others, until healed. */
+		/** Cuts a host off from all others until `heal` is called. */
 		cut(host: Host): void {
 			cutOff.add(host.address);
 		},
@@ -116,7 +116,7 @@
 			host.isDead = true;
 			receivers.delete(host.address);
 		},
-		/** Hosts whose requests a host knows. */
+		/** Returns the hosts whose loads a host knows. */
 		heardBy: ({sharing}: Host): Host[] => hosts.filter(other => sharing.read(`of ${other.name}`, now).requests > 0),
 		silentZones: ({sharing}: Host): string[] => zones.filter(zone => sharing.isZoneSilent(zone, now)),
 	};
--- a/src/programs/relay/share-loads/crashes.test.ts
+++ b/src/programs/relay/share-loads/crashes.test.ts
@@ -1,6 +1,6 @@
 /*
- * Guards against a request that crashes servers at one host after the other,
- * because each host has seen only a part of its crashes.
+ * Guards against a request that crashes servers through one host after the other,
+ * because each host has seen only some of the crashes.
  */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
@@ -9,10 +9,10 @@
 import {bytesPerKibibyte, msPerSecond} from '../../../ports/units.js';
 import {startHosts, stepMs, type Host} from './_test/start-hosts.js';
 
-/** What a host may spend on control, the brief's bound. */
+/** Bound on the control traffic of a host, in bytes a second. */
 const maxControlBytes = 8 * bytesPerKibibyte;
 
-/** Time after the third crash from which on the request reaches no server. */
+/** Time after the third crash within which all hosts must quarantine the request. */
 const spreadMs: Milliseconds = 3 * msPerSecond;
 
 const culprit = 'crashes-them';
@@ -25,7 +25,7 @@
 	return hosts[Math.floor(random() * hosts.length)]!;
 }
 
-/** Sends the request to some host; where it is not quarantined, a server ends under it and under as many others as run there. */
+/** Sends the request to a random host. If it is not quarantined there, a server crashes, and the victims that ran on it break too. */
 function send(fleet: Fleet, history: CrashHistory, {random, victims}: {random: Random; victims: number}): void {
 	const now = fleet.now();
 	const host = pick(fleet.hosts, random);
@@ -55,7 +55,7 @@
 
 const toLateCrashes = ({crashes}: CrashHistory): Milliseconds[] => crashes.filter(at => at > crashes[2]! + spreadMs);
 
-describe('hosts that hear of a request under which servers crash', () => {
+describe('hosts that share reports of a request that crashes servers', () => {
 	const counts: ReadonlyArray<{count: number; gaps: readonly Milliseconds[]}> = [
 		{count: 7, gaps: [stepMs, 300, 1000, 4000]},
 		{count: 50, gaps: [stepMs, 1000, 4000]},
@@ -64,7 +64,7 @@
 	];
 	for (const {count, gaps} of counts) {
 		for (const gapMs of gaps) {
-			it(`let it reach no server three seconds after its third crash: ${count} hosts, again every ${gapMs} ms, one message in twenty lost`, async t => {
+			it(`let it reach no server three seconds after its third crash: ${count} hosts, sent every ${gapMs} ms, one message in twenty lost`, async t => {
 				const random = createRandom(count + gapMs);
 				const fleet = await startHosts(count, {lossShare: 0.05, random});
 				fleet.pass(10 * msPerSecond);
@@ -76,7 +76,7 @@
 		}
 	}
 
-	it('tell a host that starts what they know, before it takes part again', async () => {
+	it('inform restarted hosts within three seconds', async () => {
 		const random = createRandom(1);
 		const fleet = await startHosts(195, {lossShare: 0.05, random});
 		fleet.pass(10 * msPerSecond);
@@ -89,7 +89,7 @@
 		assert.deepEqual(fleet.hosts.filter(({suspects}) => !suspects.isQuarantined(culprit, fleet.now())).map(({name}) => name), []);
 	});
 
-	it('find out again with three more servers after all of them were killed', async () => {
+	it('quarantine it again after three more crashes once all hosts were killed', async () => {
 		const random = createRandom(2);
 		const fleet = await startHosts(50, {random});
 		fleet.pass(10 * msPerSecond);
@@ -107,7 +107,7 @@
 		assert.equal(run(fleet, {gapMs: 1000, forMs: 20 * msPerSecond, random}).crashes.length, 3);
 	});
 
-	it('stay within the budget of control while servers crash', async t => {
+	it('stay within the bound on control traffic while servers crash', async t => {
 		const random = createRandom(3);
 		const fleet = await startHosts(200, {random});
 		fleet.pass(15 * msPerSecond);
--- a/src/programs/relay/share-loads/fleet.test.ts
+++ b/src/programs/relay/share-loads/fleet.test.ts
@@ -1,9 +1,9 @@
 /*
- * Callers wait at servers of a zone that is cut off, though another zone could
- * serve them. With hundreds of hosts, each knows and names to others the sixteen
- * that came first on its list, so all talk to the same few and most hear nobody:
- * no zone is ever known to be silent. Proof, in virtual time: each host hears its
- * own zone and every other one, and what it sends stays in the budget of control.
+ * Guards against callers that wait for servers of a zone which is cut off, though
+ * another zone could serve them. If each of hundreds of hosts advertises only the
+ * first sixteen on its list, all hosts send to the same few, most receive nothing,
+ * and no zone is ever known to be silent. In virtual time, each host must hear its
+ * own zone and every other one, and stay within the bound on control traffic.
  */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
@@ -12,12 +12,12 @@
 	startHosts, stepMs, zones, type Host,
 } from './_test/start-hosts.js';
 
-/** What a host may spend on control, the brief's bound. */
+/** Bound on the control traffic of a host, in bytes a second. */
 const maxControlBytes = 8 * bytesPerKibibyte;
 
 describe('hundreds of hosts that share loads', () => {
 	for (const count of [100, 200, 400]) {
-		it(`stay within the budget of control at ${count} hosts`, async t => {
+		it(`stay within the bound on control traffic at ${count} hosts`, async t => {
 			const fleet = await startHosts(count);
 			fleet.pass(15 * msPerSecond);
 			const {messages, bytes} = fleet.measure(5 * msPerSecond);
@@ -26,7 +26,7 @@
 		});
 	}
 
-	it('answer a host that just started at once, not with their next round', async () => {
+	it('answer a new host at once rather than in their next round', async () => {
 		const fleet = await startHosts(200);
 		fleet.pass(15 * msPerSecond);
 		const newcomer = await fleet.startOne();
@@ -34,7 +34,7 @@
 		assert.ok(fleet.heardBy(newcomer).length > 0);
 	});
 
-	it('hear their own zone and the others, also after half of them and a zone were killed at one moment', async () => {
+	it('hear their own zone and the others, also after half of the hosts and a whole zone were killed at once', async () => {
 		const fleet = await startHosts(200);
 		fleet.pass(15 * msPerSecond);
 		const isInformed = (host: Host) => fleet.heardBy(host).some(({zone}) => zone === host.zone);
--- a/src/programs/relay/share-loads/index.ts
+++ b/src/programs/relay/share-loads/index.ts
@@ -1,8 +1,8 @@
 /**
- * Tells other hosts what this one has under way at the servers, and of requests
- * under which servers ended, and hears the same of them. Without it, hosts send
- * prompts behind each other's unseen ones, and each finds out for itself which
- * request crashes servers.
+ * Exchanges loads and crash reports with other hosts: the requests that each host
+ * has in flight at the servers, and the requests during which servers crashed.
+ * Without the exchange, hosts queue prompts behind each other's unseen ones, and
+ * each host has to find out for itself which request crashes servers.
  */
 import {openLoadDatagrams, type LoadDatagrams} from '../../../adapters/load-datagrams/index.js';
 import {type Log} from '../../../adapters/log/index.js';
@@ -27,46 +27,47 @@
 	incarnation: Incarnation;
 	clock: Clock;
 	log: Log;
-	/** What is known of requests under which servers ended. */
+	/** Requests suspected of crashing servers. */
 	suspects: CrashSuspects;
-	/** Opens the way to other hosts; UDP by default. */
+	/** Opens the transport to other hosts; UDP by default. */
 	open?: typeof openLoadDatagrams;
 };
 
 export type LoadExchange = Pick<SharedLoads, 'read' | 'isZoneSilent'> & {
-	/** Whether hosts of other zones were heard before, and none is any more. */
+	/** Whether hosts of other zones were heard before and none is heard now. */
 	isIsolated: () => boolean;
-	/** Hosts that are known to live, with this one; `undefined` while none was ever heard. */
+	/** Number of hosts known to be alive, including this one; `undefined` until another host has been heard. */
 	countHosts: () => number | undefined;
-	/** The same, for dividing what all hosts share: `undefined` also while further ones turn up after the start. */
+	/** Number of hosts among which a fleet-wide budget is divided; also `undefined` while more hosts are being discovered after the start. */
 	countSharers: () => number | undefined;
-	/** Sends what has changed; the program calls it many times a second. */
+	/** Sends changes to peers; called many times a second. */
 	tick: (loads: readonly HostLoad[]) => void;
 	close: () => Promise<void>;
 };
 
-/** A host that has nothing new to tell speaks this often all the same, so that its last word still counts. */
+/** Interval at which a host without changes repeats its loads, so that they don't expire at its peers. */
 const keepAliveMs: Milliseconds = 500;
 
-/** Hosts are named to others this often, and seeds greeted that are not known to live; in a large fleet nothing else is said. */
+/** Interval of the rounds, in which known hosts are advertised and silent seeds are contacted. In a large fleet, loads are sent in rounds only. */
 const roundMs: Milliseconds = msPerSecond;
 
-/** A host's word counts until it should have spoken so many times again. */
+/** A host's loads expire after this many of its messages are due. */
 const maxMissedMessages = 3;
 
-/** Reports of crashes in a message that tells of them at once; most are of one crash and take some 50 bytes. */
+/** Bound on crash reports in a message sent right after a crash; most reports are of one crash and take some 50 bytes. */
 const maxReports = 16;
 
-/** Reports in each message of a round, of which a host of a large fleet sends some twenty a second. */
+/** Bound on crash reports in a round's message; a host of a large fleet sends some twenty of these messages a second. */
 const maxReportsPerRound = 5;
 
 /**
- * Crashes of a request that all hosts of a large fleet are told of. The first one
- * of each, most of them victims, goes to the few that collect what is known of it.
+ * Number of crashes of one request from which on all hosts of a large fleet are
+ * told. The first crash, after which most suspects are only victims of another
+ * request, is reported only to the few hosts that collect reports of this request.
  */
 const minCrashesToBroadcast = 2;
 
-/** Faulty datagrams are counted, and told of this often at most. */
+/** Shortest interval between log lines about faulty datagrams, which are counted in between. */
 const faultLogIntervalMs: Milliseconds = 10 * msPerSecond;
 
 const toLoadsText = (loads: readonly HostLoad[]): string => loads.map(({server, requests, promptTokens}) => `${server} ${requests} ${promptTokens}`).join(',');
@@ -86,10 +87,10 @@
 }
 
 /**
- * Starts to talk.
+ * Starts the exchange of loads and crash reports.
  *
- * @param options - This host, and where others may be.
- * @returns What is heard, and the function that tells.
+ * @param options - See {@link ShareLoadsOptions}.
+ * @returns The running exchange.
  */
 export async function shareLoads(options: ShareLoadsOptions): Promise<LoadExchange> {
 	const {
@@ -139,15 +140,15 @@
 	}
 
 	/**
-	 * Whether there is something to tell before the next round. Not where there are
-	 * more hosts than one can tell all of: its own requests are a small part of the
-	 * load there, and each message costs both ends about a tenth of a millisecond.
+	 * Whether to send loads before the next round. Never in a fleet with more hosts
+	 * than one host can send to: there its own requests are a small part of the load,
+	 * and each message costs both ends about a tenth of a millisecond.
 	 */
 	function isDue(text: string, now: Milliseconds): boolean {
 		return !peers.isLarge(now) && (text !== lastText || now - sentAt >= keepAliveMs);
 	}
 
-	/** Crashes that all hosts are told of; the others are for collectors. */
+	/** Returns the number of crashes from which on a request is reported to all hosts; below it, only collectors are told. */
 	const toMinCrashes = (now: Milliseconds): number => peers.isLarge(now) ? minCrashesToBroadcast : 1;
 
 	function sendToCollectors(loads: readonly HostLoad[], reports: readonly CrashReport[]): void {
@@ -163,7 +164,7 @@
 		}
 	}
 
-	/** A request that crashes servers may be anywhere the next moment: each host that hears of it hands it on. */
+	/** Sends new crash reports at once. A request that crashes servers may reach any host next, so each host that receives a report forwards it. */
 	function sendCrashReports(loads: readonly HostLoad[], now: Milliseconds): void {
 		const changed = suspects.takeChanged(now, maxReports);
 		const leastCrashes = toMinCrashes(now);
--- a/src/programs/relay/share-loads/retries.test.ts
+++ b/src/programs/relay/share-loads/retries.test.ts
@@ -1,7 +1,7 @@
 /*
- * Guards against hosts that together send a service more calls beyond the first
- * of each request than they may: those that started a moment ago, that replace
- * one which spent its part, or that are cut off from others.
+ * Guards against hosts that together exceed the retry budget of a service: hosts
+ * that have just started, that replace a host which spent its share, or that are
+ * cut off from others.
  */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
@@ -13,11 +13,11 @@
 import {startHosts, stepMs, type Host} from './_test/start-hosts.js';
 
 const windowMs: Milliseconds = 10 * msPerSecond;
-/** Of each host, and those that come back at once to one that started again. */
+/** Request rate of each host, and the number of requests that return at once to a restarted host. */
 const requestsPerSecond = 0.6;
 const returningRequests = 8;
 
-/** Between the start of a host and the return of its callers. */
+/** Time between the start of a host and the return of its callers. */
 const returnAfterMs: Milliseconds = 0.5 * msPerSecond;
 
 const failed: FailedAttempt = {
@@ -28,7 +28,7 @@
 
 type Fleet = Awaited<ReturnType<typeof startHosts>>;
 
-/** Requests of all hosts to one service, of which a part fails, and what is sent again. */
+/** Simulates requests of all hosts to one service, a share of which fails, and their retries. */
 function createTraffic(fleet: Fleet, limits: RetryLimits, failShare: number) {
 	const random = createRandom(7);
 	const budgets = new Map<Host, RetryBudget>();
@@ -41,7 +41,7 @@
 		return budget;
 	}
 
-	/** One request of a host. Tells whether it was sent again. */
+	/** Makes one request of a host; returns whether it was retried. */
 	function request(host: Host): boolean {
 		const budget = toBudget(host);
 		if (random() >= failShare) {
@@ -67,14 +67,14 @@
 	}
 
 	return {
-		/** Each host makes all the retries that it may, for no more requests than that takes. */
+		/** Makes each host spend its whole retry budget, with no more requests than that takes. */
 		spendAll() {
 			fleet.pass(stepMs);
 			const granted = fleet.hosts.filter(({isDead}) => !isDead).map(host => spendBudget(toBudget(host)));
 			requests.push(sum(granted));
 			retries.push(sum(granted));
 		},
-		/** Time without requests. */
+		/** Advances time without requests. */
 		idle(ms: Milliseconds) {
 			const until = fleet.now() + ms;
 			while (fleet.now() < until) {
@@ -89,14 +89,14 @@
 				send(fleet.hosts.filter(({isDead}) => !isDead && random() < requestsPerSecond * stepMs / msPerSecond));
 			}
 		},
-		/** The callers of some hosts come back at once. */
+		/** Makes the callers of some hosts come back at once. */
 		returnCallers(hosts: readonly Host[]) {
 			for (let i = 0; i < returningRequests; i++) {
 				fleet.pass(stepMs);
 				send(hosts);
 			}
 		},
-		/** Most calls beyond what is allowed, of all windows. */
+		/** Returns the greatest number of retries beyond the allowed ones in any window. */
 		toMaxExcess(): number {
 			const steps = windowMs / stepMs;
 			const sumFrom = (counts: readonly number[], from: number) => sum(counts.slice(from, from + steps));
@@ -109,7 +109,7 @@
 
 type Traffic = ReturnType<typeof createTraffic>;
 
-/** Starts hosts again, whose callers are back soon. */
+/** Restarts hosts, whose callers return soon afterwards. */
 async function restartHosts(fleet: Fleet, traffic: Traffic, hosts: readonly Host[]): Promise<void> {
 	const places = hosts.map(host => fleet.hosts.indexOf(host));
 	for (const host of hosts) {
@@ -199,7 +199,7 @@
 		},
 	},
 	{
-		name: 'that spend all, are killed, and spend all again once they know each other',
+		name: 'that spend their budgets, are killed, and spend them again once they know each other',
 		async run(fleet, traffic) {
 			fleet.pass(15 * msPerSecond);
 			traffic.spendAll();
@@ -214,7 +214,7 @@
 		},
 	},
 	{
-		name: 'that crash one time after the other within a window',
+		name: 'that crash repeatedly within a window',
 		async run(fleet, traffic) {
 			fleet.pass(15 * msPerSecond);
 			for (let i = 0; i < 5; i++) {
@@ -231,7 +231,7 @@
 		},
 	},
 	{
-		name: 'of which two zones are cut off for minutes, and all sides spend all',
+		name: 'of which two zones are cut off for minutes, while all sides spend their budgets',
 		async run(fleet, traffic) {
 			fleet.pass(15 * msPerSecond);
 			for (const host of fleet.hosts.filter(({zone}) => zone === 'a' || zone === 'b')) {
--- a/src/programs/relay/share-loads/test.ts
+++ b/src/programs/relay/share-loads/test.ts
@@ -23,9 +23,9 @@
 }
 
 /*
- * Three hosts start with one seed among them, and one of them is lost. Each must
- * hear of the work of all others, also of those that no seed names, and forget
- * the work of the lost one, or it would keep its own requests off idle servers.
+ * Three hosts start, of which one is a seed, and one is lost later. Each must learn
+ * the loads of all others, including hosts that are no seed, and drop the loads of
+ * the lost host; otherwise it would keep its own requests away from idle servers.
  */
 describe('shareLoads', () => {
 	afterEach(async () => {
@@ -33,7 +33,7 @@
 		hosts = [];
 	});
 
-	it('finds hosts that only others know, and forgets one that fell silent', async () => {
+	it('finds hosts that only its peers know, and drops the loads of one that fell silent', async () => {
 		const [first, second, third] = await Promise.all([findUdpAddress(), findUdpAddress(), findUdpAddress()]);
 		const seeds = [first, '127.0.0.1:9'];
 		const a = await startHost('a', first, seeds);
--- a/src/programs/relay/start-relay/_lib/add-relay-metrics.test.ts
+++ b/src/programs/relay/start-relay/_lib/add-relay-metrics.test.ts
@@ -4,7 +4,7 @@
 import {addRelayMetrics} from './add-relay-metrics.js';
 
 describe('addRelayMetrics', () => {
-	it('tells how many hosts are known, and how old the platform\'s last answer is', () => {
+	it('exposes the number of known hosts, the age of the platform\'s last answer, and its resets', () => {
 		const metrics = createMetrics();
 		const known: {ageMs: number | undefined} = {ageMs: undefined};
 		const counted = addRelayMetrics(metrics, {countHosts: () => 195, answerAgeMs: () => known.ageMs});
--- a/src/programs/relay/start-relay/_lib/add-relay-metrics.ts
+++ b/src/programs/relay/start-relay/_lib/add-relay-metrics.ts
@@ -1,10 +1,10 @@
-/** Metrics of what a relay knows, and how old it is. */
+/** Metrics of a relay's knowledge about the fleet, and of its age. */
 import {type Metrics} from '../../../../adapters/metrics/index.js';
 import {type Milliseconds} from '../../../../ports/clock.js';
 import {msPerSecond} from '../../../../ports/units.js';
 
 export type RelayMetricSources = {
-	/** Hosts that are known to live, with this one. */
+	/** Number of hosts known to be alive, including this one. */
 	countHosts: () => number;
 	/** Time since the platform answered a read; `undefined` before the first. */
 	answerAgeMs: () => Milliseconds | undefined;
@@ -14,12 +14,14 @@
 const noAnswer = -1;
 
 /**
+ * Adds the metrics of a relay.
+ *
  * @param metrics - Registry of the process.
- * @param knowledge - Asked at each exposure.
- * @returns What counts.
+ * @param sources - Functions called at each scrape.
+ * @returns Function to call when the platform has come back from an older copy.
  */
 export function addRelayMetrics(metrics: Metrics, {countHosts, answerAgeMs}: RelayMetricSources): {noteReset: () => void} {
-	metrics.createSampledGauge({name: 'hosts_known', help: 'Hosts that this one knows, with itself; each takes its part of the retries by it.', sample: countHosts});
+	metrics.createSampledGauge({name: 'hosts_known', help: 'Hosts known to this one, including itself; the retry budget is divided by this number.', sample: countHosts});
 	metrics.createSampledGauge({
 		name: 'platform_age_seconds',
 		help: 'Time since the platform answered a read; -1 before the first.',
--- a/src/programs/relay/start-relay/_lib/create-unused-engine.ts
+++ b/src/programs/relay/start-relay/_lib/create-unused-engine.ts
@@ -1,15 +1,16 @@
-/** The client of engines where there is nothing to call by the own protocol. */
+/** Client of engines for relays, which make no call in this system's own engine protocol. */
 import {errAsync} from 'neverthrow';
 import {type EngineClient} from '../../../_engines/index.js';
 
 /**
- * Pools of models are reached through passed-on calls alone here.
+ * Creates a client that refuses each call: a relay reaches the servers of model
+ * pools only through the requests that it forwards.
  *
- * @returns A client that refuses each call.
+ * @returns The client.
  */
 export function createUnusedEngine(): EngineClient {
 	const refuse = () => errAsync({
-		kind: 'invalid' as const, reason: undefined, server: '', message: 'requests are passed on here, and engines are not called in the own protocol', retryAfterMs: undefined,
+		kind: 'invalid' as const, reason: undefined, server: '', message: 'a relay forwards requests and makes no calls in the engine protocol', retryAfterMs: undefined,
 	});
 	return {
 		reserve: refuse, prefill: refuse, importKv: refuse, decode: refuse, resume: refuse, cancel: refuse, listHolds: refuse, load: refuse, order: refuse, close: async () => undefined,
--- a/src/programs/relay/start-relay/_lib/open-load-sharing.ts
+++ b/src/programs/relay/start-relay/_lib/open-load-sharing.ts
@@ -1,4 +1,4 @@
-/** Talks to other hosts, where the settings say how. */
+/** Opens the exchange of loads with other hosts, if the settings give an address for it. */
 import {type Log} from '../../../../adapters/log/index.js';
 import {type CrashSuspects} from '../../../../domain/create-crash-suspects/index.js';
 import {type Clock} from '../../../../ports/clock.js';
@@ -6,18 +6,18 @@
 import {type RelaySettings} from '../../../_settings/index.js';
 import {shareLoads, type LoadExchange} from '../../share-loads/index.js';
 
-/** Seeds are named by their control addresses; the port for peers is the same on all hosts. */
+/** Returns the peer addresses of seeds, which the settings list by control address; the peer port is the same on all hosts. */
 function toPeerAddresses(seeds: readonly string[], peerAddress: string): string[] {
 	return seeds.map(seed => `${seed.slice(0, seed.lastIndexOf(':'))}:${peerAddress.slice(peerAddress.lastIndexOf(':') + 1)}`);
 }
 
 /**
- * Starts to share loads. Nothing depends on hearsay, so a host that can't hear
- * others serves alone.
+ * Starts to share loads. Loads of other hosts only improve placement, so a host
+ * that can't receive them serves without them.
  *
- * @param options - Settings, clock, log, and what is known of requests under which servers ended.
- * @param incarnation - Of this process.
- * @returns What is heard; `undefined` without an address for peers, or when it can't be had.
+ * @param options - Settings, clock, log, and the requests suspected of crashing servers.
+ * @param incarnation - Incarnation of this process.
+ * @returns The running exchange; `undefined` without an address for peers, or if that address can't be opened.
  */
 export async function openLoadSharing({
 	settings, clock, log, suspects,
@@ -34,7 +34,7 @@
 			address: peerAddress, seeds: toPeerAddresses(seeds, peerAddress), host: hostId, zone, incarnation, clock, log, suspects,
 		});
 	} catch (error) {
-		log.error('peers can\'t be heard, this host places its requests by what it knows itself', {peerAddress, reason: error instanceof Error ? error.message : String(error), remedy: 'free the address of --peer-address'});
+		log.error('cannot open the peer address; this host places requests without the loads of other hosts', {peerAddress, reason: error instanceof Error ? error.message : String(error), remedy: 'free the address of --peer-address'});
 		return undefined;
 	}
 }
--- a/src/programs/relay/start-relay/_lib/with-roles.ts
+++ b/src/programs/relay/start-relay/_lib/with-roles.ts
@@ -1,4 +1,4 @@
-/** Keeps the roles of servers on the one host that gives orders. */
+/** Manages the roles of servers on the one host that gives orders. */
 import {type Log} from '../../../../adapters/log/index.js';
 import {type Clock, type Milliseconds} from '../../../../ports/clock.js';
 import {msPerSecond} from '../../../../ports/units.js';
@@ -7,7 +7,7 @@
 import {type Entry, type EntryOptions} from '../../../entry/start-entry/index.js';
 import {createRoleManager} from '../../create-role-manager/index.js';
 
-/** Time between two looks at the roles of servers: what they depend on changes with servers that come and go. */
+/** Interval between two checks of the roles; the needed roles change only as servers come and go. */
 const roleTickMs: Milliseconds = msPerSecond;
 
 export type RolesOptions = Pick<EntryOptions, 'createCalls'> & {
@@ -19,9 +19,11 @@
 };
 
 /**
+ * Adds the management of roles to an entry.
+ *
  * @param entry - The running entry.
- * @param options - Settings that say who gives orders, and what speaks to servers.
- * @returns The entry, which keeps roles until it stops if this host is the one.
+ * @param options - Settings that name the host which gives orders, and how to call servers.
+ * @returns The entry; if this host is the one that gives orders, it manages roles until it stops.
  */
 export function withRoles(entry: Entry, {settings, clock, log, createCalls, isConnected}: RolesOptions): Entry {
 	const {controlAddress, ordersFrom, prefillShare, hostId} = settings;
--- a/src/programs/relay/start-relay/index.ts
+++ b/src/programs/relay/start-relay/index.ts
@@ -1,6 +1,6 @@
 /**
- * An entry that needs nothing beside it on its host: it follows a platform that
- * publishes rules and servers, and passes requests on as they are.
+ * An entry that needs no agent on its host: it follows a platform that publishes
+ * rules and servers, and forwards requests unchanged.
  */
 import {type Log} from '../../../adapters/log/index.js';
 import {type Metrics} from '../../../adapters/metrics/index.js';
@@ -31,21 +31,21 @@
 };
 
 /**
- * Time at the start of a planned stop in which connections are still taken: the
- * balancer asks for readiness every second and believes the second refusal.
+ * Time at the start of a planned stop in which connections are still accepted: the
+ * load balancer checks readiness every second and acts on the second refusal.
  */
 const drainDelayMs: Milliseconds = 2500;
 
 /**
- * A server to which no connection can be made is left out after one try, and one
- * that breaks calls off after two. A server that crashed comes back under a new
- * name, so nothing is lost by leaving its old one alone; tried again and again,
- * each request of a burst would pay for finding out. The first time out is short,
- * as a lost packet looks the same.
+ * A server that refuses connections is ejected after one attempt, and a server that
+ * breaks calls off after two. A crashed server comes back under a new name, so
+ * ejecting the old name loses nothing; without ejection, each request of a burst
+ * would pay for another failed attempt. The first ejection is short, as a lost
+ * packet looks the same as a crash.
  */
 const relayHealth: ServerHealthOptions = {failuresToEject: 1.5, ejectMs: 1500};
 
-/** Left of the stop's limit for closing and for the last lines of the log. */
+/** Part of the stop's time limit reserved for closing and for the last log lines. */
 const closeMarginMs: Milliseconds = 500;
 
 function toPort(address: string): number {
@@ -55,8 +55,8 @@
 /**
  * Starts the relay.
  *
- * @param options - Settings, clocks, and what speaks to the platform and its servers.
- * @returns The running entry once it listens.
+ * @param options - See {@link RelayOptions}.
+ * @returns The running entry, once it listens.
  */
 export async function startRelay(options: RelayOptions): Promise<Entry> {
 	const {
@@ -76,7 +76,7 @@
 		const follower = followPublished({
 			source, zones: toZones(settings.zones), clock, random, log, onView, onReset: relayMetrics.noteReset, actWithinMs: Math.min(settings.rulesWithin, settings.leaveWithin),
 		});
-		// Roles are not changed by what may be older than what is known.
+		// While the platform's content may be older than what this host knows, roles must not be changed.
 		isConnected = () => follower.isConnected() && !follower.isReset();
 		answerAgeMs = follower.platformAnswerAgeMs;
 		return {
