--- a/src/programs/relay/create-role-manager/test.ts
+++ b/src/programs/relay/create-role-manager/test.ts
@@ -31,21 +31,21 @@
 	receivedAt: 0,
 });
 
-type Given = RoleOrder & {server: string; at: number};
+type GivenOrder = RoleOrder & {server: string; at: number};
 
 let now: number;
 let wall: number;
 let servers: readonly ServerEntry[];
 let leaving: readonly string[];
 let isConnected: boolean;
-let isTaken: boolean;
-let orders: Given[];
-let learntShare: number | undefined;
+let isAccepted: boolean;
+let orders: GivenOrder[];
+let measuredShare: number | undefined;
 
 function start(): RoleManager {
 	const assignRole: RoleManagerOptions['assignRole'] = ({id}, order) => {
 		orders.push({...order, server: id, at: now});
-		return isTaken
+		return isAccepted
 			? okAsync(undefined)
 			: errAsync({
 				kind: 'refused', reason: 'other', server: id, message: 'status 409', retryAfterMs: undefined,
@@ -55,7 +55,7 @@
 	return createRoleManager({
 		host: 'front-a-1',
 		prefillShare: 0.33,
-		toPrefillShare: () => learntShare,
+		toPrefillShare: () => measuredShare,
 		clock: {now: () => now, wallNow: () => wall},
 		log: createLog({
 			level: 'error', program: 'test', host: 'front-a-1', zone: 'a', incarnation: 1, sink: {write: () => true, writableLength: 0, on: () => undefined},
@@ -66,116 +66,116 @@
 	});
 }
 
-/** Looks once a second, as the program does. */
-async function passTime(keeper: RoleManager, seconds: number): Promise<void> {
+/** Advances time with one tick a second, as the program does. */
+async function advance(manager: RoleManager, seconds: number): Promise<void> {
 	for (let second = 0; second < seconds; second++) {
 		now += 1000;
 		wall += 1000;
-		await keeper.tick();
+		await manager.tick();
 	}
 }
 
 /*
- * An order costs a server six seconds, and there is no store to hold a lease in:
- * the one host that gives orders may be killed right after one, cut off from the
- * platform, or see servers lapse that are back a moment later. Callers would be
- * refused for want of servers that change roles for nothing.
+ * Guards against needless role changes: each takes a server out of service for six
+ * seconds, and callers are refused for lack of servers. There is no store to hold a
+ * lease in, and the one host that gives orders may be killed right after an order,
+ * be cut off from the platform, or see entries lapse that are back a moment later.
  */
-describe('keepRoles', () => {
+describe('createRoleManager', () => {
 	beforeEach(() => {
 		now = 1000;
 		wall = 1_780_000_000_000;
 		servers = six;
 		leaving = [];
 		isConnected = true;
-		isTaken = true;
+		isAccepted = true;
 		orders = [];
-		learntShare = undefined;
+		measuredShare = undefined;
 	});
 
-	it('goes by what requests cost once that is known', async () => {
-		learntShare = 0.45;
-		const keeper = start();
-		await passTime(keeper, 20);
+	it('uses the share estimated from requests once it is known', async () => {
+		measuredShare = 0.45;
+		const manager = start();
+		await advance(manager, 20);
 		assert.deepEqual(orders, []);
-		learntShare = 0.3;
-		await passTime(keeper, 1);
+		measuredShare = 0.3;
+		await advance(manager, 1);
 		assert.deepEqual(orders.map(({role}) => role), ['decode']);
 	});
 
-	it('orders the one prefill server too many, once, and waits for it', async () => {
-		const keeper = start();
-		await passTime(keeper, 5);
+	it('orders the one surplus prefill server to change, once, and waits for the change', async () => {
+		const manager = start();
+		await advance(manager, 5);
 		assert.deepEqual(orders, [], 'not right after its start');
-		await passTime(keeper, 15);
+		await advance(manager, 15);
 		assert.deepEqual(orders.map(({server, role, host}) => ({server, role, host})), [{server: 'p1', role: 'decode', host: 'front-a-1'}]);
 	});
 
-	it('gives the order again when it was lost', async () => {
-		isTaken = false;
-		const keeper = start();
-		await passTime(keeper, 40);
+	it('repeats an order that was lost', async () => {
+		isAccepted = false;
+		const manager = start();
+		await advance(manager, 40);
 		assert.deepEqual(orders.map(({server}) => server), ['p1', 'p1']);
 		assert.ok(orders[1]!.at - orders[0]!.at >= 26_000);
 	});
 
-	it('gives none while the platform does not answer', async () => {
+	it('gives no order while the platform does not answer', async () => {
 		isConnected = false;
-		const keeper = start();
-		await passTime(keeper, 30);
+		const manager = start();
+		await advance(manager, 30);
 		assert.deepEqual(orders, []);
 	});
 
-	it('waits ten seconds after a server went away, also one that went before it could order', async () => {
-		const keeper = start();
-		await passTime(keeper, 2);
+	it('waits ten seconds after a server was lost, also if that was before it may give orders', async () => {
+		const manager = start();
+		await advance(manager, 2);
 		servers = six.filter(({id}) => id !== 'd3');
-		await passTime(keeper, 1);
+		await advance(manager, 1);
 		servers = six;
-		await passTime(keeper, 9);
+		await advance(manager, 9);
 		assert.deepEqual(orders, []);
-		await passTime(keeper, 2);
+		await advance(manager, 2);
 		assert.equal(orders.length, 1);
 	});
 
-	it('makes lost prefill servers good after five seconds', async () => {
-		learntShare = 0.6;
-		const keeper = start();
-		await passTime(keeper, 10);
+	it('replaces lost prefill servers after five seconds', async () => {
+		measuredShare = 0.6;
+		const manager = start();
+		await advance(manager, 10);
 		servers = six.filter(({id}) => id !== 'p1' && id !== 'p2');
-		await passTime(keeper, 5);
+		await advance(manager, 5);
 		assert.deepEqual(orders, []);
-		await passTime(keeper, 1);
+		await advance(manager, 1);
 		assert.deepEqual(orders.map(({role}) => role), ['prefill']);
 	});
 
-	it('does not wait after a server went away that had said so', async () => {
-		const keeper = start();
-		await passTime(keeper, 3);
+	it('does not wait after the loss of a server that had announced its leaving', async () => {
+		const manager = start();
+		await advance(manager, 3);
 		leaving = ['d3'];
-		await passTime(keeper, 1);
+		await advance(manager, 1);
 		servers = six.filter(({id}) => id !== 'd3');
-		await passTime(keeper, 1);
+		await advance(manager, 1);
 		assert.deepEqual(orders, []);
-		await passTime(keeper, 2);
+		await advance(manager, 2);
 		assert.deepEqual(orders.map(({role}) => role), ['decode']);
 	});
 
-	it('numbers an order after a restart higher, though the time of day was set back meanwhile', async () => {
-		isTaken = false;
-		await passTime(start(), 7);
+	it('gives an order after a restart a higher fencing token, though the wall clock was set back meanwhile', async () => {
+		isAccepted = false;
+		await advance(start(), 7);
 		wall -= 5000;
-		await passTime(start(), 7);
+		await advance(start(), 7);
 		assert.equal(orders.length, 2);
 		assert.ok(orders[1]!.fence > orders[0]!.fence, JSON.stringify(orders));
 	});
 
-	it('numbers orders by the steady clock within one life', async () => {
-		isTaken = false;
-		const keeper = start();
-		await passTime(keeper, 7);
+	it('takes fencing tokens from the monotonic clock within one process', async () => {
+		isAccepted = false;
+		const manager = start();
+		await advance(manager, 7);
 		wall -= 3_600_000;
-		await passTime(keeper, 30);
+		await advance(manager, 30);
 		assert.equal(orders.length, 2);
 		assert.ok(orders[1]!.fence > orders[0]!.fence, JSON.stringify(orders));
 	});
--- a/src/programs/relay/run-relay/index.ts
+++ b/src/programs/relay/run-relay/index.ts
@@ -1,4 +1,4 @@
-/** `banyanport-relay`: serves callers by what a platform publishes. */
+/** `banyanport-relay`: serves callers by the rules and servers that a platform publishes. */
 import process from 'node:process';
 import {createLog, type Log} from '../../../adapters/log/index.js';
 import {addProcessMetrics, createMetrics} from '../../../adapters/metrics/index.js';
@@ -14,12 +14,12 @@
 
 export type RunRelayOptions = Pick<RelayOptions, 'createCalls' | 'callers'> & {
 	argv: readonly string[];
-	/** Reads the settings; called again when they are told to have changed. */
+	/** Reads the environment; called again on SIGHUP. */
 	readEnv: () => NodeJS.ProcessEnv;
 	createSource: (settings: RelaySettings) => PublishedSource;
 };
 
-function load({argv, readEnv}: RunRelayOptions) {
+function loadRelaySettings({argv, readEnv}: RunRelayOptions) {
 	return loadSettings(relaySettings, {
 		program, description: 'Serves callers by the rules and servers that a platform publishes.', argv, env: readEnv(), check: checkRelaySettings,
 	});
@@ -43,11 +43,11 @@
 	});
 }
 
-/** Settings take effect at the next start; what differs is told, so that nobody takes it for being in force. */
-function reload(options: RunRelayOptions, settings: RelaySettings, log: Log): void {
-	const loaded = load(options);
+/** Logs which settings have changed. They take effect only at the next start, and the log line keeps operators from assuming that they are in force. */
+function checkChangedSettings(options: RunRelayOptions, settings: RelaySettings, log: Log): void {
+	const loaded = loadRelaySettings(options);
 	if (loaded.kind === 'exit') {
-		log.error('settings were changed and are wrong; those of the start stay in force', {reason: loaded.stderr});
+		log.error('changed settings are invalid; the settings read at the start stay in force', {reason: loaded.stderr});
 		return;
 	}
 
@@ -59,10 +59,10 @@
 /**
  * Runs the program until a signal ends it.
  *
- * @param options - Arguments, settings, and what speaks to the platform and its servers.
+ * @param options - See {@link RunRelayOptions}.
  */
 export async function runRelay(options: RunRelayOptions): Promise<void> {
-	const loaded = load(options);
+	const loaded = loadRelaySettings(options);
 	if (loaded.kind === 'exit') {
 		process.stdout.write(loaded.stdout);
 		process.stderr.write(loaded.stderr);
@@ -75,7 +75,7 @@
 		level: values.logLevel, program, host: values.hostId, zone: values.zone, incarnation: Date.now(),
 	});
 	process.on('SIGHUP', () => {
-		reload(options, values, log);
+		checkChangedSettings(options, values, log);
 	});
 	await runUntilStopped(log, async () => start(options, values, log));
 }
