--- a/test/_lib/start-fleet/_lib/create-host.ts
+++ b/test/_lib/start-fleet/_lib/create-host.ts
@@ -52,12 +52,12 @@
 
 /** Environment and options of Node that give a process its network and its clock. */
 function toEntryOptions(network: HostOptions['network'], {aheadMs = 0, startedAgoMs = 0}: HostClock): Pick<ProgramOptions, 'env' | 'nodeOptions'> {
-	const own = network?.network.toProcessOptions(network.site);
+	const networkOptions = network?.network.toProcessOptions(network.site);
 	return aheadMs === 0 && startedAgoMs === 0
-		? {...own}
+		? {...networkOptions}
 		: {
-			env: {...own?.env, FLEET_CLOCK_AHEAD: String(aheadMs), FLEET_STARTED_AGO: String(startedAgoMs)},
-			nodeOptions: [...own?.nodeOptions ?? [], '--import', shiftClock],
+			env: {...networkOptions?.env, FLEET_CLOCK_AHEAD: String(aheadMs), FLEET_STARTED_AGO: String(startedAgoMs)},
+			nodeOptions: [...networkOptions?.nodeOptions ?? [], '--import', shiftClock],
 		};
 }
 
@@ -81,7 +81,7 @@
 	let clock = options.entryClock;
 	let agent: Program | undefined;
 	let entry: Program | undefined;
-	const running = (program: Program | undefined, name: string): Program => {
+	const requireStarted = (program: Program | undefined, name: string): Program => {
 		if (program === undefined) {
 			throw new Error(`the ${name} of ${id} was not started`);
 		}
@@ -92,8 +92,8 @@
 	const host: FleetHost = {
 		id,
 		zone,
-		agent: () => running(agent, 'agent'),
-		entry: () => running(entry, 'entry'),
+		agent: () => requireStarted(agent, 'agent'),
+		entry: () => requireStarted(entry, 'entry'),
 		callerUrl: `http://127.0.0.1:${ports.callerPort}`,
 		agentAddress,
 		agentOperatorUrl: `http://127.0.0.1:${ports.agentOperatorPort}`,
--- a/test/_lib/start-fleet/_lib/preload.ts
+++ b/test/_lib/start-fleet/_lib/preload.ts
@@ -18,7 +18,7 @@
 	return JSON.parse(readFileSync(map.cutsFile, 'utf8')) as Cut[];
 }
 
-function isBarred(names: readonly string[]): boolean {
+function isCutFrom(names: readonly string[]): boolean {
 	const cuts = readCuts();
 	return isCutBetween(cuts, map.names, names) || isCutBetween(cuts, names, map.names);
 }
@@ -42,7 +42,7 @@
 
 	// Changed in place: the sorted-out array carries a mark that a copy would lose.
 	Object.assign(options, {host: '127.0.0.1', port: route.relayPort, localAddress: map.localAddress});
-	if (!isBarred(route.names)) {
+	if (!isCutFrom(route.names)) {
 		return connect.apply(this, args);
 	}
 
@@ -50,7 +50,7 @@
 	const timer = setInterval(() => {
 		if (this.destroyed) {
 			clearInterval(timer);
-		} else if (!isBarred(route.names)) {
+		} else if (!isCutFrom(route.names)) {
 			clearInterval(timer);
 			connect.apply(this, args);
 		}
--- a/test/_lib/start-fleet/test.ts
+++ b/test/_lib/start-fleet/test.ts
@@ -35,7 +35,7 @@
 	return models.includes(trialModel);
 };
 
-const right = expectedAnswer(prompt, maxTokens).join('');
+const expectedText = expectedAnswer(prompt, maxTokens).join('');
 
 describe('startFleet', () => {
 	it('starts hosts, engines, services and platform that serve together', async () => {
@@ -44,7 +44,7 @@
 			for (const host of fleet.hosts) {
 				const {status, requestId, text} = await ask(host);
 				assert.equal(status, 200);
-				assert.equal(text, right);
+				assert.equal(text, expectedText);
 				assert.equal(fleet.judgeRequest(requestId).decodesFinished, 1);
 				const desk = await fetch(`${host.callerUrl}/desk/box/17`, {headers: {'x-workspace': 'kavarna-lipa'}});
 				await desk.text();
@@ -68,7 +68,7 @@
 				const servers = [...fleet.engines.values()].filter(engine => engine.judgeRequest(requestId).decodesStarted + engine.judgeRequest(requestId).prefillsStarted > 0);
 				// Nothing that the other side has can serve across the cut, whatever the answer.
 				assert.ok(servers.every(({id}) => id.startsWith(zone)));
-				return status === 200 && text === right;
+				return status === 200 && text === expectedText;
 			};
 
 			for (const [host, zone] of [[near, 'dvorana-a'], [far, 'dvorana-b']] as const) {
@@ -82,7 +82,7 @@
 			fleet.network.heal();
 			await waitUntil(async () => hasTrial(far), {deadlineMs: 60_000, what: 'the edit on the far side'});
 			const healed = await ask(far);
-			assert.equal(healed.text, right);
+			assert.equal(healed.text, expectedText);
 		} finally {
 			await fleet.stop();
 		}
--- a/test/_lib/start-program/index.ts
+++ b/test/_lib/start-program/index.ts
@@ -159,16 +159,16 @@
 	const child = spawnProgram(options);
 	const {lines, other} = collectOutput(child);
 	let exit: ProgramExit | undefined;
-	let startFault: Error | undefined;
+	let startError: Error | undefined;
 	child.once('error', error => {
-		startFault = error;
+		startError = error;
 	});
 	child.once('exit', (code, signal) => {
 		running.delete(child);
 		exit = {code, signal};
 	});
 
-	const describeEnd = (): string => [...lines.slice(-5).map(line => JSON.stringify(line)), ...other.slice(-20)].join('\n');
+	const describeOutput = (): string => [...lines.slice(-5).map(line => JSON.stringify(line)), ...other.slice(-20)].join('\n');
 
 	const waitForExit = async (deadlineMs: number): Promise<ProgramExit> => waitUntil(() => exit, {deadlineMs, what: `the end of ${label}`, everyMs: 5});
 
@@ -179,8 +179,8 @@
 			const fresh = lines.slice(seen > lines.length ? 0 : seen);
 			seen = lines.length;
 			const found = fresh.find(line => isMeant(line));
-			if (found === undefined && (exit !== undefined || startFault !== undefined)) {
-				throw new Error(`${label} ended (${JSON.stringify(exit)}) before ${wait.what}; its last output:\n${startFault?.message ?? describeEnd()}`);
+			if (found === undefined && (exit !== undefined || startError !== undefined)) {
+				throw new Error(`${label} ended (${JSON.stringify(exit)}) before ${wait.what}; its last output:\n${startError?.message ?? describeOutput()}`);
 			}
 
 			return found;
@@ -238,7 +238,7 @@
 				return await waitForExit(deadlineMs);
 			} catch {
 				await kill();
-				throw new Error(`${label} did not end within ${deadlineMs} ms of SIGTERM; its last output:\n${describeEnd()}`);
+				throw new Error(`${label} did not end within ${deadlineMs} ms of SIGTERM; its last output:\n${describeOutput()}`);
 			}
 		},
 	};
--- a/test/contracts/_lib/caller-faults.ts
+++ b/test/contracts/_lib/caller-faults.ts
@@ -4,8 +4,8 @@
 import {startCallerFixture, type CallerFixture, type CallerFixtureOptions} from './caller-fixture.js';
 
 export const prompt = 'Dear sir, your letter of May';
-export const tokens = 60;
-export const whole = expectedAnswer(prompt, tokens).join('');
+export const answerTokens = 60;
+export const wholeAnswer = expectedAnswer(prompt, answerTokens).join('');
 export const slowDecode = {decodeTokensPerSecond: 100};
 
 export async function withFixture(options: CallerFixtureOptions, use: (fixture: CallerFixture) => Promise<void>): Promise<void> {
--- a/test/contracts/_lib/engine-fixture.ts
+++ b/test/contracts/_lib/engine-fixture.ts
@@ -60,7 +60,7 @@
 });
 
 /** Brings an attempt to where its stream can be opened. */
-export const prepare = async (pair: Pair, key: AttemptKey, answered: readonly string[] = []): Promise<string> => {
+export const prepareDecode = async (pair: Pair, key: AttemptKey, answered: readonly string[] = []): Promise<string> => {
 	const reserved = await reserve(pair.decode, key);
 	const {reservationId} = reserved._unsafeUnwrap();
 	const prefilled = await runPrefill(pair, key, answered);
--- a/test/contracts/_lib/peer-fixture.ts
+++ b/test/contracts/_lib/peer-fixture.ts
@@ -42,13 +42,13 @@
 }
 
 /** The value of a result. */
-export async function succeeded<T>(result: ResultAsync<T, PeerFailure>): Promise<T> {
+export async function expectSuccess<T>(result: ResultAsync<T, PeerFailure>): Promise<T> {
 	const settled = await within((async () => result)());
 	return settled._unsafeUnwrap();
 }
 
 /** The failure of a result. */
-export async function failed(result: ResultAsync<unknown, PeerFailure>): Promise<PeerFailure> {
+export async function expectFailure(result: ResultAsync<unknown, PeerFailure>): Promise<PeerFailure> {
 	const settled = await within((async () => result)());
 	return settled._unsafeUnwrapErr();
 }
--- a/test/contracts/caller-faults.test.ts
+++ b/test/contracts/caller-faults.test.ts
@@ -7,7 +7,7 @@
 	send, sendAndLeave, startCallerFixture, toBody, toStreamedText, type CallerFixture, type CallerFixtureOptions,
 } from './_lib/caller-fixture.js';
 import {
-	countDecodes, hasStream, holdsStream, listEngines, slowDecode, tokens, waitForRelease, whole, withFixture,
+	countDecodes, hasStream, holdsStream, listEngines, slowDecode, answerTokens, waitForRelease, wholeAnswer, withFixture,
 } from './_lib/caller-faults.js';
 
 /*
@@ -22,8 +22,8 @@
 				decode.setFaults({stream: {kind, atToken: 10, times: 1}});
 			}
 
-			const answer = await send(fixture, '/v1/completions', {body: toBody({stream: true, max_tokens: tokens})});
-			assert.equal(toStreamedText(answer.text), whole);
+			const answer = await send(fixture, '/v1/completions', {body: toBody({stream: true, max_tokens: answerTokens})});
+			assert.equal(toStreamedText(answer.text), wholeAnswer);
 			assert.match(answer.text, /data: \[DONE\]\n\n$/v);
 			assert.equal(countDecodes(fixture, String(answer.headers['x-request-id'])), 1);
 		}));
@@ -37,7 +37,7 @@
  */
 describe('callers: the decode server dies midway', () => {
 	async function killAtTenth(fixture: CallerFixture, headers: Record<string, string>, stream: boolean) {
-		const pending = send(fixture, '/v1/completions', {headers, body: toBody({stream, max_tokens: tokens})});
+		const pending = send(fixture, '/v1/completions', {headers, body: toBody({stream, max_tokens: answerTokens})});
 		const victim = await waitUntil(() => fixture.decodes.find(engine => holdsStream(engine)), {deadlineMs: 10_000, what: 'a stream'});
 		await new Promise(resolve => {
 			setTimeout(resolve, 100);
@@ -50,13 +50,13 @@
 		it(`continues repeatable work elsewhere (${stream ? 'streamed' : 'JSON'})`, async () => withFixture({decode: slowDecode}, async fixture => {
 			const answer = await killAtTenth(fixture, {}, stream);
 			const text = stream ? toStreamedText(answer.text) : (JSON.parse(answer.text) as {choices: Array<{text: string}>}).choices[0]!.text;
-			assert.equal(text, whole);
+			assert.equal(text, wholeAnswer);
 		}));
 	}
 
 	it('ends a stream of other work by an error event and without the end mark', async () => withFixture({decode: slowDecode}, async fixture => {
 		const answer = await killAtTenth(fixture, {'x-kind': 'scene', 'idempotency-key': createUuidV7()}, true);
-		assert.ok(whole.startsWith(toStreamedText(answer.text.split('event: error')[0]!)));
+		assert.ok(wholeAnswer.startsWith(toStreamedText(answer.text.split('event: error')[0]!)));
 		assert.match(answer.text, /event: error\ndata: \{.*"outcome":"ran".*\}\n\n$/v);
 		assert.ok(!answer.text.includes('[DONE]'));
 		assert.equal(countDecodes(fixture, String(answer.headers['x-request-id'])), 1);
@@ -158,11 +158,11 @@
 describe('callers: a planned stop', () => {
 	it('finishes streams in progress and what waits, and says that the connection closes', async () => {
 		const fixture = await startCallerFixture({decode: {slots: 1, ...slowDecode}});
-		const pending = [1, 2, 3].map(async () => send(fixture, '/v1/completions', {body: toBody({stream: true, max_tokens: tokens})}));
+		const pending = [1, 2, 3].map(async () => send(fixture, '/v1/completions', {body: toBody({stream: true, max_tokens: answerTokens})}));
 		await waitUntil(() => fixture.logs().filter(line => line.message === 'request received').length === 3, {deadlineMs: 10_000, what: 'three requests'});
 		await fixture.stop();
 		for (const answer of await Promise.all(pending)) {
-			assert.equal(toStreamedText(answer.text), whole);
+			assert.equal(toStreamedText(answer.text), wholeAnswer);
 		}
 	});
 });
--- a/test/contracts/caller-plain.test.ts
+++ b/test/contracts/caller-plain.test.ts
@@ -3,7 +3,7 @@
 import {v7 as createUuidV7} from 'uuid';
 import {waitUntil} from '../_lib/wait-until/index.js';
 import {send, sendAndLeave} from './_lib/caller-fixture.js';
-import {whole, withFixture} from './_lib/caller-faults.js';
+import {wholeAnswer, withFixture} from './_lib/caller-faults.js';
 
 describe('callers: plain services', () => {
 	const key = () => ({'idempotency-key': createUuidV7()});
--- a/test/contracts/caller-same-key.test.ts
+++ b/test/contracts/caller-same-key.test.ts
@@ -6,7 +6,7 @@
 	send, sendAndLeave, toBody, toStreamedText, type CallerFixture,
 } from './_lib/caller-fixture.js';
 import {
-	hasStream, slowDecode, tokens, waitForRelease, whole, withFixture,
+	hasStream, slowDecode, answerTokens, waitForRelease, wholeAnswer, withFixture,
 } from './_lib/caller-faults.js';
 
 /*
@@ -16,7 +16,7 @@
  */
 describe('callers: the same key twice', () => {
 	const scene = (key: string, fields: Record<string, unknown> = {}) => ({
-		headers: {'x-kind': 'scene', 'idempotency-key': key}, body: toBody({stream: true, max_tokens: tokens, ...fields}),
+		headers: {'x-kind': 'scene', 'idempotency-key': key}, body: toBody({stream: true, max_tokens: answerTokens, ...fields}),
 	});
 	const countAllDecodes = (fixture: CallerFixture) => fixture.decodes.reduce((sum, engine) =>
 		sum + Object.values(engine.judge().requests).reduce((all, request) => all + request.decodesStarted, 0), 0);
@@ -33,7 +33,7 @@
 		await waitUntil(() => hasBegun, {deadlineMs: 10_000, what: 'the first tokens'});
 		const second = await send(fixture, '/v1/completions', scene(key));
 		const {text, wasCut} = await first;
-		assert.equal(toStreamedText(second.text), whole);
+		assert.equal(toStreamedText(second.text), wholeAnswer);
 		assert.match(second.text, /\[DONE\]/v);
 		// Cut, or told so by an event: never what a client could take for a whole answer.
 		assert.ok(!text.includes('[DONE]'));
@@ -44,7 +44,7 @@
 	it('gives the kept answer after the end', async () => withFixture({}, async fixture => {
 		const key = createUuidV7();
 		const answers = [await send(fixture, '/v1/completions', scene(key)), await send(fixture, '/v1/completions', scene(key))];
-		assert.deepEqual(answers.map(answer => toStreamedText(answer.text)), [whole, whole]);
+		assert.deepEqual(answers.map(answer => toStreamedText(answer.text)), [wholeAnswer, wholeAnswer]);
 		assert.equal(countAllDecodes(fixture), 1);
 	}));
 
--- a/test/contracts/caller.test.ts
+++ b/test/contracts/caller.test.ts
@@ -15,7 +15,7 @@
 type Problem = {type: string; outcome: string; requestId: string; detail: string};
 
 const prompt = 'Dear sir, your letter of May';
-const whole = expectedAnswer(prompt, 20).join('');
+const wholeAnswer = expectedAnswer(prompt, 20).join('');
 
 let fixture: CallerFixture;
 
@@ -71,7 +71,7 @@
 		assert.equal(answer.status, 200);
 		const body = JSON.parse(answer.text) as {choices: unknown[]; usage: Record<string, unknown>};
 		assert.deepEqual(body.choices, [{
-			index: 0, text: whole, logprobs: null, finish_reason: 'length',
+			index: 0, text: wholeAnswer, logprobs: null, finish_reason: 'length',
 		}]);
 		assert.equal(body.usage.prompt_tokens, 7);
 		assert.equal(body.usage.completion_tokens, 20);
@@ -81,7 +81,7 @@
 	it('streams a completion with usage and the end mark', async () => {
 		const answer = await send(fixture, '/v1/completions', {body: toBody({stream: true, stream_options: {include_usage: true}})});
 		assert.match(String(answer.headers['content-type']), /^text\/event-stream/v);
-		assert.equal(toStreamedText(answer.text), whole);
+		assert.equal(toStreamedText(answer.text), wholeAnswer);
 		assert.match(answer.text, /"finish_reason":"length"[\s\S]*"completion_tokens":20[\s\S]*data: \[DONE\]\n\n$/v);
 	});
 
@@ -224,6 +224,6 @@
 		assert.deepEqual(lines.map(line => line.message), ['request received', 'attempt started', 'first token relayed', 'request ended']);
 		const account = fixture.entry.accounts.findAccount(requestId)!;
 		assert.deepEqual(account.stages.map(stage => stage.stage), ['routed', 'admitted', 'placed', 'reserved', 'prefilled', 'transferred', 'first token', 'ended']);
-		assert.ok(!JSON.stringify([lines, account]).includes(prompt) && !JSON.stringify([lines, account]).includes(whole));
+		assert.ok(!JSON.stringify([lines, account]).includes(prompt) && !JSON.stringify([lines, account]).includes(wholeAnswer));
 	});
 });
--- a/test/contracts/engine-cancel.test.ts
+++ b/test/contracts/engine-cancel.test.ts
@@ -4,7 +4,7 @@
 import {type AttemptKey} from '../../src/ports/engine.js';
 import {waitUntil} from '../_lib/wait-until/index.js';
 import {
-	maxTokens, prepare, reserve, runPrefill, startPair, stopAll, toKey, type Pair,
+	maxTokens, prepareDecode, reserve, runPrefill, startPair, stopAll, toKey, type Pair,
 } from './_lib/engine-fixture.js';
 
 after(stopAll);
@@ -47,12 +47,12 @@
 		name: 'after prefill', reach: runPrefill, waste: 'cancelled-before-transfer', started: {prefills: 1, decodes: 0},
 	},
 	{
-		name: 'before decode', reach: prepare, waste: 'cancelled-before-decode', started: {prefills: 1, decodes: 0},
+		name: 'before decode', reach: prepareDecode, waste: 'cancelled-before-decode', started: {prefills: 1, decodes: 0},
 	},
 	{
 		name: 'in decode',
 		async reach(pair, key) {
-			const reservationId = await prepare(pair, key);
+			const reservationId = await prepareDecode(pair, key);
 			return pair.decode.decode({
 				key, reservationId, maxTokens: 10_000, class: 'batch',
 			});
--- a/test/contracts/engine-stand-in.test.ts
+++ b/test/contracts/engine-stand-in.test.ts
@@ -4,7 +4,7 @@
 import {type EngineRefusalReason, type LoadReport} from '../../src/ports/engine.js';
 import {waitUntil} from '../_lib/wait-until/index.js';
 import {
-	maxTokens, owner, prepare, prompt, readInto, reserve, runPrefill, startPair, stopAll, toClient, toKey,
+	maxTokens, owner, prepareDecode, prompt, readInto, reserve, runPrefill, startPair, stopAll, toClient, toKey,
 } from './_lib/engine-fixture.js';
 
 after(stopAll);
@@ -118,7 +118,7 @@
 	it('gives nothing new to do while it leaves, and ends what it has', async () => {
 		const pair = await startPair();
 		const key = toKey();
-		const reservationId = await prepare(pair, key);
+		const reservationId = await prepareDecode(pair, key);
 		pair.decodeEngine.setState('leaving');
 		expectReason(await reserve(pair.decode, toKey()), 'leaving');
 		const got: string[] = [];
--- a/test/contracts/engine-streams.test.ts
+++ b/test/contracts/engine-streams.test.ts
@@ -5,14 +5,14 @@
 import {waitUntil} from '../_lib/wait-until/index.js';
 import {expectedAnswer, type EngineFaults} from '../stand-ins/engine/index.js';
 import {
-	maxTokens, prepare, prompt, readInto, startPair, stopAll, toKey,
+	maxTokens, prepareDecode, prompt, readInto, startPair, stopAll, toKey,
 } from './_lib/engine-fixture.js';
 
 after(stopAll);
 
 type StreamRow = {fault: NonNullable<EngineFaults['stream']>; ends: EngineFailureKind | undefined; dropped?: string};
 
-const streamRows: StreamRow[] = [
+const streamCases: StreamRow[] = [
 	{fault: {kind: 'short', atToken: 7}, ends: 'broken'},
 	{fault: {kind: 'short', atToken: 0}, ends: 'broken'},
 	{fault: {kind: 'reset', atToken: 7}, ends: 'broken'},
@@ -25,11 +25,11 @@
 ];
 
 describe('a stream of the engine', () => {
-	for (const {fault, ends, dropped} of streamRows) {
+	for (const {fault, ends, dropped} of streamCases) {
 		it(`that is ${fault.kind} at token ${fault.atToken} gives the whole answer, once, from one decode`, async () => {
 			const pair = await startPair();
 			const key = toKey();
-			const reservationId = await prepare(pair, key);
+			const reservationId = await prepareDecode(pair, key);
 			pair.decodeEngine.setFaults({stream: {...fault, times: 1}});
 			const got: string[] = [];
 			const stream = await pair.decode.decode({
@@ -51,7 +51,7 @@
 	it('keeps the tokens of two crossed streams apart', async () => {
 		const pair = await startPair();
 		const keys = [toKey(), toKey()];
-		const reservations = [await prepare(pair, keys[0]!), await prepare(pair, keys[1]!)];
+		const reservations = [await prepareDecode(pair, keys[0]!), await prepareDecode(pair, keys[1]!)];
 		pair.decodeEngine.setFaults({stream: {kind: 'crossed'}});
 		const answers = await Promise.all(keys.map(async (key, index) => {
 			const got: string[] = [];
@@ -70,7 +70,7 @@
 		const key = toKey(2);
 		const right = expectedAnswer(prompt, maxTokens);
 		const got = right.slice(0, 11);
-		const reservationId = await prepare(pair, key, got);
+		const reservationId = await prepareDecode(pair, key, got);
 		const stream = await pair.decode.decode({
 			key, reservationId, maxTokens, answerOffset: got.length, class: 'quick',
 		});
@@ -82,7 +82,7 @@
 	it('goes on without a reader, and is gone once read to its end', async () => {
 		const pair = await startPair();
 		const key = toKey();
-		const reservationId = await prepare(pair, key);
+		const reservationId = await prepareDecode(pair, key);
 		const gone = new AbortController();
 		const stream = await pair.decode.decode({
 			key, reservationId, maxTokens, class: 'quick',
--- a/test/contracts/operator-http.test.ts
+++ b/test/contracts/operator-http.test.ts
@@ -12,7 +12,7 @@
 import {type OperatorServer, type OperatorServerOptions, startOperatorServer} from '../../src/adapters/operator-http/index.js';
 import {testCa, testPairA, testPairB} from '../_lib/keys/index.js';
 
-const deadline = {headersTimeout: 10_000, bodyTimeout: 10_000};
+const timeouts = {headersTimeout: 10_000, bodyTimeout: 10_000};
 const token = 'a-token-of-the-test';
 const servers: OperatorServer[] = [];
 
@@ -33,7 +33,7 @@
 }
 
 async function ask(server: OperatorServer, route: string, options: {method?: 'GET' | 'POST' | 'HEAD'; headers?: Record<string, string>} = {}) {
-	const {statusCode, headers, body} = await request(`http://127.0.0.1:${server.port}${route}`, {method: 'GET', ...options, ...deadline});
+	const {statusCode, headers, body} = await request(`http://127.0.0.1:${server.port}${route}`, {method: 'GET', ...options, ...timeouts});
 	return {status: statusCode, headers, text: await body.text()};
 }
 
@@ -191,7 +191,7 @@
 		const first = new Agent({connect: connectOptions, connections: 1});
 		const second = new Agent({connect: connectOptions, connections: 1});
 		const status = async (dispatcher: Agent) => {
-			const {statusCode, body} = await request(url, {dispatcher, ...deadline});
+			const {statusCode, body} = await request(url, {dispatcher, ...timeouts});
 			await body.dump();
 			return statusCode;
 		};
--- a/test/contracts/operator-programs.test.ts
+++ b/test/contracts/operator-programs.test.ts
@@ -16,7 +16,7 @@
 } from '../_lib/start-program/index.js';
 import {waitUntil} from '../_lib/wait-until/index.js';
 
-const bounds = {headersTimeout: 10_000, bodyTimeout: 10_000};
+const timeouts = {headersTimeout: 10_000, bodyTimeout: 10_000};
 const token = 'token-of-the-operators';
 const programs: Program[] = [];
 const directories: string[] = [];
@@ -40,7 +40,7 @@
 }
 
 async function ask(port: number, route: string, authorization?: string) {
-	const {statusCode, body} = await request(`http://127.0.0.1:${port}${route}`, {headers: authorization === undefined ? {} : {authorization}, ...bounds});
+	const {statusCode, body} = await request(`http://127.0.0.1:${port}${route}`, {headers: authorization === undefined ? {} : {authorization}, ...timeouts});
 	return {status: statusCode, text: await body.text()};
 }
 
@@ -139,7 +139,7 @@
 		};
 		const agents = Array.from({length: 3}, () => new Agent({connect, connections: 1}));
 		const askBy = async (dispatcher: Agent) => {
-			const {statusCode, body} = await request(`https://127.0.0.1:${entry.port('callerPort')}/v1/models`, {dispatcher, ...bounds});
+			const {statusCode, body} = await request(`https://127.0.0.1:${entry.port('callerPort')}/v1/models`, {dispatcher, ...timeouts});
 			await body.dump();
 			return statusCode;
 		};
--- a/test/contracts/peer-listen.test.ts
+++ b/test/contracts/peer-listen.test.ts
@@ -6,7 +6,7 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {connectPeer} from '../../src/adapters/peer-tcp/index.js';
 import {
-	callerHello, deadlineMs, hello, helloFrame, startListener, succeeded, toBytes, within,
+	callerHello, deadlineMs, hello, helloFrame, startListener, expectSuccess, toBytes, within,
 } from './_lib/peer-fixture.js';
 
 /** A client that writes raw bytes, and what the listener did about it. */
@@ -106,7 +106,7 @@
 				return 1;
 			},
 		});
-		const peer = await succeeded(connectPeer({address: `127.0.0.1:${listener.port}`, hello: callerHello}));
+		const peer = await expectSuccess(connectPeer({address: `127.0.0.1:${listener.port}`, hello: callerHello}));
 		const body = 'x'.repeat(100_000);
 		const replies = await within(Promise.all(Array.from({length: 30}, async () => peer.call('one', body, {timeoutMs: deadlineMs}))));
 		assert.ok(replies.every(reply => reply.isOk()));
--- a/test/contracts/peer-parts.test.ts
+++ b/test/contracts/peer-parts.test.ts
@@ -55,7 +55,7 @@
 const toEditionOf = (agent: Agent) => agent.view().accepted?.version.edition;
 
 /** A reader that has a document from a peer by now may have had a last read of it under way. */
-async function waitForQuiet(platform: PlatformStandIn): Promise<void> {
+async function waitForLastReads(platform: PlatformStandIn): Promise<void> {
 	const toReads = () => Object.entries(platform.judge().readsByKey).filter(([key]) => key.startsWith('config.')).map(([, count]) => count).join(' ');
 	let last = '';
 	await until('the end of reads of parts', async () => {
@@ -97,7 +97,7 @@
 	it('comes in force on all hosts, and a change brings the changed part alone from the platform', async () => {
 		const {platform, agents, first} = await startZone();
 		const second = toEdition(first, 'second');
-		await waitForQuiet(platform);
+		await waitForLastReads(platform);
 		const before = platform.judge();
 		publish(platform, second);
 		await until('the edit is everywhere', () => agents.every(agent => toEditionOf(agent) === 2));
--- a/test/contracts/peer.test.ts
+++ b/test/contracts/peer.test.ts
@@ -8,7 +8,7 @@
 	foreignTestCa, foreignTestPair, testCa, testPairA, testPairB,
 } from '../_lib/keys/index.js';
 import {
-	callerHello, deadlineMs, failed, hello, startListener, succeeded, within,
+	callerHello, deadlineMs, expectFailure, hello, startListener, expectSuccess, within,
 } from './_lib/peer-fixture.js';
 
 async function never(): Promise<unknown> {
@@ -24,15 +24,15 @@
 				events.push([name, body]);
 			},
 		});
-		const peer = await succeeded(connectPeer({
+		const peer = await expectSuccess(connectPeer({
 			address: `127.0.0.1:${listener.port}`, hello: callerHello, onCall: async (_peer, method) => `${method} answered`,
 		}));
 		assert.deepEqual(peer.peer, hello);
 		assert.ok(peer.send('note', {n: 1}));
-		assert.deepEqual(await succeeded(peer.call('m', [1], {timeoutMs: deadlineMs})), {method: 'm', body: [1]});
+		assert.deepEqual(await expectSuccess(peer.call('m', [1], {timeoutMs: deadlineMs})), {method: 'm', body: [1]});
 		assert.deepEqual(events, [['note', {n: 1}]]);
 		const [back] = listener.connections();
-		assert.equal(await succeeded(back!.call('back', 0, {timeoutMs: deadlineMs})), 'back answered');
+		assert.equal(await expectSuccess(back!.call('back', 0, {timeoutMs: deadlineMs})), 'back answered');
 		peer.close();
 		await within(back!.closed);
 		await listener.close();
@@ -43,12 +43,12 @@
 			name: 'no listener', expected: {kind: 'unreachable', sent: false}, async run() {
 				const listener = await startListener();
 				await listener.close();
-				return failed(connectPeer({address: `127.0.0.1:${listener.port}`, hello: callerHello}));
+				return expectFailure(connectPeer({address: `127.0.0.1:${listener.port}`, hello: callerHello}));
 			},
 		},
 		{
 			name: 'an address that is none', expected: {kind: 'unreachable', sent: false}, async run() {
-				return failed(connectPeer({address: 'somewhere', hello: callerHello}));
+				return expectFailure(connectPeer({address: 'somewhere', hello: callerHello}));
 			},
 		},
 		{
@@ -56,7 +56,7 @@
 				const server = net.createServer(() => undefined).listen(0, '127.0.0.1');
 				await once(server, 'listening');
 				const {port} = server.address() as net.AddressInfo;
-				const failure = await failed(connectPeer({address: `127.0.0.1:${port}`, hello: callerHello, connectTimeoutMs: 200}));
+				const failure = await expectFailure(connectPeer({address: `127.0.0.1:${port}`, hello: callerHello, connectTimeoutMs: 200}));
 				server.close();
 				return failure;
 			},
@@ -64,17 +64,17 @@
 		{
 			name: 'a call after the close', expected: {kind: 'not-sent', sent: false}, async run() {
 				const listener = await startListener();
-				const peer = await succeeded(connectPeer({address: `127.0.0.1:${listener.port}`, hello: callerHello}));
+				const peer = await expectSuccess(connectPeer({address: `127.0.0.1:${listener.port}`, hello: callerHello}));
 				await listener.close();
 				await within(peer.closed);
-				return failed(peer.call('m', 1, {timeoutMs: deadlineMs}));
+				return expectFailure(peer.call('m', 1, {timeoutMs: deadlineMs}));
 			},
 		},
 		{
 			name: 'a call longer than a frame', expected: {kind: 'not-sent', sent: false}, async run() {
 				const listener = await startListener();
-				const peer = await succeeded(connectPeer({address: `127.0.0.1:${listener.port}`, hello: callerHello}));
-				const failure = await failed(peer.call('m', 'x'.repeat(3_000_000), {timeoutMs: deadlineMs}));
+				const peer = await expectSuccess(connectPeer({address: `127.0.0.1:${listener.port}`, hello: callerHello}));
+				const failure = await expectFailure(peer.call('m', 'x'.repeat(3_000_000), {timeoutMs: deadlineMs}));
 				await listener.close();
 				return failure;
 			},
@@ -82,8 +82,8 @@
 		{
 			name: 'a reply that does not come', expected: {kind: 'timed-out', sent: true}, async run() {
 				const listener = await startListener({onCall: never});
-				const peer = await succeeded(connectPeer({address: `127.0.0.1:${listener.port}`, hello: callerHello}));
-				const failure = await failed(peer.call('m', 1, {timeoutMs: 50}));
+				const peer = await expectSuccess(connectPeer({address: `127.0.0.1:${listener.port}`, hello: callerHello}));
+				const failure = await expectFailure(peer.call('m', 1, {timeoutMs: 50}));
 				await listener.close();
 				return failure;
 			},
@@ -96,8 +96,8 @@
 						return never();
 					},
 				});
-				const peer = await succeeded(connectPeer({address: `127.0.0.1:${listener.port}`, hello: callerHello}));
-				const failure = await failed(peer.call('m', 1, {timeoutMs: deadlineMs}));
+				const peer = await expectSuccess(connectPeer({address: `127.0.0.1:${listener.port}`, hello: callerHello}));
+				const failure = await expectFailure(peer.call('m', 1, {timeoutMs: deadlineMs}));
 				await listener.close();
 				return failure;
 			},
@@ -109,8 +109,8 @@
 						throw new Error('no such method');
 					},
 				});
-				const peer = await succeeded(connectPeer({address: `127.0.0.1:${listener.port}`, hello: callerHello}));
-				const failure = await failed(peer.call('m', 1, {timeoutMs: deadlineMs}));
+				const peer = await expectSuccess(connectPeer({address: `127.0.0.1:${listener.port}`, hello: callerHello}));
+				const failure = await expectFailure(peer.call('m', 1, {timeoutMs: deadlineMs}));
 				await listener.close();
 				return failure;
 			},
@@ -118,9 +118,9 @@
 		{
 			name: 'too many calls that wait', expected: {kind: 'not-sent', sent: false}, async run() {
 				const listener = await startListener({onCall: never});
-				const peer = await succeeded(connectPeer({address: `127.0.0.1:${listener.port}`, hello: callerHello, limits: {outstandingCalls: 1}}));
+				const peer = await expectSuccess(connectPeer({address: `127.0.0.1:${listener.port}`, hello: callerHello, limits: {outstandingCalls: 1}}));
 				const first = peer.call('m', 1, {timeoutMs: 50});
-				const failure = await failed(peer.call('m', 2, {timeoutMs: 50}));
+				const failure = await expectFailure(peer.call('m', 2, {timeoutMs: 50}));
 				await first;
 				await listener.close();
 				return failure;
@@ -157,7 +157,7 @@
 			}))());
 			if (connected.isOk()) {
 				// With TLS 1.3 a client may think itself connected before it is refused.
-				await failed(connected.value.call('m', 1, {timeoutMs: 2000}));
+				await expectFailure(connected.value.call('m', 1, {timeoutMs: 2000}));
 			}
 
 			assert.equal(calls, 0);
@@ -168,13 +168,13 @@
 	it('serves peers of its authority, and takes new keys without ending connections', async () => {
 		let keys = keysA;
 		const listener = await startListener({tls: () => keys});
-		const connect = async () => succeeded(connectPeer({address: `127.0.0.1:${listener.port}`, hello: callerHello, tls: () => ({...testPairB, ca: testCa})}));
+		const connect = async () => expectSuccess(connectPeer({address: `127.0.0.1:${listener.port}`, hello: callerHello, tls: () => ({...testPairB, ca: testCa})}));
 		const first = await connect();
 		keys = {...testPairB, ca: testCa};
 		listener.reloadKeys();
 		const second = await connect();
 		for (const peer of [first, second]) {
-			assert.deepEqual(await succeeded(peer.call('m', 1, {timeoutMs: deadlineMs})), {method: 'm', body: 1});
+			assert.deepEqual(await expectSuccess(peer.call('m', 1, {timeoutMs: deadlineMs})), {method: 'm', body: 1});
 		}
 
 		await listener.close();
