--- a/test/_lib/create-collected-lines/index.ts
+++ b/test/_lib/create-collected-lines/index.ts
@@ -1,15 +1,15 @@
-/** Where a program's log goes in a test that reads it. */
+/** A log sink for tests that read the log of a program. */
 import {type LineSink} from '../../../src/adapters/log/bounded-sink.js';
 
 export type LogFields = Record<string, unknown>;
 
 export type CollectedLines = {
 	sink: LineSink;
-	/** All lines so far, parsed. */
+	/** Returns the parsed lines written so far. */
 	lines: () => readonly LogFields[];
 };
 
-/** Creates a sink that keeps each line that is written to it. */
+/** Creates a sink that parses and keeps each line written to it. */
 export function createCollectedLines(): CollectedLines {
 	const lines: LogFields[] = [];
 	return {
--- a/test/_lib/create-manual-clock/index.ts
+++ b/test/_lib/create-manual-clock/index.ts
@@ -1,14 +1,14 @@
-/** A clock that a test moves by hand. */
+/** A clock that advances only when a test sets it. */
 import {type Clock, type Milliseconds} from '../../../src/ports/clock.js';
 
 export type ManualClock = Clock & {
-	/** Moves both times on. */
+	/** Advances the wall clock and the monotonic clock. */
 	advance: (ms: Milliseconds) => void;
-	/** Sets the wall clock alone, as an operator or a time server would. */
+	/** Sets only the wall clock, as an operator or a time server would. */
 	setWall: (ms: Milliseconds) => void;
 };
 
-/** Creates a clock that stands still until it is moved. */
+/** Creates a clock that does not advance by itself. */
 export function createManualClock({wall = 1_700_000_000_000, monotonic = 0}: {wall?: Milliseconds; monotonic?: Milliseconds} = {}): ManualClock {
 	let wallNow = wall;
 	let now = monotonic;
--- a/test/_lib/find-udp-address/index.ts
+++ b/test/_lib/find-udp-address/index.ts
@@ -4,7 +4,7 @@
 /**
  * Finds a loopback address on which a test may receive datagrams.
  *
- * @returns `IP:port`; free a moment ago.
+ * @returns The address as `IP:port`. The port was free when it was checked, and another process can still take it.
  */
 export async function findUdpAddress(): Promise<string> {
 	const socket = createSocket('udp4');
--- a/test/_lib/keys/index.ts
+++ b/test/_lib/keys/index.ts
@@ -1,7 +1,7 @@
 /**
- * Keys and certificates for tests only: made for 127.0.0.1, known to everybody
- * who reads this file, and worth nothing. `a` and `b` are signed by `ca`,
- * `foreign` by an authority that nobody here trusts.
+ * Keys and certificates for tests only: issued for 127.0.0.1, and public with
+ * this file, so they protect nothing. The pairs A and B are signed by `testCa`,
+ * the foreign pair by `foreignTestCa`, which the fleets of the tests do not trust.
  */
 
 export type TestKeyPair = {cert: string; key: string};
--- a/test/_lib/start-fleet/_lib/create-host.ts
+++ b/test/_lib/start-fleet/_lib/create-host.ts
@@ -1,37 +1,38 @@
-/** One host of a test fleet: its agent and its entry, on ports that survive restarts. */
+/** One host of a test fleet: an agent and an entry that keep their ports across restarts. */
 import {startProgram, type Program, type ProgramOptions} from '../../start-program/index.js';
 import {pickPort} from './pick-ports.js';
 import {type Network, type Site} from './network.js';
 
 export type Flags = NonNullable<ProgramOptions['flags']>;
 
-/** What the wall clock of a host shows; monotonic time is untouched. */
+/** Offset of the wall clock of a host; the monotonic clock is not changed. */
 export type HostClock = {
-	/** How far it is ahead of true time, milliseconds; behind when negative. */
+	/** Offset from the true time, milliseconds; negative if the clock is behind. */
 	aheadMs?: number;
-	/** Makes a process seem to have started this long ago: its clock shows that time until it listens first. */
+	/** Makes a process seem to have started this long ago, milliseconds: its clock is set back by so much until it first listens. */
 	startedAgoMs?: number;
 };
 
 export type FleetHost = {
 	id: string;
 	zone: string;
-	/** The running process, or the last one. */
+	/** Returns the agent's process that was started last, also if it has exited. */
 	agent: () => Program;
+	/** Returns the entry's process that was started last, also if it has exited. */
 	entry: () => Program;
 	callerUrl: string;
 	agentAddress: string;
 	agentOperatorUrl: string;
 	entryOperatorUrl: string;
-	/** Sets the wall clock of entries that are started from now on. */
+	/** Sets the wall clock of entries started after this call. */
 	setClock: (clock: HostClock) => void;
 	startAgent: (flags?: Flags) => Promise<Program>;
 	startEntry: (flags?: Flags) => Promise<Program>;
-	/** Kills both at once. */
+	/** Kills the agent and the entry at the same time. */
 	kill: () => Promise<void>;
 	pause: () => void;
 	resume: () => void;
-	/** Stops both as an operator does: the entry, then the agent. */
+	/** Stops the entry and then the agent, in the order that an operator uses. */
 	stop: (deadlineMs?: number) => Promise<void>;
 	start: () => Promise<void>;
 };
@@ -40,7 +41,7 @@
 	id: string;
 	zone: string;
 	platformUrl: string;
-	/** Agents of all hosts; its own is left out. */
+	/** Addresses of the agents of all hosts; the host leaves its own out. */
 	seeds: () => readonly string[];
 	agentFlags: Flags;
 	entryFlags: Flags;
@@ -50,7 +51,7 @@
 
 const shiftClock = new URL('shift-clock.js', import.meta.url).href;
 
-/** Environment and options of Node that give a process its network and its clock. */
+/** Returns the environment and Node options that give an entry its network and its clock. */
 function toEntryOptions(network: HostOptions['network'], {aheadMs = 0, startedAgoMs = 0}: HostClock): Pick<ProgramOptions, 'env' | 'nodeOptions'> {
 	const networkOptions = network?.network.toProcessOptions(network.site);
 	return aheadMs === 0 && startedAgoMs === 0
@@ -61,7 +62,7 @@
 		};
 }
 
-/** Gives a host its ports, without starting it. */
+/** Allocates the ports of a host without starting its programs. */
 export async function createHost(options: HostOptions): Promise<FleetHost> {
 	const {id, zone, network} = options;
 	const ports = {
@@ -83,7 +84,7 @@
 	let entry: Program | undefined;
 	const requireStarted = (program: Program | undefined, name: string): Program => {
 		if (program === undefined) {
-			throw new Error(`the ${name} of ${id} was not started`);
+			throw new Error(`the ${name} of host ${id} has not been started yet`);
 		}
 
 		return program;
--- a/test/_lib/start-fleet/_lib/network-map.ts
+++ b/test/_lib/start-fleet/_lib/network-map.ts
@@ -1,12 +1,12 @@
-/** What a process of a test fleet knows of its network; read by the preload, so it needs nothing else. */
+/** The network of a test fleet as one of its processes sees it. `preload.ts` loads this module before the program, so it imports nothing. */
 
-/** Bytes from sites of one name to sites of another are lost; `undefined` means every site without the other name. */
+/** Drops the bytes from sites with the name `from` to sites with the name `to`. `undefined` stands for every site without the other name. */
 export type Cut = {from: string | undefined; to: string | undefined};
 
 export type NetworkMap = {
 	names: readonly string[];
 	localAddress: string;
-	/** By `IP:port` of the true target. */
+	/** Relays by `IP:port` of the real target. */
 	routes: Record<string, {relayPort: number; names: readonly string[]}>;
 	cutsFile: string;
 };
@@ -15,7 +15,7 @@
 	return name === undefined ? !names.includes(other ?? '') : names.includes(name);
 }
 
-/** Says whether bytes from one site to another are lost. */
+/** Checks whether bytes from one site to another are dropped. */
 export function isCutBetween(cuts: readonly Cut[], source: readonly string[], target: readonly string[]): boolean {
 	return cuts.some(({from, to}) => isEnd(from, to, source) && isEnd(to, from, target));
 }
--- a/test/_lib/start-fleet/_lib/network.ts
+++ b/test/_lib/start-fleet/_lib/network.ts
@@ -1,7 +1,7 @@
 /**
- * The network of a fleet: who is where, and which ways are cut. Each process
- * connects from a loopback address of its own, and a relay stands before each
- * listening port, so every connection has a known source and target.
+ * The simulated network of a fleet: its sites, and which links between them are
+ * cut. Each process connects from its own loopback address, and a relay stands
+ * before each listening port, so the source and target of every connection are known.
  */
 import {
 	mkdtempSync, renameSync, rmSync, writeFileSync,
@@ -11,24 +11,24 @@
 import {startLinkStandIn, type LinkStandIn} from '../../../stand-ins/link/index.js';
 import {isCutBetween, type Cut, type NetworkMap} from './network-map.js';
 
-/** A place in the network by all its names: its own, its zone's, its kind's. */
+/** A location in the network. Its names are its id, its zone and its kind, for example `servers`. */
 export type Site = {
 	names: readonly string[];
-	/** Source address of its connections. */
+	/** Source address of the connections from this site. */
 	localAddress: string;
 };
 
 export type Network = {
 	addSite: (names: readonly string[]) => Site;
-	/** Puts a relay before a listening port of a site. */
+	/** Starts a relay before a listening port of a site. */
 	addTarget: (site: Site, port: number) => Promise<void>;
-	/** Environment and options of a process at a site. */
+	/** Returns the environment and Node options of a process at a site. */
 	toProcessOptions: (site: Site) => {env: Record<string, string>; nodeOptions: string[]};
-	/** The way that a site's calls to a URL take. */
+	/** Returns the URL of the relay before a URL, or the URL itself if no relay stands before it. */
 	toUrl: (url: string) => string;
-	/** Cuts all ways from sites of one name to sites of another, and back unless one-way. */
+	/** Cuts all links from sites with one name to sites with another, and also back unless `isOneWay` is set. */
 	cut: (from: string, to: string, options?: {isOneWay?: boolean}) => void;
-	/** Cuts a name off from everything that does not bear it. */
+	/** Cuts all links between sites with this name and sites without it. */
 	isolate: (name: string) => void;
 	heal: () => void;
 	stop: () => Promise<void>;
--- a/test/_lib/start-fleet/_lib/pick-ports.ts
+++ b/test/_lib/start-fleet/_lib/pick-ports.ts
@@ -1,4 +1,4 @@
-/** Finds free ports outside of the range from which outgoing connections take theirs, so that a restarted process finds its port free. */
+/** Finds free ports outside the ephemeral range, so that no outgoing connection can take the port of a process that restarts. */
 import {createServer} from 'node:net';
 import process from 'node:process';
 
@@ -19,7 +19,7 @@
 	});
 });
 
-/** Picks one free port, another each time. */
+/** Picks a free port, a different one on each call. */
 export async function pickPort(): Promise<number> {
 	for (let tries = 0; tries < 1000; tries++) {
 		next = next >= last ? first : next + 1;
--- a/test/_lib/start-fleet/_lib/preload.ts
+++ b/test/_lib/start-fleet/_lib/preload.ts
@@ -1,8 +1,9 @@
 /**
- * Loaded into each process of a fleet that can be cut (`node --import`). Sends
- * its connections through the fleet's relays, from the process's own loopback
- * address; a connection begun during a cut hangs until it is healed, as SYN
- * packets that get no answer do. The programs themselves are unchanged.
+ * Loaded by `node --import` into each process of a fleet whose network can be cut.
+ * Routes the connections of the process through the relays of the fleet, from the
+ * loopback address of the process. A connection attempt during a cut hangs until
+ * the cut is healed, like a SYN packet that is never answered. The programs
+ * themselves are unchanged.
  */
 import {readFileSync} from 'node:fs';
 import net from 'node:net';
@@ -23,7 +24,7 @@
 	return isCutBetween(cuts, map.names, names) || isCutBetween(cuts, names, map.names);
 }
 
-/** The options object among the many forms of arguments; Node's own callers pass them already sorted out, as one array. */
+/** Returns the options object of a call to `connect`, if there is one. Internal callers of Node pass the normalized arguments as one array. */
 function toOptions(args: readonly unknown[]): ConnectOptions | undefined {
 	const first = Array.isArray(args[0]) ? (args[0] as unknown[])[0] : args[0];
 	return typeof first === 'object' && first !== null ? first : undefined;
@@ -40,7 +41,7 @@
 		return connect.apply(this, args);
 	}
 
-	// Changed in place: the sorted-out array carries a mark that a copy would lose.
+	// Changed in place, because Node marks the normalized array with a symbol that a copy would lose.
 	Object.assign(options, {host: '127.0.0.1', port: route.relayPort, localAddress: map.localAddress});
 	if (!isCutFrom(route.names)) {
 		return connect.apply(this, args);
--- a/test/_lib/start-fleet/_lib/shift-clock.ts
+++ b/test/_lib/start-fleet/_lib/shift-clock.ts
@@ -1,7 +1,7 @@
 /**
- * Loaded into a process whose wall clock is to be off (`node --import`). Until
- * the process listens first its clock may show an earlier time, so that it
- * seems to have been up for a while; the programs themselves are unchanged.
+ * Loaded by `node --import` into a process whose wall clock is to be wrong. Until
+ * the process first listens, its clock can show an earlier time, so that the
+ * process seems to have started earlier. The programs themselves are unchanged.
  */
 import net from 'node:net';
 import process from 'node:process';
--- a/test/_lib/start-fleet/_lib/to-config-text.ts
+++ b/test/_lib/start-fleet/_lib/to-config-text.ts
@@ -1,4 +1,4 @@
-/** Writes the configuration document of a test fleet. JSON is YAML, so it is written as JSON. */
+/** Serializes the configuration document of a test fleet as JSON, which is valid YAML. */
 import {type HostEntry, type ServerEntry, type ZoneEntry} from '../../../../src/ports/config.js';
 
 export type FleetShape = {
@@ -10,7 +10,7 @@
 	adapters: readonly string[];
 };
 
-/** Parts of the document that a test gives itself. */
+/** Parts of the default document that a test replaces. */
 export type ConfigParts = {
 	hosts?: readonly HostEntry[];
 	routes?: Readonly<Record<string, unknown>>;
@@ -20,7 +20,7 @@
 	weightStoreBytesPerSecond?: string;
 };
 
-/** Routes of the usual document, for tests that change some of them. */
+/** Routes of the default document, for tests that change some of them. */
 export const usualRoutes = {
 	desk: {
 		pool: 'desk', class: 'quick', repeatable: true, target: {firstToken: '2s', complete: '10s'},
@@ -39,7 +39,7 @@
 	},
 };
 
-/** Desk calls by path; scenes by header, as they may run once only; quick questions by class; all else is a letter. */
+/** Matches desk calls by path, scenes (which may run only once) by header, and questions by class; other requests to the model are letters, and the rest are desk calls. */
 const toRules = (model: string) => [
 	{name: 'desk changes', when: {path: '/desk/forwarding/'}, then: 'desk-change'},
 	{name: 'desk lookups', when: {path: '/desk/'}, then: 'desk'},
@@ -49,7 +49,7 @@
 	{name: 'everything else', then: 'desk'},
 ];
 
-/** The pools of the usual document. */
+/** Returns the pools of the default document. */
 export function toPools({model, version, adapters}: FleetShape): readonly unknown[] {
 	return [
 		{
@@ -59,7 +59,7 @@
 	];
 }
 
-/** Writes the document of a fleet. */
+/** Serializes the document of a fleet. */
 export function toConfigText(shape: FleetShape, parts: ConfigParts = {}): string {
 	const document = {
 		zones: shape.zones,
--- a/test/_lib/start-fleet/index.ts
+++ b/test/_lib/start-fleet/index.ts
@@ -1,8 +1,8 @@
 /**
- * Starts a small whole fleet for failure tests: hosts (agent and entry as
- * processes), engines, plain services and the platform (stand-ins in the test's
- * own process), with a document that fits them. With `isCuttable`, any two
- * places can be cut off from each other.
+ * Starts a small complete fleet for failure tests: hosts (agent and entry as
+ * processes), engines, plain services and the platform (stand-ins in the process
+ * of the test), and publishes a configuration document for them. With
+ * `isCuttable`, the network between any two sites can be cut.
  */
 import {type ServerEntry} from '../../../src/ports/config.js';
 import {type Hold} from '../../../src/ports/engine.js';
@@ -26,7 +26,7 @@
 export {usualRoutes, type ConfigParts} from './_lib/to-config-text.js';
 
 export type FleetOptions = {
-	/** Names of zones; two by default. */
+	/** Names of the zones; two zones by default. */
 	zones?: readonly string[];
 	hostsPerZone?: number;
 	prefillsPerZone?: number;
@@ -39,13 +39,13 @@
 	readsPerSecond?: number;
 	agentFlags?: Flags;
 	entryFlags?: Flags;
-	/** Wall clock of all entries, until one is set otherwise. */
+	/** Wall clock of all entries, unless `setClock` of a host changes it. */
 	entryClock?: HostClock;
-	/** Parts of the document in place of the usual ones. */
+	/** Parts that replace those of the default document. */
 	config?: ConfigParts;
-	/** Puts a relay before everything that listens, so that {@link Fleet.network} can cut; Linux only. */
+	/** Starts a relay before each listening port, so that {@link Fleet.network} can cut links; Linux only. */
 	isCuttable?: boolean;
-	/** Leaves the hosts to the test to start. */
+	/** Does not start the hosts; the test starts them. */
 	isIdle?: boolean;
 	startDeadlineMs?: number;
 };
@@ -57,21 +57,21 @@
 	engines: ReadonlyMap<string, EngineStandIn>;
 	engine: (id: string) => EngineStandIn;
 	plains: readonly PlainStandIn[];
-	/** The document that was published first. */
+	/** The configuration document that was published first. */
 	configText: string;
-	/** The pools of the usual document. */
+	/** The pools of the default document. */
 	pools: readonly unknown[];
-	/** Makes a document of the same fleet with other parts. */
+	/** Serializes a document of the same fleet in which the given parts are replaced. */
 	toConfigText: (parts: ConfigParts) => string;
-	/** Publishes states of hosts and servers that are not `live`. */
+	/** Publishes the states of hosts and servers by id; those not named are `live`. */
 	publishFleet: (states: Readonly<Record<string, FleetState>>) => void;
-	/** Cuts; only with `isCuttable`. Names are those of zones, hosts, servers, and `platform`, `hosts`, `servers`. */
+	/** Cuts and heals links; has an effect only with `isCuttable`. Names are the ids of zones, hosts and servers, and `platform`, `hosts`, `servers`. */
 	network: Network;
-	/** Waits until an entry answers from the document and every engine has been asked for its load. */
+	/** Waits until the entry of each given host (all by default) answers `/v1/models`, and every engine has been polled for its load. */
 	waitUntilReady: (hosts?: readonly FleetHost[]) => Promise<void>;
-	/** What the engines counted for one request, added up. */
+	/** Adds up what the engines counted for one request. */
 	judgeRequest: (requestId: string) => JudgedRequest;
-	/** Everything that is held on any engine. */
+	/** Lists the holds on all engines. */
 	holds: () => ReadonlyArray<Hold & {server: string}>;
 	stop: () => Promise<void>;
 };
@@ -162,10 +162,10 @@
 };
 
 /**
- * Starts a fleet and waits until it serves.
+ * Starts a fleet and waits until it serves requests, unless `isIdle` is set.
  *
- * @param options - Its shape.
- * @returns Handles of all its parts; `stop` ends everything.
+ * @param options - Size and settings of the fleet.
+ * @returns Handles of all parts of the fleet; `stop` stops everything.
  */
 export async function startFleet(options: FleetOptions = {}): Promise<Fleet> {
 	const {zones = ['dvorana-a', 'dvorana-b'], hostsPerZone = 1, startDeadlineMs = 30_000} = options;
@@ -203,7 +203,7 @@
 
 	const find = <T>(value: T | undefined, id: string): T => {
 		if (value === undefined) {
-			throw new Error(`there is no ${id} in this fleet`);
+			throw new Error(`the fleet has no host or engine ${id}`);
 		}
 
 		return value;
@@ -225,8 +225,10 @@
 			await waitUntil(async () => {
 				const states = await Promise.all(some.map(async host => isServing(host)));
 				return states.every(Boolean);
-			}, {deadlineMs: startDeadlineMs, what: 'an answer from each entry', everyMs: 50});
-			await waitUntil(() => [...engines.values()].every(engine => (engine.judge().calls['GET engine/load'] ?? 0) > 0), {deadlineMs: startDeadlineMs, what: 'a poll of each engine'});
+			}, {deadlineMs: startDeadlineMs, what: 'each entry to answer GET /v1/models with 200', everyMs: 50});
+			await waitUntil(() => [...engines.values()].every(engine => (engine.judge().calls['GET engine/load'] ?? 0) > 0), {
+				deadlineMs: startDeadlineMs, what: 'each engine to be polled for its load',
+			});
 		},
 		judgeRequest: requestId => sumRequests([...engines.values()].map(engine => engine.judgeRequest(requestId))),
 		holds: () => [...engines.values()].flatMap(engine => engine.judge().holds.map(hold => ({...hold, server: engine.id}))),
--- a/test/_lib/start-fleet/test.ts
+++ b/test/_lib/start-fleet/test.ts
@@ -1,6 +1,7 @@
 /**
- * The harness itself: a whole fleet serves, and a cut does what a partition
- * does: each side goes on with its own servers, nothing passes, healing mends it.
+ * Tests of the test fleet: a complete fleet serves requests, and a cut acts like a
+ * network partition: each side continues with its own servers, nothing crosses the
+ * cut, and the sides work together again after it is healed.
  */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
@@ -38,7 +39,7 @@
 const expectedText = expectedAnswer(prompt, maxTokens).join('');
 
 describe('startFleet', () => {
-	it('starts hosts, engines, services and platform that serve together', async () => {
+	it('starts hosts, engines, plain services and a platform that serve requests together', async () => {
 		const fleet = await startFleet();
 		try {
 			for (const host of fleet.hosts) {
@@ -58,7 +59,7 @@
 		}
 	});
 
-	it('cuts a zone off and heals it', async () => {
+	it('cuts a zone off and heals the cut', async () => {
 		const fleet = await startFleet({isCuttable: true});
 		try {
 			const [near, far] = [fleet.host('dvorana-a-1'), fleet.host('dvorana-b-1')];
@@ -66,21 +67,21 @@
 			const isFromOwnZone = async (host: FleetHost, zone: string): Promise<boolean> => {
 				const {status, requestId, text} = await ask(host);
 				const servers = [...fleet.engines.values()].filter(engine => engine.judgeRequest(requestId).decodesStarted + engine.judgeRequest(requestId).prefillsStarted > 0);
-				// Nothing that the other side has can serve across the cut, whatever the answer.
+				// Whatever the answer is, no server on the other side of the cut may have worked on the request.
 				assert.ok(servers.every(({id}) => id.startsWith(zone)));
 				return status === 200 && text === expectedText;
 			};
 
 			for (const [host, zone] of [[near, 'dvorana-a'], [far, 'dvorana-b']] as const) {
-				await waitUntil(async () => isFromOwnZone(host, zone), {deadlineMs: 30_000, what: `an answer in ${zone} during the cut`});
+				await waitUntil(async () => isFromOwnZone(host, zone), {deadlineMs: 30_000, what: `a correct answer in ${zone} during the cut`});
 			}
 
-			// The platform is on the near side, so an edit reaches that side alone.
+			// The platform is on the near side, so a changed document reaches only that side.
 			fleet.platform.publish('config', fleet.toConfigText({pools: [...fleet.pools, {name: 'trial', model: trialModel, classes: ['batch']}]}));
-			await waitUntil(async () => hasTrial(near), {deadlineMs: 30_000, what: 'the edit on the near side'});
+			await waitUntil(async () => hasTrial(near), {deadlineMs: 30_000, what: 'the changed document on the near side'});
 			assert.deepEqual(await listModels(far), ['post-summary']);
 			fleet.network.heal();
-			await waitUntil(async () => hasTrial(far), {deadlineMs: 60_000, what: 'the edit on the far side'});
+			await waitUntil(async () => hasTrial(far), {deadlineMs: 60_000, what: 'the changed document on the far side after the cut is healed'});
 			const healed = await ask(far);
 			assert.equal(healed.text, expectedText);
 		} finally {
--- a/test/_lib/start-program/exit-with-parent.ts
+++ b/test/_lib/start-program/exit-with-parent.ts
@@ -1,7 +1,7 @@
 /**
- * Loaded into each program that a test starts (`node --import`). A test file
- * that is killed outright cannot end its programs; its end of their standard
- * input closes with it, and they end by that.
+ * Loaded by `node --import` into each program that a test starts. A test file
+ * that is killed with SIGKILL cannot stop its programs. The operating system
+ * then closes the pipe to their standard input, and each program exits on that.
  */
 import process from 'node:process';
 
@@ -9,5 +9,5 @@
 	process.exit(1);
 });
 process.stdin.resume();
-// Watching must not keep a program alive that has nothing else to do.
+// Without `unref` the open pipe would keep a program alive that has no other work.
 (process.stdin as unknown as {unref: () => void}).unref();
--- a/test/_lib/start-program/index.ts
+++ b/test/_lib/start-program/index.ts
@@ -1,7 +1,8 @@
 /**
- * Starts one of our built programs as a process of its own, for tests that
- * kill, pause and restart it. No process outlives the test file: all are killed
- * when it exits or is told to end, and end by themselves when it is killed.
+ * Starts one of the built programs as a separate process, for tests that kill,
+ * pause and restart it. No process outlives the test file: the file kills them
+ * all when it exits or receives a signal, and they exit by themselves when the
+ * file is killed with SIGKILL.
  */
 import {spawn, type ChildProcess} from 'node:child_process';
 import process from 'node:process';
@@ -14,14 +15,14 @@
 
 export type ProgramOptions = {
 	program: ProgramName;
-	/** Flags by name in camel or kebab case; `undefined` or an empty list leaves one out, `true` gives it alone, a list joins with commas. */
+	/** Flags by name, in camel or kebab case. `undefined`, `false` or an empty list omits the flag, `true` passes it without a value, and a list is joined with commas. */
 	flags?: Readonly<Record<string, string | number | boolean | readonly string[] | undefined>>;
 	env?: Readonly<Record<string, string>>;
 	/** Options of Node itself, for example `--max-old-space-size=24`. */
 	nodeOptions?: readonly string[];
-	/** Limit of the wait for `listening`, milliseconds. */
+	/** Timeout for the `listening` log line, milliseconds. */
 	startDeadlineMs?: number;
-	/** Name in failures; the program's by default. */
+	/** Name used in error messages; the name of the program by default. */
 	label?: string;
 };
 
@@ -35,25 +36,25 @@
 export type Program = {
 	pid: number;
 	label: string;
-	/** The `listening` line. */
+	/** Fields of the `listening` log line. */
 	listening: LogLine;
-	/** A port out of the `listening` line, for example `callerPort`. */
+	/** Returns a port from the `listening` line, for example `callerPort`. */
 	port: (name: string) => number;
-	/** Parsed lines of the log so far. */
+	/** Returns the parsed log lines so far. */
 	logs: () => readonly LogLine[];
 	waitForLog: (isMeant: (line: LogLine) => boolean, options: {deadlineMs: number; what: string}) => Promise<LogLine>;
-	/** What it wrote that is no log line, last part. */
+	/** Returns the last lines of output that are not log lines. */
 	otherOutput: () => string;
 	kill: (signal?: NodeJS.Signals) => Promise<ProgramExit>;
-	/** Stops the process in its tracks, as a paused machine would. */
+	/** Suspends the process with SIGSTOP, as a paused machine would. */
 	pause: () => void;
 	resume: () => void;
 	isRunning: () => boolean;
 	/** Sends a signal without waiting. */
 	signal: (signal: NodeJS.Signals) => void;
-	/** Waits for its end, however it comes. */
+	/** Waits until the process exits, for whatever reason. */
 	waitForExit: (deadlineMs: number) => Promise<ProgramExit>;
-	/** Asks it to end and fails when it does not end within the deadline. */
+	/** Sends SIGTERM. Rejects if the process does not exit before the deadline. */
 	stop: (deadlineMs?: number) => Promise<ProgramExit>;
 };
 
@@ -90,7 +91,7 @@
 	return `--${name.replaceAll(/[A-Z]/g, letter => `-${letter.toLowerCase()}`)}`;
 }
 
-/** Turns named flags into arguments. */
+/** Converts named flags to command-line arguments. */
 export function toArguments(flags: NonNullable<ProgramOptions['flags']>): string[] {
 	return Object.entries(flags).flatMap(([name, value]) => {
 		if (value === undefined || value === false || (Array.isArray(value) && value.length === 0)) {
@@ -114,7 +115,7 @@
 	}
 }
 
-/** Keeps what a process writes. */
+/** Collects the log lines and the other output of a process. */
 function collectOutput(child: ChildProcess) {
 	const lines: LogLine[] = [];
 	const other: string[] = [];
@@ -130,7 +131,7 @@
 					lines.splice(0, Math.max(0, lines.length - maxLines));
 				}
 			});
-			// A forgotten process must not keep the test file alive.
+			// Without `unref` a process that a test did not stop would keep the test file running.
 			(stream as unknown as {unref: () => void}).unref();
 		}
 	}
@@ -149,10 +150,10 @@
 }
 
 /**
- * Starts a program and waits until it says that it listens.
+ * Starts a program and waits for its `listening` log line.
  *
- * @param options - Which program, its flags, and the deadline.
- * @throws When it ends or the deadline passes first, with the end of its output.
+ * @param options - The program, its flags, and the deadline.
+ * @throws If the program exits or the deadline passes before that line. The message of the error about an exit has the end of the output.
  */
 export async function startProgram(options: ProgramOptions): Promise<Program> {
 	const {startDeadlineMs = 20_000, label = options.program} = options;
@@ -170,17 +171,17 @@
 
 	const describeOutput = (): string => [...lines.slice(-5).map(line => JSON.stringify(line)), ...other.slice(-20)].join('\n');
 
-	const waitForExit = async (deadlineMs: number): Promise<ProgramExit> => waitUntil(() => exit, {deadlineMs, what: `the end of ${label}`, everyMs: 5});
+	const waitForExit = async (deadlineMs: number): Promise<ProgramExit> => waitUntil(() => exit, {deadlineMs, what: `${label} to exit`, everyMs: 5});
 
 	const waitForLog: Program['waitForLog'] = async (isMeant, wait) => {
 		let seen = 0;
 		return waitUntil(() => {
-			// Lines that were cut off from the front make `seen` too large at worst for one look.
+			// When old lines are dropped, `seen` can exceed the length; then all kept lines are checked again.
 			const fresh = lines.slice(seen > lines.length ? 0 : seen);
 			seen = lines.length;
 			const found = fresh.find(line => isMeant(line));
 			if (found === undefined && (exit !== undefined || startError !== undefined)) {
-				throw new Error(`${label} ended (${JSON.stringify(exit)}) before ${wait.what}; its last output:\n${startError?.message ?? describeOutput()}`);
+				throw new Error(`${label} exited (${JSON.stringify(exit)}) while the test waited for ${wait.what}; its last output:\n${startError?.message ?? describeOutput()}`);
 			}
 
 			return found;
@@ -194,7 +195,7 @@
 
 	let listening: LogLine;
 	try {
-		listening = await waitForLog(line => line.message === 'listening', {deadlineMs: startDeadlineMs, what: `the start of ${label}`});
+		listening = await waitForLog(line => line.message === 'listening', {deadlineMs: startDeadlineMs, what: `the "listening" log line of ${label}`});
 	} catch (error) {
 		child.kill('SIGKILL');
 		throw error;
@@ -207,7 +208,7 @@
 		port(name) {
 			const port = listening[name];
 			if (typeof port !== 'number') {
-				throw new TypeError(`${label} told no ${name}: ${JSON.stringify(listening)}`);
+				throw new TypeError(`the "listening" log line of ${label} has no port ${name}: ${JSON.stringify(listening)}`);
 			}
 
 			return port;
@@ -238,7 +239,7 @@
 				return await waitForExit(deadlineMs);
 			} catch {
 				await kill();
-				throw new Error(`${label} did not end within ${deadlineMs} ms of SIGTERM; its last output:\n${describeOutput()}`);
+				throw new Error(`${label} did not exit within ${deadlineMs} ms of SIGTERM; its last output:\n${describeOutput()}`);
 			}
 		},
 	};
--- a/test/_lib/start-program/test.ts
+++ b/test/_lib/start-program/test.ts
@@ -16,7 +16,7 @@
 };
 
 describe('startProgram', () => {
-	it('gives the ports of a program and ends it', async () => {
+	it('starts a program, returns its ports and stops it', async () => {
 		const program = await startProgram({program: 'plain', flags: {id: 'desk-1', port: 0}});
 		const answer = await fetch(`http://127.0.0.1:${program.port('port')}/echo`, {method: 'POST', body: 'parcel'});
 		assert.equal(await answer.text(), 'parcel');
@@ -24,14 +24,14 @@
 		assert.equal(program.isRunning(), false);
 	});
 
-	it('ends a paused program', async () => {
+	it('stops a paused program', async () => {
 		const program = await startProgram({program: 'plain'});
 		program.pause();
 		const exit = await program.stop();
 		assert.equal(exit.code, 0);
 	});
 
-	it('leaves no program behind when the test file is killed outright', async () => {
+	it('leaves no program running when the test file is killed with SIGKILL', async () => {
 		const harness = new URL('index.js', import.meta.url).href;
 		const script = `const {startProgram} = await import('${harness}'); console.log((await startProgram({program: 'plain'})).pid); setInterval(() => {}, 1000);`;
 		const parent = spawn(process.execPath, ['--input-type=module', '--eval', script], {stdio: ['ignore', 'pipe', 'inherit']});
@@ -40,17 +40,17 @@
 			const pid = Number(text.toString());
 			assert.ok(isAlive(pid));
 			parent.kill('SIGKILL');
-			await waitUntil(() => !isAlive(pid), {deadlineMs: 10_000, what: 'the end of the program'});
+			await waitUntil(() => !isAlive(pid), {deadlineMs: 10_000, what: 'the program to exit after its parent was killed'});
 		} finally {
 			parent.kill('SIGKILL');
 		}
 	});
 
-	it('tells what a program said that ended before it listened', async () => {
+	it('rejects with the output of a program that exits before it listens', async () => {
 		await assert.rejects(startProgram({program: 'engine', flags: {role: 'baker'}}), /baker/v);
 	});
 
-	it('writes flags as the programs take them', () => {
+	it('converts named flags to the arguments that the programs accept', () => {
 		assert.deepEqual(toArguments({
 			hostId: 'a-1', 'peer-port': 0, seeds: ['127.0.0.1:1', '127.0.0.1:2'], verbose: true, none: undefined,
 		}), ['--host-id', 'a-1', '--peer-port', '0', '--seeds', '127.0.0.1:1,127.0.0.1:2', '--verbose']);
--- a/test/_lib/wait-until/index.ts
+++ b/test/_lib/wait-until/index.ts
@@ -1,20 +1,21 @@
-/** Waiting in tests: for a state, never for a time. */
+/** Polls for a state in tests, so that they need no fixed delays. */
 import {setTimeout as sleep} from 'node:timers/promises';
 
 export type WaitOptions = {
-	/** Longest wait, milliseconds. */
+	/** Timeout of the wait, milliseconds. */
 	deadlineMs: number;
-	/** What is waited for, in the words of the failure. */
+	/** Description of the awaited state, for the error message. */
 	what: string;
+	/** Interval between two checks, milliseconds. */
 	everyMs?: number;
 };
 
 /**
- * Asks until the answer is neither `false` nor `undefined`.
+ * Calls a check repeatedly until it returns neither `false` nor `undefined`.
  *
- * @param check - Asked again and again; what it throws ends the wait.
- * @returns The answer.
- * @throws When the deadline passes.
+ * @param check - The check. An error that it throws ends the wait.
+ * @returns The value that the check returned last.
+ * @throws If the deadline passes first.
  */
 export async function waitUntil<T>(check: () => T | Promise<T>, {deadlineMs, what, everyMs = 20}: WaitOptions): Promise<Exclude<T, false | undefined>> {
 	const until = performance.now() + deadlineMs;
@@ -25,7 +26,7 @@
 		}
 
 		if (performance.now() > until) {
-			throw new Error(`waited ${deadlineMs} ms in vain for ${what}`);
+			throw new Error(`timed out after ${deadlineMs} ms while waiting for ${what}`);
 		}
 
 		await sleep(everyMs);
