--- a/test/failures/_lib/create-kept-caller.ts
+++ b/test/failures/_lib/create-keep-alive-caller.ts
@@ -5,7 +5,7 @@
 
 export type CallKind = 'letter' | 'scene' | 'desk lookup' | 'desk change';
 
-export type KeptCaller = {
+export type KeepAliveCaller = {
 	/** Asks once; never rejects. */
 	ask: (callerUrl: string, kind: CallKind, name: string) => Promise<{isWhole: boolean; detail: string}>;
 	close: () => Promise<void>;
@@ -45,7 +45,7 @@
 }
 
 /** Creates a caller without open connections. */
-export function createKeptCaller(): KeptCaller {
+export function createKeepAliveCaller(): KeepAliveCaller {
 	const pools = new Map<string, Dispatcher>();
 	const toPool = (url: string): Dispatcher => {
 		const pool = pools.get(url) ?? new Pool(url, {connections: 1, headersTimeout: 0, bodyTimeout: 0});
--- a/test/failures/_lib/host-faults.ts
+++ b/test/failures/_lib/host-faults.ts
@@ -5,35 +5,35 @@
 
 const twoMinutesMs = 120_000;
 /** Longer than the patience of a claim's question, shorter than that of a join. */
-const sleepMs = 3000;
+const pausedMs = 3000;
 /** Any free port, beside the sleeping process that still has the host's own. */
 const otherPorts = {callerPort: 0, peerPort: 0, operatorPort: 0};
 
 export type HostFault = {
 	name: string;
 	/** Hosts that vouch for no key of now while it lasts. */
-	hostsOut: number;
-	strike: (fleet: Fleet, host: FleetHost) => Promise<Struck>;
+	nonVouchingHosts: number;
+	inject: (fleet: Fleet, host: FleetHost) => Promise<ActiveFault>;
 };
 
-export type Struck = {
+export type ActiveFault = {
 	/** Undoes the fault; what was lost stays lost. */
 	undo: () => Promise<void>;
 	/** Ends processes that the host no longer knows. */
-	clear?: () => Promise<void>;
+	cleanUp?: () => Promise<void>;
 };
 
-const lasting: Struck = {undo: async () => undefined};
+const permanentFault: ActiveFault = {undo: async () => undefined};
 
-async function comeBack(host: FleetHost, aheadMs: number): Promise<Struck> {
+async function restartEntry(host: FleetHost, aheadMs: number): Promise<ActiveFault> {
 	await host.entry().kill();
 	host.setClock({aheadMs});
 	await host.startEntry();
-	return lasting;
+	return permanentFault;
 }
 
 /** Starts a second process in the slot of one that sleeps; returns the old one. */
-async function replaceSleeping(host: FleetHost): Promise<Program> {
+async function replacePausedEntry(host: FleetHost): Promise<Program> {
 	const old = host.entry();
 	old.pause();
 	host.setClock({});
@@ -45,33 +45,33 @@
 export const hostFaults = {
 	killed: {
 		name: 'its entry is killed',
-		hostsOut: 1,
-		async strike(_fleet, host) {
+		nonVouchingHosts: 1,
+		async inject(_fleet, host) {
 			await host.kill();
-			return lasting;
+			return permanentFault;
 		},
 	},
-	back: {
+	restarted: {
 		name: 'its entry is killed and comes back',
-		hostsOut: 1,
-		strike: async (_fleet, host) => comeBack(host, 0),
+		nonVouchingHosts: 1,
+		inject: async (_fleet, host) => restartEntry(host, 0),
 	},
-	backAhead: {
+	restartedAhead: {
 		name: 'its entry is killed and comes back two minutes ahead',
-		hostsOut: 1,
-		strike: async (_fleet, host) => comeBack(host, twoMinutesMs),
+		nonVouchingHosts: 1,
+		inject: async (_fleet, host) => restartEntry(host, twoMinutesMs),
 	},
-	backBehind: {
+	restartedBehind: {
 		name: 'its entry is killed and comes back two minutes behind',
-		hostsOut: 1,
-		strike: async (_fleet, host) => comeBack(host, -twoMinutesMs),
+		nonVouchingHosts: 1,
+		inject: async (_fleet, host) => restartEntry(host, -twoMinutesMs),
 	},
-	asleep: {
+	paused: {
 		name: 'its host sleeps and wakes',
-		hostsOut: 1,
-		async strike(_fleet, host) {
+		nonVouchingHosts: 1,
+		async inject(_fleet, host) {
 			host.pause();
-			const slept = sleep(sleepMs);
+			const slept = sleep(pausedMs);
 			return {
 				async undo() {
 					await slept;
@@ -82,14 +82,14 @@
 	},
 	replaced: {
 		name: 'it is replaced while it sleeps, and the old one wakes',
-		hostsOut: 1,
-		async strike(_fleet, host) {
-			const old = await replaceSleeping(host);
+		nonVouchingHosts: 1,
+		async inject(_fleet, host) {
+			const old = await replacePausedEntry(host);
 			return {
 				async undo() {
 					old.resume();
 				},
-				async clear() {
+				async cleanUp() {
 					await old.kill();
 				},
 			};
@@ -97,8 +97,8 @@
 	},
 	cut: {
 		name: 'its zone is cut off and comes back',
-		hostsOut: 2,
-		async strike(fleet, host) {
+		nonVouchingHosts: 2,
+		async inject(fleet, host) {
 			fleet.network.isolate(host.zone);
 			return {
 				async undo() {
@@ -109,8 +109,8 @@
 	},
 	stale: {
 		name: 'the platform gives what it gave before',
-		hostsOut: 0,
-		async strike(fleet) {
+		nonVouchingHosts: 0,
+		async inject(fleet) {
 			fleet.platform.setFaults({frozen: true});
 			return {
 				async undo() {
--- a/test/failures/_lib/leaver-fleet.ts
+++ b/test/failures/_lib/leaving-server-fleet.ts
@@ -9,7 +9,7 @@
 export const zone = 'dvorana-a';
 
 /** Two engines of each role, whose decode engines take five seconds for a long letter. */
-export async function startLeaverFleet(options: Partial<FleetOptions>): Promise<Fleet> {
+export async function startLeavingServerFleet(options: Partial<FleetOptions>): Promise<Fleet> {
 	return startFleet({
 		zones: [zone],
 		hostsPerZone: 3,
@@ -23,21 +23,21 @@
 
 type Status = {view: {servers: Array<{id: string; leaving: boolean}>}};
 
-async function knows(host: FleetHost, server: string): Promise<boolean> {
+async function isKnownAsLeaving(host: FleetHost, server: string): Promise<boolean> {
 	const answer = await fetch(`${host.entryOperatorUrl}/status`, {signal: AbortSignal.timeout(deadlineMs)});
 	const {view} = await answer.json() as Status;
 	return view.servers.some(({id, leaving}) => id === server && leaving);
 }
 
-async function hasNoLeaver(fleet: Fleet): Promise<boolean> {
+async function isNoServerKnownAsLeaving(fleet: Fleet): Promise<boolean> {
 	const asked = [...fleet.engines.keys()].flatMap(id => fleet.hosts.map(host => ({host, id})));
-	const told = await Promise.all(asked.map(async ({host, id}) => knows(host, id)));
+	const told = await Promise.all(asked.map(async ({host, id}) => isKnownAsLeaving(host, id)));
 	return !told.includes(true);
 }
 
 /** Waits until no host takes any server for a leaving one. */
-export async function waitUntilNoneLeaves(fleet: Fleet): Promise<void> {
-	await waitUntil(async () => hasNoLeaver(fleet), {deadlineMs, what: 'the return of all servers'});
+export async function waitUntilNoneIsLeaving(fleet: Fleet): Promise<void> {
+	await waitUntil(async () => isNoServerKnownAsLeaving(fleet), {deadlineMs, what: 'the return of all servers'});
 }
 
 /** What the engine's own load report says, late as it is. */
@@ -54,16 +54,16 @@
 }
 
 /** The same of callers' requests alone: a host that holds a server for leaving asks it now and then by a request of its own. */
-export function countCallersOffers(engine: EngineStandIn): number {
+export function countCallerOffers(engine: EngineStandIn): number {
 	const {offers} = engine.judge();
 	return Object.entries(offers).filter(([id]) => !id.startsWith('probe-')).reduce((sum, [, count]) => sum + count, 0);
 }
 
 /** Waits until all hosts know, and tells when the first did. */
-export async function waitUntilKnown(fleet: Fleet, server: string): Promise<{firstMs: number; allMs: number}> {
+export async function waitUntilKnownAsLeaving(fleet: Fleet, server: string): Promise<{firstMs: number; allMs: number}> {
 	let firstMs: number | undefined;
 	return waitUntil(async () => {
-		const told = await Promise.all(fleet.hosts.map(async host => knows(host, server)));
+		const told = await Promise.all(fleet.hosts.map(async host => isKnownAsLeaving(host, server)));
 		if (told.includes(true)) {
 			firstMs ??= performance.now();
 		}
--- a/test/failures/_lib/read-accounts.ts
+++ b/test/failures/_lib/read-accounts.ts
@@ -1,10 +1,10 @@
 import {type Fleet} from '../../_lib/start-fleet/index.js';
 
-const limitMs = 5000;
+const timeoutMs = 5000;
 
 async function readAccount(url: string): Promise<unknown> {
 	try {
-		const res = await fetch(url, {signal: AbortSignal.timeout(limitMs)});
+		const res = await fetch(url, {signal: AbortSignal.timeout(timeoutMs)});
 		return res.ok ? await res.json() : undefined;
 	} catch {
 		return undefined;
@@ -17,15 +17,15 @@
  *
  * @param fleet - Hosts that may have served them.
  * @param requestIds - The requests.
- * @param isMeant - Which accounts are told, by their text.
+ * @param isIncluded - Which accounts are told, by their text.
  * @returns One line for each account.
  */
-export async function readAccounts(fleet: Fleet, requestIds: readonly string[], isMeant: (account: string) => boolean = () => true): Promise<string> {
+export async function readAccounts(fleet: Fleet, requestIds: readonly string[], isIncluded: (account: string) => boolean = () => true): Promise<string> {
 	const asked = requestIds.flatMap(id => fleet.hosts.map(host => ({id, host})));
 	const accounts = await Promise.all(asked.map(async ({id, host}) => readAccount(`${host.entryOperatorUrl}/explain/${encodeURIComponent(id)}`)));
 	return accounts
 		.map((account, i) => ({account, host: asked[i]!.host.id}))
-		.filter(({account}) => account !== undefined && isMeant(JSON.stringify(account)))
+		.filter(({account}) => account !== undefined && isIncluded(JSON.stringify(account)))
 		.map(({account, host}) => `${host}: ${JSON.stringify(account)}`)
 		.join('\n');
 }
--- a/test/failures/_lib/start-call.ts
+++ b/test/failures/_lib/start-call.ts
@@ -67,8 +67,8 @@
 
 type Response = {statusCode: number; headers: Record<string, string | string[] | undefined>};
 
-function toResult(options: CallOptions, res: Response | undefined, body: string, cut: {isCut: boolean; errorCode: string | undefined}): CallResult {
-	const {isCut, errorCode} = cut;
+function toResult(options: CallOptions, res: Response | undefined, body: string, ending: {isCut: boolean; errorCode: string | undefined}): CallResult {
+	const {isCut, errorCode} = ending;
 	const {documents, isDone} = toDocuments(body);
 	const text = documents.map(document => document.choices?.[0]?.text ?? '').join('');
 	const hasFinish = documents.some(document => typeof document.choices?.[0]?.finish_reason === 'string');
--- a/test/failures/_lib/start-plain-call.ts
+++ b/test/failures/_lib/start-plain-call.ts
@@ -11,16 +11,16 @@
 
 export type PlainCallResult = Pick<CallResult, 'status' | 'requestId' | 'isWhole' | 'outcome' | 'problem' | 'isBroken' | 'retryAfter'>;
 
-const broken: PlainCallResult = {
+const brokenResult: PlainCallResult = {
 	status: 0, requestId: '', isWhole: false, outcome: undefined, problem: undefined, isBroken: true, retryAfter: undefined,
 };
 
-type Answered = {status: number; body: string; requestId: string; retryAfter: string | undefined};
+type PlainAnswer = {status: number; body: string; requestId: string; retryAfter: string | undefined};
 
-function toResult(sent: string, {status, body, requestId, retryAfter}: Answered): PlainCallResult {
+function toResult(sent: string, {status, body, requestId, retryAfter}: PlainAnswer): PlainCallResult {
 	if (status === 200) {
 		return {
-			...broken, status, requestId, isWhole: body === sent, isBroken: false,
+			...brokenResult, status, requestId, isWhole: body === sent, isBroken: false,
 		};
 	}
 
@@ -48,7 +48,7 @@
 			status: res.statusCode, body: await res.body.text(), requestId: String(res.headers['x-request-id'] ?? ''), retryAfter: res.headers['retry-after']?.toString(),
 		});
 	} catch {
-		return broken;
+		return brokenResult;
 	} finally {
 		await dispatcher.destroy();
 	}
--- a/test/failures/_lib/watch-hosts.ts
+++ b/test/failures/_lib/watch-hosts.ts
@@ -2,9 +2,9 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {type FleetHost} from '../../_lib/start-fleet/index.js';
 
-const lookEveryMs = 20;
+const pollIntervalMs = 20;
 
-type Look = {marker: number; at: number};
+type Observation = {marker: number; at: number};
 
 /** The edition that a host's callers see, by the model that only this edition names. */
 export async function readMarker(host: FleetHost): Promise<number | undefined> {
@@ -20,22 +20,22 @@
 
 /** Looks at all hosts again and again, as callers do, and keeps each change. */
 export function watchHosts(hosts: readonly FleetHost[]) {
-	const seen = new Map<string, Look[]>(hosts.map(({id}) => [id, []]));
+	const seen = new Map<string, Observation[]>(hosts.map(({id}) => [id, []]));
 	let hasEnded = false;
 	const isOver = () => hasEnded;
 	const watches = hosts.map(async host => {
-		const looks = seen.get(host.id)!;
+		const observations = seen.get(host.id)!;
 		while (!isOver()) {
 			const marker = await readMarker(host);
-			if (marker !== undefined && marker !== looks.at(-1)?.marker) {
-				looks.push({marker, at: performance.now()});
+			if (marker !== undefined && marker !== observations.at(-1)?.marker) {
+				observations.push({marker, at: performance.now()});
 			}
 
-			await sleep(lookEveryMs);
+			await sleep(pollIntervalMs);
 		}
 	});
 	return {
-		latest: (host: FleetHost): Look | undefined => seen.get(host.id)!.at(-1),
+		latest: (host: FleetHost): Observation | undefined => seen.get(host.id)!.at(-1),
 		/** Hosts whose callers saw an earlier edition after a later one. */
 		reverted: () => [...seen].filter(([, looks]) => looks.some(({marker}, i) => i > 0 && marker < looks[i - 1]!.marker)).map(([id, looks]) => ({id, markers: looks.map(({marker}) => marker)})),
 		async end() {
--- a/test/failures/at-most-once.test.ts
+++ b/test/failures/at-most-once.test.ts
@@ -13,7 +13,7 @@
 import {v7 as createKey} from 'uuid';
 import {startFleet, type Fleet, type FleetHost} from '../_lib/start-fleet/index.js';
 import {waitUntil} from '../_lib/wait-until/index.js';
-import {hostFaults, type HostFault, type Struck} from './_lib/host-faults.js';
+import {hostFaults, type HostFault, type ActiveFault} from './_lib/host-faults.js';
 import {startCall} from './_lib/start-call.js';
 import {startPlainCall, type PlainCallResult} from './_lib/start-plain-call.js';
 
@@ -25,7 +25,7 @@
 /** Of six hosts in three zones. */
 const quorum = 4;
 const hostCount = 6;
-const betweenSentMs = 2;
+const sendIntervalMs = 2;
 
 const mints = [{mint: 'on time', offMs: 0}, {mint: 'ahead', offMs: twoMinutesMs}, {mint: 'behind', offMs: -twoMinutesMs}] as const;
 const stages = ['ended', 'in decode', 'in prefill', 'sent'] as const;
@@ -78,26 +78,26 @@
 };
 
 const {
-	killed, back, backAhead, backBehind, asleep, replaced, cut, stale,
+	killed, restarted, restartedAhead, restartedBehind, paused, replaced, cut, stale,
 } = hostFaults;
 const pairs: ReadonlyArray<readonly [HostFault, HostFault]> = [
-	[killed, back],
-	[killed, asleep],
+	[killed, restarted],
+	[killed, paused],
 	[killed, cut],
 	[killed, replaced],
 	[killed, stale],
-	[asleep, backBehind],
-	[asleep, cut],
-	[asleep, replaced],
-	[cut, backAhead],
-	[cut, asleep],
+	[paused, restartedBehind],
+	[paused, cut],
+	[paused, replaced],
+	[cut, restartedAhead],
+	[cut, paused],
 	[cut, replaced],
-	[replaced, back],
+	[replaced, restarted],
 ];
 const scenarios: readonly Scenario[] = [
-	...[killed, back, asleep, replaced, cut, stale].map((first): Scenario => ({name: `of its host: ${first.name}`, first})),
+	...[killed, restarted, paused, replaced, cut, stale].map((first): Scenario => ({name: `of its host: ${first.name}`, first})),
 	...pairs.map(([first, second]): Scenario => ({name: `of its host: ${first.name}; of another: ${second.name}`, first, second})),
-	{name: `of every host: ${back.name}`, first: back, isEverywhere: true},
+	{name: `of every host: ${restarted.name}`, first: restarted, isEverywhere: true},
 	{
 		name: `of its host: ${killed.name}; the host list changes while another zone is cut off`, first: killed, second: cut, listChanges: true,
 	},
@@ -129,32 +129,32 @@
 	afterEach(async () => {
 		fleet.network.heal();
 		fleet.platform.setFaults({});
-		for (const {clear} of struck) {
+		for (const {cleanUp: clear} of activeFaults) {
 			await clear?.();
 		}
 
-		await Promise.all([...ailing].map(async host => {
+		await Promise.all([...faultyHosts].map(async host => {
 			await host.kill();
 			host.setClock({startedAgoMs});
 			await host.start();
 		}));
-		struck.length = 0;
-		ailing.clear();
+		activeFaults.length = 0;
+		faultyHosts.clear();
 		await fleet.waitUntilReady();
 	});
 	after(async () => {
 		await fleet.stop();
 	});
 
-	const struck: Struck[] = [];
-	const ailing = new Set<FleetHost>();
-	const told: Array<{work: Work; result: PlainCallResult; begun: number}> = [];
+	const activeFaults: ActiveFault[] = [];
+	const faultyHosts = new Set<FleetHost>();
+	const outcomes: Array<{work: Work; result: PlainCallResult; begun: number}> = [];
 
 	/** Sends work and compares the word given with the count at that moment. */
 	async function send(work: Work, host: FleetHost): Promise<PlainCallResult> {
 		const result = await work.send(host);
 		const {begun} = countRuns(fleet, work);
-		told.push({work, result, begun});
+		outcomes.push({work, result, begun});
 		if (result.outcome === 'not-run') {
 			assert.equal(begun, 0, `said "not run" of a ${work.kind} that began (${work.stage}, key ${work.mint}): ${JSON.stringify(result)}`);
 		}
@@ -167,7 +167,7 @@
 	}
 
 	/** The fault of the case before may have cut this host's peers off a moment ago; until they vouch again, refusals are right. */
-	async function waitUntilClaiming(host: FleetHost): Promise<void> {
+	async function waitUntilClaimsSucceed(host: FleetHost): Promise<void> {
 		for (const kind of ['scene', 'desk'] as const) {
 			await waitUntil(async () => {
 				const result = await send(createWork(kind, 'ended', mints[0]), host);
@@ -177,23 +177,23 @@
 	}
 
 	async function startWorks(host: FleetHost): Promise<{works: Work[]; firsts: Promise<PlainCallResult[]>}> {
-		await waitUntilClaiming(host);
+		await waitUntilClaimsSucceed(host);
 		const works = stages.flatMap(stage => mints.flatMap(mint => [createWork('scene', stage, mint), createWork('desk', stage, mint)]));
 		await sendAll(works.filter(({stage}) => stage === 'ended'), host);
 		const early = works.filter(({stage}) => stage === 'in decode' || stage === 'in prefill');
 		const sent = sendAll(early, host);
-		const hasEnded = (one: Work) => told.some(({work}) => work === one);
+		const hasEnded = (one: Work) => outcomes.some(({work}) => work === one);
 		await waitUntil(() => early.every(work => {
 			const {begun, runs} = countRuns(fleet, work);
 			return hasEnded(work) || (work.stage === 'in decode' ? runs > 0 : begun > 0);
 		}), {deadlineMs, what: 'the start of all work'});
-		const refused = told.filter(({work, begun}) => early.includes(work) && begun === 0);
+		const refused = outcomes.filter(({work, begun}) => early.includes(work) && begun === 0);
 		assert.deepEqual(refused.map(({work, result}) => ({work, result})), [], 'work was refused by a host that nothing ailed yet');
 		const last: Array<Promise<PlainCallResult>> = [];
 		// The first of these are being claimed or dispatched when the fault strikes, the last have hardly been sent.
 		for (const work of works.filter(({stage}) => stage === 'sent')) {
 			last.push(send(work, host));
-			await sleep(betweenSentMs);
+			await sleep(sendIntervalMs);
 		}
 
 		return {works, firsts: Promise.all([sent, ...last]).then(results => results.flat())}; // eslint-disable-line promise/prefer-await-to-then -- not to be awaited here
@@ -210,46 +210,46 @@
 		name, first, second, listChanges = false, isEverywhere = false,
 	} of scenarios) {
 		it(`runs at most once, ${name}`, async t => {
-			told.length = 0;
-			const [host, mate, other, , third] = fleet.hosts as [FleetHost, FleetHost, FleetHost, FleetHost, FleetHost];
+			outcomes.length = 0;
+			const [host, zonePeer, other, , third] = fleet.hosts as [FleetHost, FleetHost, FleetHost, FleetHost, FleetHost];
 			const faults: ReadonlyArray<readonly [HostFault, FleetHost]> = isEverywhere
 				? fleet.hosts.map(each => [first, each])
 				: [[first, host], ...(second === undefined ? [] : [[second, third] as const])];
 			const {works, firsts} = await startWorks(host);
 			for (const [, target] of faults) {
-				ailing.add(target);
+				faultyHosts.add(target);
 			}
 
-			struck.push(...await Promise.all(faults.map(async ([fault, target]) => fault.strike(fleet, target))));
+			activeFaults.push(...await Promise.all(faults.map(async ([fault, target]) => fault.inject(fleet, target))));
 
 			if (listChanges) {
 				fleet.platform.publish('config', fleet.toConfigText({hosts: fleet.hosts.filter(({id}) => id !== 'dvorana-b-2').map(({id, zone}) => ({id, zone}))}));
 			}
 
 			const isCutOff = (one: FleetHost) => faults.some(([fault, target]) => fault === cut && target.zone === one.zone);
-			const well = fleet.hosts.filter(one => isEverywhere || (!ailing.has(one) && !isCutOff(one)));
-			await fleet.waitUntilReady(well);
-			const [fresh] = await Promise.all([countRefusals(well), sendAll(works, other), ...(isCutOff(mate) ? [sendAll(works, mate)] : [])]);
-			await Promise.all(struck.map(async ({undo}) => undo()));
+			const healthyHosts = fleet.hosts.filter(one => isEverywhere || (!faultyHosts.has(one) && !isCutOff(one)));
+			await fleet.waitUntilReady(healthyHosts);
+			const [newKeys] = await Promise.all([countRefusals(healthyHosts), sendAll(works, other), ...(isCutOff(zonePeer) ? [sendAll(works, zonePeer)] : [])]);
+			await Promise.all(activeFaults.map(async ({undo}) => undo()));
 			await firsts;
-			await sendAll(works, mate);
+			await sendAll(works, zonePeer);
 			await sendAll(works, host.entry().isRunning() ? host : other);
 			await sendAll(works, third.entry().isRunning() ? third : other);
 			const counted = works.map(work => ({work, ...countRuns(fleet, work)}));
 
-			const wholes = works.filter(({key}) => told.some(({work, result}) => work.key === key && result.isWhole));
+			const answeredWhole = works.filter(({key}) => outcomes.some(({work, result}) => work.key === key && result.isWhole));
 			const neverRun = counted.filter(({begun}) => begun === 0).map(({work}) => `${work.kind} ${work.stage}, key ${work.mint}`);
 			const count = (isMeant: (runs: number) => boolean) => counted.filter(({runs}) => isMeant(runs)).length;
 			t.diagnostic(`${works.length} keys: ${count(runs => runs > 1)} ran twice, ${count(runs => runs === 1)} once, ${count(runs => runs === 0)} not to the end`);
-			t.diagnostic(`${wholes.length} got a whole answer`);
+			t.diagnostic(`${answeredWhole.length} got a whole answer`);
 			t.diagnostic(`refused without having begun anywhere: ${neverRun.length === 0 ? 'none' : neverRun.join('; ')}`);
-			t.diagnostic(`new keys at hosts that are well: ${fresh.refused.length} of ${fresh.asked} refused`);
+			t.diagnostic(`new keys at hosts that are well: ${newKeys.refused.length} of ${newKeys.asked} refused`);
 			for (const {work, runs} of counted) {
 				assert.ok(runs <= 1, `${work.kind} ${work.stage}, key ${work.mint}: ${runs} runs`);
 			}
 
-			if (hostCount - faults.reduce((sum, [{hostsOut}]) => sum + hostsOut, 0) >= quorum) {
-				assert.deepEqual(fresh.refused, [], 'a refusal that was not needed');
+			if (hostCount - faults.reduce((sum, [{nonVouchingHosts: hostsOut}]) => sum + hostsOut, 0) >= quorum) {
+				assert.deepEqual(newKeys.refused, [], 'a refusal that was not needed');
 			}
 		});
 	}
--- a/test/failures/config-bad-edits.test.ts
+++ b/test/failures/config-bad-edits.test.ts
@@ -56,8 +56,8 @@
 				const revision = config().fleet.platform.publish('config', text);
 				await config().waitUntilRefused(config().fleet.hosts, revision);
 				for (const host of config().fleet.hosts) {
-					const told = host.agent().logs().filter(line => line.message === 'configuration refused' && line.revision === revision);
-					assert.equal(told.length, 1, `${host.id} logged ${told.length} refusals, ${turn}`);
+					const refusals = host.agent().logs().filter(line => line.message === 'configuration refused' && line.revision === revision);
+					assert.equal(refusals.length, 1, `${host.id} logged ${refusals.length} refusals, ${turn}`);
 				}
 
 				await config().waitUntilSeen(good);
@@ -74,12 +74,12 @@
 		it(`stays while a part of the next edit ${name}, which staff are told on every host, and follows once it is there`, async t => {
 			const {newer: good} = await config().putInForce();
 			const {parts, ...next} = config().toSealedParts(config().current().text);
-			const late = parts.find(part => part.name === 'rules-001')!;
-			const others = parts.filter(part => part !== late);
-			const served = toServed(late, others[0]!);
-			config().publishParts(others);
+			const latePart = parts.find(part => part.name === 'rules-001')!;
+			const otherParts = parts.filter(part => part !== latePart);
+			const served = toServed(latePart, otherParts[0]!);
+			config().publishParts(otherParts);
 			if (served !== undefined) {
-				config().fleet.platform.publish(toPartKey(late), served);
+				config().fleet.platform.publish(toPartKey(latePart), served);
 			}
 
 			const {revision} = config().publish(next);
@@ -87,13 +87,13 @@
 			for (const host of config().fleet.hosts) {
 				const {refused} = await readStatus(host);
 				assert.equal(refused?.kind, 'parts-missing');
-				assert.ok(refused.reason.includes(`${late.name} under ${toPartKey(late)}`), refused.reason);
+				assert.ok(refused.reason.includes(`${latePart.name} under ${toPartKey(latePart)}`), refused.reason);
 			}
 
 			// A replaced host asks its peers and the platform, and gets what is in force.
 			await config().restart(config().fleet.hosts.slice(0, 1));
 			await config().waitUntilSeen(good);
-			config().publishParts([late]);
+			config().publishParts([latePart]);
 			config().setCurrent({...next, revision, at: performance.now()});
 			const spread = await config().waitUntilSeen(config().current());
 			t.diagnostic(`in force everywhere ${Math.max(...spread)} ms after the part was there`);
--- a/test/failures/config-never-reverts.test.ts
+++ b/test/failures/config-never-reverts.test.ts
@@ -16,9 +16,9 @@
 } from './_lib/start-config-fleet.js';
 
 /** More than a host waits between two reads of the platform. */
-const betweenReadsMs = 1000;
+const readIntervalMs = 1000;
 /** Reads of the platform that one host may make in its first ten seconds. */
-const startReadsOfHost = 16;
+const maxStartReadsPerHost = 16;
 const startWindowMs = 10_000;
 
 describe('a configuration in force', () => {
@@ -38,7 +38,7 @@
 			it(`stays when the platform serves ${name} and ${which}`, async () => {
 				const {older, newer} = await config().putInForce();
 				// A host that heard of the newest from a peer may not have read it yet, and would find nothing new in the older one.
-				await sleep(betweenReadsMs);
+				await sleep(readIntervalMs);
 				const faults = toFaults(older);
 				config().fleet.platform.setFaults(faults);
 				const restarted = pick();
@@ -127,7 +127,7 @@
 		const reads = perSecond.reduce((sum, count) => sum + count, 0);
 		t.diagnostic(`${reads} reads in ${startWindowMs} ms by ${config().fleet.hosts.length} hosts that started together, by second ${perSecond.join(' ')}; by their own count ${byHost.join(' ')}`);
 		assert.ok(reads > 0);
-		assert.ok(reads <= startReadsOfHost * config().fleet.hosts.length, `${reads} reads`);
+		assert.ok(reads <= maxStartReadsPerHost * config().fleet.hosts.length, `${reads} reads`);
 		assert.equal(config().fleet.platform.judge().rejectedReads, 0);
 	}
 
--- a/test/failures/config-restarted-peer.test.ts
+++ b/test/failures/config-restarted-peer.test.ts
@@ -11,7 +11,7 @@
 import {useConfigFleet} from './_lib/start-config-fleet.js';
 
 /** Long enough for a replaced host to have heard its peer. */
-const untilPlatformReturnsMs = 1500;
+const platformDownMs = 1500;
 
 describe('a replaced host beside a restarted agent', () => {
 	const config = useConfigFleet();
@@ -26,7 +26,7 @@
 		await Promise.all([replaced, ...others].map(async host => host.kill()));
 		await behind.agent().kill();
 		await Promise.all([behind.startAgent(), replaced.start()]);
-		await sleep(untilPlatformReturnsMs);
+		await sleep(platformDownMs);
 		config().fleet.platform.setFaults({});
 		await Promise.all(others.map(async host => host.start()));
 		await config().waitUntilSeen(newer);
--- a/test/failures/crashing-request.test.ts
+++ b/test/failures/crashing-request.test.ts
@@ -37,7 +37,7 @@
 }
 
 /** Sends what another host would tell. */
-async function tellOfCrashes(address: string, fingerprint: string): Promise<void> {
+async function sendCrashReport(address: string, fingerprint: string): Promise<void> {
 	const from = await findUdpAddress();
 	const other = await openLoadDatagrams({address: from, onMessage: () => undefined, onFault: () => undefined});
 	other.send({
@@ -125,7 +125,7 @@
 	});
 
 	/** Asks, and lets another host tell of the crashes while the prompt is computed; `undefined` where the prompt took longer than it may on a busy machine. */
-	async function askWhileTold(n: number): Promise<Answer | undefined> {
+	async function askDuringCrashReport(n: number): Promise<Answer | undefined> {
 		const {prefill1, prefill2} = fixture.servers;
 		const released = createDeferred();
 		prefill1.holdPrompts(released.promise);
@@ -135,7 +135,7 @@
 		const asking = fixture.ask({...crashing, body, headers: toStreamHeaders({'request-id': requestId})});
 		await waitUntil(() => countCalls({body}, 'prefill') > 0, {deadlineMs, what: 'its prompt under way', everyMs: 2});
 		const toOwn = (message: string) => fixture.logs().find(line => line.message === message && line.requestId === requestId);
-		await tellOfCrashes(fixture.peerAddresses[0]!, String(toOwn('request received')?.fingerprint));
+		await sendCrashReport(fixture.peerAddresses[0]!, String(toOwn('request received')?.fingerprint));
 		await waitUntil(() => fixture.logs().filter(({message}) => message === 'request quarantined').length > n, {deadlineMs, what: 'the host to know', everyMs: 2});
 		const isLate = toOwn('attempt failed') !== undefined;
 		released.resolve();
@@ -146,7 +146,7 @@
 	it('is not sent on when another host tells of its crashes while its prompt is computed', async () => {
 		await startFixture(2);
 		for (let n = 0; n < 10; n++) {
-			const answer = await askWhileTold(n);
+			const answer = await askDuringCrashReport(n);
 			if (answer !== undefined) {
 				assert.equal(answer.status, 503);
 				assert.match(answer.body, /quarantined/v);
@@ -177,7 +177,7 @@
 		const asking = fixture.ask({...crashing, at: 0});
 		await waitUntil(() => decode1.arrivals.length + decode2.arrivals.length > 0, {deadlineMs, what: 'it to wait', everyMs: 2});
 		const received = fixture.logs().find(({message}) => message === 'request received');
-		await tellOfCrashes(fixture.peerAddresses[0]!, String(received?.fingerprint));
+		await sendCrashReport(fixture.peerAddresses[0]!, String(received?.fingerprint));
 		await waitUntil(() => fixture.logs().some(({message}) => message === 'request quarantined'), {deadlineMs, what: 'the host to know', everyMs: 2});
 		decode1.setFreeTokens(40_000);
 		const {status, body} = await asking;
@@ -225,12 +225,12 @@
 		while (broken.size < 3) {
 			misdeeds.push('reset');
 			await fixture.ask({path: '/lookup/7', body: 'unlucky'});
-			const at = desks.find(({arrivals}) => arrivals.at(-1)?.body === 'unlucky' && arrivals.at(-1)?.isLeft === true)!;
-			broken.add(at);
-			const runs = at.runs().length;
+			const brokenServer = desks.find(({arrivals}) => arrivals.at(-1)?.body === 'unlucky' && arrivals.at(-1)?.isLeft === true)!;
+			broken.add(brokenServer);
+			const runs = brokenServer.runs().length;
 			await waitUntil(async () => {
 				await fixture.ask({path: '/lookup/8', body: 'another'});
-				return at.runs().length > runs;
+				return brokenServer.runs().length > runs;
 			}, {deadlineMs, what: 'the server to answer another request'});
 		}
 
--- a/test/failures/graceful-stop.test.ts
+++ b/test/failures/graceful-stop.test.ts
@@ -12,20 +12,20 @@
 import {v7 as createKey} from 'uuid';
 import {startFleet, type Fleet, type FleetHost} from '../_lib/start-fleet/index.js';
 import {waitUntil} from '../_lib/wait-until/index.js';
-import {createKeptCaller, type KeptCaller} from './_lib/create-kept-caller.js';
+import {createKeepAliveCaller, type KeepAliveCaller} from './_lib/create-keep-alive-caller.js';
 import {startCall, type CallOptions} from './_lib/start-call.js';
 
 const deadlineMs = 60_000;
 const callerCount = 8;
-const longsPerHost = 3;
-const readyEveryMs = 100;
+const longLettersPerHost = 3;
+const readyPollIntervalMs = 100;
 const betweenCallsMs = 20;
 
 /** Where a balancer sends new connections. */
 function watchReadiness(hosts: readonly FleetHost[]) {
 	const ready = new Set<FleetHost>();
 	const ending = new AbortController();
-	const look = async (host: FleetHost): Promise<void> => {
+	const checkReady = async (host: FleetHost): Promise<void> => {
 		try {
 			const answer = await fetch(`${host.entryOperatorUrl}/ready`, {signal: AbortSignal.timeout(1000)});
 			await answer.text();
@@ -40,8 +40,8 @@
 
 	const done = (async () => {
 		while (!ending.signal.aborted) {
-			await Promise.all(hosts.map(async host => look(host)));
-			await sleep(readyEveryMs);
+			await Promise.all(hosts.map(async host => checkReady(host)));
+			await sleep(readyPollIntervalMs);
 		}
 	})();
 	return {
@@ -55,7 +55,7 @@
 	};
 }
 
-type Told = {what: string; host: string; isWhole: boolean; detail: string};
+type CallReport = {what: string; host: string; isWhole: boolean; detail: string};
 
 describe('a graceful stop of all hosts, one after the other', () => {
 	let fleet: Fleet;
@@ -74,21 +74,21 @@
 		});
 	});
 	after(async () => {
-		for (const one of endings) {
-			one.abort();
+		for (const controller of endings) {
+			controller.abort();
 		}
 
 		await fleet.stop();
 	});
 
 	it('cuts off nothing and forgets no key', async t => {
-		const told: Told[] = [];
+		const reports: CallReport[] = [];
 		const readiness = watchReadiness(fleet.hosts);
 		await waitUntil(() => fleet.hosts.every(host => readiness.isReady(host)), {deadlineMs, what: 'all hosts to be ready'});
 		const scene = (): CallOptions => ({
 			prompt: `scene ${createKey()}`, maxTokens: 5, isScene: true, key: createKey(),
 		});
-		const used = await Promise.all(fleet.hosts.map(async host => {
+		const usedKeys = await Promise.all(fleet.hosts.map(async host => {
 			const options = scene();
 			const result = await startCall(host.callerUrl, options).done;
 			assert.equal(result.isWhole, true, JSON.stringify(result));
@@ -102,30 +102,30 @@
 		const ending = new AbortController();
 		endings.push(ending, readiness.ending);
 		let asked = 0;
-		const work = async (caller: KeptCaller, number: number): Promise<void> => {
+		const work = async (caller: KeepAliveCaller, number: number): Promise<void> => {
 			for (let i = number; !ending.signal.aborted; i++) {
 				const host = readiness.pick(i);
 				if (host === undefined) {
-					await sleep(readyEveryMs);
+					await sleep(readyPollIntervalMs);
 					continue;
 				}
 
 				asked++;
 				const kind = (['letter', 'scene', 'desk lookup', 'desk change'] as const)[i % 4]!;
 				const {isWhole, detail} = await caller.ask(host.callerUrl, kind, `${number}-${i}`);
-				told.push({
+				reports.push({
 					what: kind, host: host.id, isWhole, detail,
 				});
 				await sleep(betweenCallsMs);
 			}
 		};
 
-		const callers = Array.from({length: callerCount}, () => createKeptCaller());
+		const callers = Array.from({length: callerCount}, () => createKeepAliveCaller());
 		const working = Promise.all(callers.map(async (caller, number) => work(caller, number)));
-		const stops: number[] = [];
+		const stopDurationsMs: number[] = [];
 		const claimLines: Array<() => string[]> = [];
-		const longs: Array<Promise<Told>> = [];
-		const startLong = async (host: FleetHost, i: number): Promise<Told> => {
+		const longLetters: Array<Promise<CallReport>> = [];
+		const startLong = async (host: FleetHost, i: number): Promise<CallReport> => {
 			const result = await startCall(host.callerUrl, {prompt: `long letter ${host.id} ${i}`, maxTokens: 240}).done;
 			return {
 				what: 'long letter', host: host.id, isWhole: result.isWhole, detail: JSON.stringify({...result, text: result.text.length}),
@@ -133,13 +133,13 @@
 		};
 
 		for (const host of fleet.hosts) {
-			const own = Array.from({length: longsPerHost}, async (_, i) => startLong(host, i));
-			longs.push(...own);
+			const own = Array.from({length: longLettersPerHost}, async (_, i) => startLong(host, i));
+			longLetters.push(...own);
 			await sleep(500);
 			const stoppedAt = performance.now();
 			const leaving = host.entry();
 			await host.stop(deadlineMs);
-			stops.push(Math.round(performance.now() - stoppedAt));
+			stopDurationsMs.push(Math.round(performance.now() - stoppedAt));
 			// A clock that says nothing of an earlier start: only the hand-over lets it vouch for keys.
 			host.setClock({});
 			await host.start();
@@ -152,24 +152,24 @@
 		ending.abort();
 		await working;
 		await Promise.all(callers.map(async caller => caller.close()));
-		told.push(...await Promise.all(longs));
+		reports.push(...await Promise.all(longLetters));
 		await readiness.end();
 
 		const runsBefore = countScenes();
-		const again = await Promise.all(used.flatMap(options => fleet.hosts.map(async host => startCall(host.callerUrl, options).done)));
-		const words = new Map<string, number>();
+		const again = await Promise.all(usedKeys.flatMap(options => fleet.hosts.map(async host => startCall(host.callerUrl, options).done)));
+		const outcomeCounts = new Map<string, number>();
 		for (const {isWhole, outcome} of again) {
 			const word = isWhole ? 'the whole answer' : (outcome ?? 'nothing');
-			words.set(word, (words.get(word) ?? 0) + 1);
+			outcomeCounts.set(word, (outcomeCounts.get(word) ?? 0) + 1);
 		}
 
-		const failed = told.filter(({isWhole}) => !isWhole);
-		t.diagnostic(`${asked} calls and ${longs.length} long letters during ${fleet.hosts.length} restarts: ${failed.length} not whole`);
-		t.diagnostic(`stops took ${stops.join(', ')} ms`);
-		t.diagnostic(`old keys sent to all hosts again: ${[...words].map(([word, count]) => `${count} ${word}`).join(', ')}`);
+		const failed = reports.filter(({isWhole}) => !isWhole);
+		t.diagnostic(`${asked} calls and ${longLetters.length} long letters during ${fleet.hosts.length} restarts: ${failed.length} not whole`);
+		t.diagnostic(`stops took ${stopDurationsMs.join(', ')} ms`);
+		t.diagnostic(`old keys sent to all hosts again: ${[...outcomeCounts].map(([word, count]) => `${count} ${word}`).join(', ')}`);
 		t.diagnostic(claimLines.flatMap(toLines => toLines()).join('\n'));
 		assert.deepEqual(failed.slice(0, 10), []);
-		assert.ok(told.some(({what}) => what === 'scene'), 'no scene was asked for');
+		assert.ok(reports.some(({what}) => what === 'scene'), 'no scene was asked for');
 		assert.equal(countScenes(), runsBefore, 'a key that was used before a restart ran again');
 		assert.ok(again.every(({isWhole, outcome}) => isWhole || outcome === 'may-have-run' || outcome === 'ran'), JSON.stringify(again));
 	});
--- a/test/failures/leaving-answer.test.ts
+++ b/test/failures/leaving-answer.test.ts
@@ -26,7 +26,7 @@
 }
 
 /** Asks many times; gives the calls that reached the server meanwhile. */
-async function askOften(server: ServerStandIn, asked: Asked): Promise<number> {
+async function countCallsDuringLoad(server: ServerStandIn, asked: Asked): Promise<number> {
 	const before = server.arrivals.length;
 	const answers = await Promise.all(Array.from({length: 12}, async () => fixture.ask(asked)));
 	assert.ok(answers.every(({status}) => status === 200), answers.map(({status}) => status).join(' '));
@@ -49,7 +49,7 @@
 		store.cutWatches();
 		servers.desk1.setLeaving(true);
 		await askUntilAnswered(servers.desk1, lookup);
-		assert.equal(await askOften(servers.desk1, lookup), 0);
+		assert.equal(await countCallsDuringLoad(servers.desk1, lookup), 0);
 	});
 
 	it('gets nothing new, though the platform lists it as ready after that', async () => {
@@ -59,14 +59,14 @@
 		publishServer(servers.desk1, {slots: 9});
 		publishRoutes(2);
 		await waitUntil(() => logs().some(({message, edition}) => message === 'configuration in force' && edition === 2), {deadlineMs, what: 'the host to read what was published'});
-		assert.equal(await askOften(servers.desk1, lookup), 0);
+		assert.equal(await countCallsDuringLoad(servers.desk1, lookup), 0);
 	});
 
 	it('computes no prompt for a decode server that says so with the place that it grants', async () => {
 		const {servers} = fixture;
 		servers.decode1.setLeaving(true);
 		await askUntilAnswered(servers.decode1, summary);
-		assert.equal(await askOften(servers.decode1, summary), 0);
+		assert.equal(await countCallsDuringLoad(servers.decode1, summary), 0);
 		assert.equal(servers.decode1.runs().length, 0);
 		const prompts = [...servers.prefill1.arrivals, ...servers.prefill2.arrivals].filter(({step}) => step === 'prefill').length;
 		assert.equal(prompts, servers.decode2.runs().length, 'a prompt was computed for nothing');
@@ -78,7 +78,7 @@
 		servers.prefill1.setLeaving(true);
 		await askUntilAnswered(servers.prefill1, summary);
 		await waitUntil(() => fixture.caches.size === 0, {deadlineMs, what: 'the prompt to be fetched'});
-		assert.equal(await askOften(servers.prefill1, summary), 0);
+		assert.equal(await countCallsDuringLoad(servers.prefill1, summary), 0);
 	});
 
 	it('is used again from its next start', async () => {
@@ -104,11 +104,11 @@
 	});
 	afterEach(async () => fixture.stop());
 
-	const pauseMs = 2000;
+	const backoffMs = 2000;
 
 	/** Lets the server turn one call away, and serve all others. */
-	async function turnOneAway(server: ServerStandIn, asked: Asked): Promise<number> {
-		server.turnAway(pauseMs / 1000);
+	async function turnOneCallAway(server: ServerStandIn, asked: Asked): Promise<number> {
+		server.turnAway(backoffMs / 1000);
 		const at = await askUntilAnswered(server, asked);
 		server.turnAway(undefined);
 		return at;
@@ -122,28 +122,28 @@
 	for (const {name, server: id, asked} of cases) {
 		it(`gets nothing until that time is over, and is used again then: one ${name}`, async () => {
 			const server = fixture.servers[id];
-			const at = await turnOneAway(server, asked);
+			const at = await turnOneCallAway(server, asked);
 			const before = server.arrivals.length;
-			while (performance.now() - at < 0.8 * pauseMs) {
+			while (performance.now() - at < 0.8 * backoffMs) {
 				const {status} = await fixture.ask(asked);
 				assert.equal(status, 200);
 			}
 
 			assert.equal(server.arrivals.length, before);
 			await askUntilAnswered(server, asked);
-			assert.ok(performance.now() - at >= pauseMs, 'asked too early');
+			assert.ok(performance.now() - at >= backoffMs, 'asked too early');
 		});
 	}
 
 	it('refuses at once, and says when to come back, where all servers of a service want nothing', async () => {
 		const {desk1, desk2} = fixture.servers;
-		const [first] = await Promise.all([turnOneAway(desk1, lookup), turnOneAway(desk2, lookup)]);
+		const [first] = await Promise.all([turnOneCallAway(desk1, lookup), turnOneCallAway(desk2, lookup)]);
 		const before = desk1.arrivals.length + desk2.arrivals.length;
 		const answer = await fixture.ask(lookup);
-		assert.ok(performance.now() - first < pauseMs, 'the machine was too slow for this case');
+		assert.ok(performance.now() - first < backoffMs, 'the machine was too slow for this case');
 		assert.equal(answer.status, 503);
 		const returnMs = Number(answer.headers['retry-after']) * 1000;
-		assert.ok(returnMs > 0 && returnMs <= pauseMs, String(returnMs));
+		assert.ok(returnMs > 0 && returnMs <= backoffMs, String(returnMs));
 		assert.equal(desk1.arrivals.length + desk2.arrivals.length, before);
 	});
 
@@ -179,7 +179,7 @@
 		const asking = fixture.ask(summary);
 		await waitUntil(() => prefill1.arrivals.length + prefill2.arrivals.length > 0, {deadlineMs, what: 'a prompt under way', everyMs: 5});
 		const chosen = decode1.arrivals.length > 0 ? decode1 : decode2;
-		chosen.turnAway(pauseMs / 1000);
+		chosen.turnAway(backoffMs / 1000);
 		const other = fixture.ask(summary);
 		await waitUntil(() => fixture.logs().some(({message, server}) => message === 'server asks to back off' && server === chosen.id), {deadlineMs, what: 'the relay to know', everyMs: 5});
 		const before = chosen.arrivals.length;
--- a/test/failures/leaving-contradicted.test.ts
+++ b/test/failures/leaving-contradicted.test.ts
@@ -13,18 +13,18 @@
 import {waitUntil} from '../_lib/wait-until/index.js';
 import {createLoads} from './_lib/create-loads.js';
 import {
-	countOffers, deadlineMs, readReportedState, startLeaverFleet, waitUntilKnown, waitUntilNoneLeaves, zone,
-} from './_lib/leaver-fleet.js';
+	countOffers, deadlineMs, readReportedState, startLeavingServerFleet, waitUntilKnownAsLeaving, waitUntilNoneIsLeaving, zone,
+} from './_lib/leaving-server-fleet.js';
 
 /** Time in which reports contradict the refusal. */
-const contradictedMs = 12_000;
+const contradictionMs = 12_000;
 const loads = createLoads();
 
 describe('a server that refuses as leaving while its reports say that it serves', () => {
 	let fleet: Fleet;
 
 	before(async () => {
-		fleet = await startLeaverFleet({engine: {loadLagMs: 100}});
+		fleet = await startLeavingServerFleet({engine: {loadLagMs: 100}});
 	});
 	afterEach(async () => {
 		await loads.endAll();
@@ -32,7 +32,7 @@
 			engine.setFaults({});
 		}
 
-		await waitUntilNoneLeaves(fleet);
+		await waitUntilNoneIsLeaving(fleet);
 	});
 	after(async () => {
 		await fleet.stop();
@@ -44,13 +44,13 @@
 			const load = loads.start(fleet.hosts, `${role} contradicts itself`);
 			await waitUntil(() => load.results.length > 20, {deadlineMs, what: 'some load'});
 			engine.setFaults({refuse: {reason: 'leaving', on: ['reservations', 'prefills']}});
-			await waitUntilKnown(fleet, engine.id);
+			await waitUntilKnownAsLeaving(fleet, engine.id);
 			await sleep(200);
 			const offers = countOffers(engine);
 			const answered = load.results.length;
-			await sleep(contradictedMs);
+			await sleep(contradictionMs);
 			const offered = countOffers(engine) - offers;
-			t.diagnostic(`${load.results.length - answered} letters in ${contradictedMs} ms after all knew, ${offered} offers; reported ${await readReportedState(engine)}`);
+			t.diagnostic(`${load.results.length - answered} letters in ${contradictionMs} ms after all knew, ${offered} offers; reported ${await readReportedState(engine)}`);
 			assert.ok(load.results.length > answered, 'no load came after all knew');
 			assert.ok(offered <= 2, `${offered} offers to a server that refuses all`);
 			engine.setFaults({});
@@ -68,7 +68,7 @@
 		const load = loads.start(fleet.hosts, 'mistake');
 		await waitUntil(() => load.results.length > 20, {deadlineMs, what: 'some load'});
 		engine.setFaults({refuse: {reason: 'leaving', on: ['reservations'], times: 1}});
-		const {allMs} = await waitUntilKnown(fleet, engine.id);
+		const {allMs} = await waitUntilKnownAsLeaving(fleet, engine.id);
 		await sleep(200);
 		const offers = countOffers(engine);
 		await waitUntil(() => countOffers(engine) > offers + 3, {deadlineMs, what: 'work for the server again'});
--- a/test/failures/leaving-server.test.ts
+++ b/test/failures/leaving-server.test.ts
@@ -16,14 +16,14 @@
 import {waitUntil} from '../_lib/wait-until/index.js';
 import {createLoads} from './_lib/create-loads.js';
 import {
-	countCallersOffers, deadlineMs, readReportedState, startLeaverFleet, waitUntilKnown, waitUntilNoneLeaves, zone,
-} from './_lib/leaver-fleet.js';
+	countCallerOffers, deadlineMs, readReportedState, startLeavingServerFleet, waitUntilKnownAsLeaving, waitUntilNoneIsLeaving, zone,
+} from './_lib/leaving-server-fleet.js';
 import {readAccounts} from './_lib/read-accounts.js';
 import {startCall, type StartedCall} from './_lib/start-call.js';
 import {startPlainCall} from './_lib/start-plain-call.js';
 
 /** Load goes on for so long after all hosts know. */
-const afterwardsMs = 2000;
+const loadAfterKnownMs = 2000;
 
 /** Two seconds of prefill, or five of decode, and what an engine holds meanwhile. */
 const longLetters = {
@@ -43,30 +43,30 @@
 type Case = {
 	name: string;
 	/** Whether callers ask while the hosts learn of it; a refusal can be learnt from only then. */
-	isAskedMeanwhile: boolean;
+	hasLoadWhileLearning: boolean;
 	/** What its report says when all hosts know: other than `leaving` proves that they did not learn it there. */
 	reported: 'serving' | 'leaving';
 	leave: (fleet: Fleet, engine: EngineStandIn) => void;
 };
 
-function leaveByItself(_fleet: Fleet, engine: EngineStandIn): void {
+function setLeavingOnEngine(_fleet: Fleet, engine: EngineStandIn): void {
 	engine.setState('leaving');
 }
 
 const cases: readonly Case[] = [
 	{
 		name: 'the platform\'s list, which its own word contradicts',
-		isAskedMeanwhile: true,
+		hasLoadWhileLearning: true,
 		reported: 'serving',
 		leave(fleet, {id}) {
 			fleet.publishFleet({[id]: 'leaving'});
 		},
 	},
 	{
-		name: 'its refusal, before its lagging load report', isAskedMeanwhile: true, reported: 'serving', leave: leaveByItself,
+		name: 'its refusal, before its lagging load report', hasLoadWhileLearning: true, reported: 'serving', leave: setLeavingOnEngine,
 	},
 	{
-		name: 'its load report', isAskedMeanwhile: false, reported: 'leaving', leave: leaveByItself,
+		name: 'its load report', hasLoadWhileLearning: false, reported: 'leaving', leave: setLeavingOnEngine,
 	},
 ];
 
@@ -74,7 +74,7 @@
 	let fleet: Fleet;
 
 	before(async () => {
-		fleet = await startLeaverFleet({
+		fleet = await startLeavingServerFleet({
 			plainsPerZone: 2,
 			isCuttable: true,
 			engine: {loadLagMs: 5000},
@@ -96,14 +96,14 @@
 			engine.setState('serving');
 		}
 
-		await waitUntilNoneLeaves(fleet);
+		await waitUntilNoneIsLeaving(fleet);
 	});
 	after(async () => {
 		await fleet.stop();
 	});
 
 	/** Long letters, at least one of them on the server. */
-	async function startLong(engine: EngineStandIn, role: 'prefill' | 'decode'): Promise<StartedCall[]> {
+	async function startLongLetters(engine: EngineStandIn, role: 'prefill' | 'decode'): Promise<StartedCall[]> {
 		const calls: StartedCall[] = [];
 		const {text, maxTokens, kind} = longLetters[role];
 		await waitUntil(() => {
@@ -114,12 +114,12 @@
 	}
 
 	for (const {
-		name, isAskedMeanwhile, reported, leave,
+		name, hasLoadWhileLearning: isAskedMeanwhile, reported, leave,
 	} of cases) {
 		for (const role of ['decode', 'prefill'] as const) {
 			it(`gets nothing new: a ${role} engine, known from ${name}`, async t => {
 				const engine = fleet.engine(`${zone}-${role}-1`);
-				const long = await startLong(engine, role);
+				const long = await startLongLetters(engine, role);
 				let load = loads.start(fleet.hosts, `${role} ${name}`);
 				await waitUntil(() => load.results.length > 20, {deadlineMs, what: 'some load'});
 				if (!isAskedMeanwhile) {
@@ -129,29 +129,29 @@
 				const before = load.results;
 				const leftAt = performance.now();
 				leave(fleet, engine);
-				const {firstMs, allMs} = await waitUntilKnown(fleet, engine.id);
+				const {firstMs, allMs} = await waitUntilKnownAsLeaving(fleet, engine.id);
 				assert.equal(await readReportedState(engine), reported);
 				// What was placed a moment before all knew may still be on its way.
 				await sleep(200);
-				const offers = countCallersOffers(engine);
+				const offers = countCallerOffers(engine);
 				const {lastAcceptedAtMs} = engine.judge();
 				const answered = before.length;
 				load = isAskedMeanwhile ? load : loads.start(fleet.hosts, `${role} ${name}, later`);
-				await sleep(afterwardsMs);
+				await sleep(loadAfterKnownMs);
 				await load.end();
-				const longs = await Promise.all(long.map(async ({done}) => done));
+				const longResults = await Promise.all(long.map(async ({done}) => done));
 				const results = [...new Set([...before, ...load.results])];
 
 				const acceptedAfterMs = Math.round((engine.judge().lastAcceptedAtMs ?? 0) - firstMs);
 				t.diagnostic(`first known ${Math.round(firstMs - leftAt)} ms, by all ${Math.round(allMs - leftAt)} ms after it left`);
 				t.diagnostic(`last new work accepted ${acceptedAfterMs} ms after the first host knew`);
-				t.diagnostic(`${results.length - answered} letters after all knew, ${countCallersOffers(engine) - offers} offers`);
+				t.diagnostic(`${results.length - answered} letters after all knew, ${countCallerOffers(engine) - offers} offers`);
 				assert.ok(offers > 0, 'the load did not reach the server');
 				assert.ok(results.length > answered, 'no load came after all knew');
-				assert.equal(countCallersOffers(engine), offers, 'new work was offered to a server that all knew to be leaving');
+				assert.equal(countCallerOffers(engine), offers, 'new work was offered to a server that all knew to be leaving');
 				assert.equal(engine.judge().lastAcceptedAtMs, lastAcceptedAtMs);
 				assert.deepEqual(results.filter(({isWhole}) => !isWhole), []);
-				assert.deepEqual(longs.filter(({isWhole}) => !isWhole), [], 'a letter in progress was not finished');
+				assert.deepEqual(longResults.filter(({isWhole}) => !isWhole), [], 'a letter in progress was not finished');
 			});
 		}
 	}
@@ -163,16 +163,16 @@
 		engine.setState('leaving');
 		const refusedAt = performance.now();
 		const load = loads.start([near], 'peer');
-		const {firstMs, allMs} = await waitUntilKnown(fleet, engine.id);
+		const {firstMs, allMs} = await waitUntilKnownAsLeaving(fleet, engine.id);
 		assert.equal(await readReportedState(engine), 'serving');
 		await load.end();
-		const offers = countCallersOffers(engine);
+		const offers = countCallerOffers(engine);
 		const calls = others.flatMap((host, i) => Array.from({length: 10}, (_, j) => startCall(host.callerUrl, {prompt: `told ${i} ${j}`, maxTokens: 5})));
 		const results = await Promise.all(calls.map(async ({done}) => done));
 		t.diagnostic(`first known ${Math.round(firstMs - refusedAt)} ms, by all ${Math.round(allMs - refusedAt)} ms after the refusals began`);
-		t.diagnostic(`${results.length} letters at hosts that were told, ${countCallersOffers(engine) - offers} offers`);
-		const offered = countCallersOffers(engine) === offers ? '' : await readAccounts(fleet, results.map(({requestId}) => requestId), account => account.includes(engine.id));
-		assert.equal(countCallersOffers(engine), offers, offered);
+		t.diagnostic(`${results.length} letters at hosts that were told, ${countCallerOffers(engine) - offers} offers`);
+		const offered = countCallerOffers(engine) === offers ? '' : await readAccounts(fleet, results.map(({requestId}) => requestId), account => account.includes(engine.id));
+		assert.equal(countCallerOffers(engine), offers, offered);
 		assert.deepEqual(results.filter(({isWhole}) => !isWhole), []);
 	});
 
@@ -185,7 +185,7 @@
 		await waitUntil(() => plain.calls().length > 0, {deadlineMs, what: 'a call in progress'});
 		const leftAt = performance.now();
 		fleet.publishFleet({[plain.id]: 'leaving'});
-		const {allMs} = await waitUntilKnown(fleet, plain.id);
+		const {allMs} = await waitUntilKnownAsLeaving(fleet, plain.id);
 		const calls = plain.calls().length;
 		const results = await Promise.all(Array.from({length: 30}, async (_, i) => ask(i)));
 		t.diagnostic(`known by all ${Math.round(allMs - leftAt)} ms after the list was published; ${plain.calls().length - calls} of ${results.length} further calls`);
--- a/test/failures/membership.test.ts
+++ b/test/failures/membership.test.ts
@@ -15,16 +15,16 @@
 import {startCall, type CallResult} from './_lib/start-call.js';
 
 const deadlineMs = 40_000;
-const lookEveryMs = 100;
-const askEveryMs = 200;
+const pollIntervalMs = 100;
+const askIntervalMs = 200;
 const near = 'dvorana-a';
 const far = 'dvorana-b';
 /** Several times the patience that the hosts of this test have. */
-const patienceMs = 3000;
-const lastingMs = 2 * patienceMs;
-const flapMs = 400;
+const deadAfterMs = 3000;
+const faultDurationMs = 2 * deadAfterMs;
+const flapIntervalMs = 400;
 
-type Seen = {by: string; of: string; life: HostLife; atMs: number};
+type LifeChange = {by: string; of: string; life: HostLife; atMs: number};
 
 async function readLives(host: FleetHost): Promise<Array<{id: string; life: HostLife}>> {
 	try {
@@ -38,11 +38,11 @@
 
 /** Keeps every change of what each host thinks of each other one. */
 function watchLives(hosts: readonly FleetHost[]) {
-	const seen: Seen[] = [];
+	const seen: LifeChange[] = [];
 	const latest = new Map<string, HostLife>();
 	let hasEnded = false;
 	const isOver = () => hasEnded;
-	const look = async (host: FleetHost): Promise<void> => {
+	const recordChanges = async (host: FleetHost): Promise<void> => {
 		for (const {id, life} of await readLives(host)) {
 			const key = `${host.id} ${id}`;
 			if (latest.get(key) !== life) {
@@ -56,8 +56,8 @@
 
 	const watches = hosts.map(async host => {
 		while (!isOver()) {
-			await look(host);
-			await sleep(lookEveryMs);
+			await recordChanges(host);
+			await sleep(pollIntervalMs);
 		}
 	});
 	return {
@@ -78,7 +78,7 @@
 		for (let i = 0; !isOver(); i++) {
 			const {callerUrl} = hosts[i % hosts.length]!;
 			calls.push(startCall(callerUrl, {prompt: `question ${i}`, maxTokens: 4, isQuick: true}).done);
-			await sleep(askEveryMs);
+			await sleep(askIntervalMs);
 		}
 	})();
 	return {
@@ -93,17 +93,17 @@
 type Case = {
 	name: string;
 	/** Hosts that the fault silences for others; callers ask the rest. */
-	silenced: readonly string[];
+	silencedHosts: readonly string[];
 	/** What the others must find out about those; only what is dead may be declared so, and a zone that falls silent as a whole is taken for cut off. */
-	found?: 'suspect' | 'dead';
+	expectedLife?: 'suspect' | 'dead';
 	run: (fleet: Fleet, waitUntilFound: () => Promise<void>) => Promise<void>;
 };
 
 const cases: readonly Case[] = [
 	{
 		name: 'a host that sleeps beyond patience and wakes',
-		silenced: [`${near}-1`],
-		found: 'dead',
+		silencedHosts: [`${near}-1`],
+		expectedLife: 'dead',
 		async run(fleet, waitUntilFound) {
 			const host = fleet.host(`${near}-1`);
 			host.pause();
@@ -113,49 +113,49 @@
 	},
 	{
 		name: 'a link that is cut one way',
-		silenced: [],
+		silencedHosts: [],
 		async run(fleet) {
 			fleet.network.cut(`${near}-1`, `${near}-2`, {isOneWay: true});
-			await sleep(lastingMs);
+			await sleep(faultDurationMs);
 			fleet.network.heal();
 		},
 	},
 	{
 		name: 'a link between zones that is cut one way',
-		silenced: [],
+		silencedHosts: [],
 		async run(fleet) {
 			fleet.network.cut(`${near}-1`, `${far}-1`, {isOneWay: true});
-			await sleep(lastingMs);
+			await sleep(faultDurationMs);
 			fleet.network.heal();
 		},
 	},
 	{
 		name: 'a flapping link',
-		silenced: [],
+		silencedHosts: [],
 		async run(fleet) {
-			for (const until = performance.now() + lastingMs; performance.now() < until;) {
+			for (const until = performance.now() + faultDurationMs; performance.now() < until;) {
 				fleet.network.cut(`${near}-1`, `${near}-2`);
 				fleet.network.cut(`${near}-1`, `${far}-1`);
-				await sleep(flapMs);
+				await sleep(flapIntervalMs);
 				fleet.network.heal();
-				await sleep(flapMs);
+				await sleep(flapIntervalMs);
 			}
 		},
 	},
 	{
 		name: 'a zone that is cut off and joined again',
-		silenced: [`${far}-1`, `${far}-2`],
-		found: 'suspect',
+		silencedHosts: [`${far}-1`, `${far}-2`],
+		expectedLife: 'suspect',
 		async run(fleet, waitUntilFound) {
 			fleet.network.isolate(far);
 			await waitUntilFound();
-			await sleep(lastingMs);
+			await sleep(faultDurationMs);
 			fleet.network.heal();
 		},
 	},
 	{
 		name: 'a restart of all agents at once',
-		silenced: [],
+		silencedHosts: [],
 		async run(fleet) {
 			await Promise.all(fleet.hosts.map(async host => host.agent().kill()));
 			await Promise.all(fleet.hosts.map(async host => host.startAgent()));
@@ -173,7 +173,7 @@
 		await waitUntil(async () => {
 			const lives = await Promise.all(fleet.hosts.map(async host => readLives(host)));
 			return lives.every(seen => fleet.hosts.every(({id}) => seen.some(host => host.id === id && host.life === 'alive')));
-		}, {deadlineMs, what: 'all hosts to be alive for all', everyMs: lookEveryMs});
+		}, {deadlineMs, what: 'all hosts to be alive for all', everyMs: pollIntervalMs});
 	}
 
 	/** Waits until all others think that hosts live no longer. */
@@ -181,7 +181,7 @@
 		await waitUntil(async () => {
 			const lives = await Promise.all(others(ids).map(async host => readLives(host)));
 			return lives.every(seen => ids.every(id => seen.some(host => host.id === id && host.life === life)));
-		}, {deadlineMs, what: `${ids.join(', ')} to be ${life} for the others`, everyMs: lookEveryMs});
+		}, {deadlineMs, what: `${ids.join(', ')} to be ${life} for the others`, everyMs: pollIntervalMs});
 	}
 
 	function report(t: TestContext, startedAt: number, results: readonly CallResult[]): void {
@@ -201,7 +201,7 @@
 			zones: [near, far],
 			hostsPerZone: 2,
 			isCuttable: true,
-			agentFlags: {heartbeatInterval: '300ms', suspectAfter: '1s', deadAfter: `${patienceMs}ms`},
+			agentFlags: {heartbeatInterval: '300ms', suspectAfter: '1s', deadAfter: `${deadAfterMs}ms`},
 		});
 		await waitUntilAllAlive();
 		watch = watchLives(fleet.hosts);
@@ -215,7 +215,7 @@
 		await fleet.stop();
 	});
 
-	for (const {name, silenced, found, run} of cases) {
+	for (const {name, silencedHosts: silenced, expectedLife: found, run} of cases) {
 		it(`outlives ${name}`, async t => {
 			const asking = startAsking(others(silenced));
 			const startedAt = performance.now();
@@ -223,7 +223,7 @@
 			const undoneAt = performance.now();
 			await waitUntilAllAlive();
 			t.diagnostic(`all alive for all ${Math.round(performance.now() - undoneAt)} ms after it was over`);
-			await sleep(lookEveryMs);
+			await sleep(pollIntervalMs);
 			const results = await asking.end();
 			report(t, startedAt, results);
 			const dead = watch.since(startedAt).filter(({life}) => life === 'dead');
@@ -239,7 +239,7 @@
 		const stoppedAt = performance.now();
 		await waitUntilGone([host.id], 'left');
 		t.diagnostic(`known as left by all ${Math.round(performance.now() - stoppedAt)} ms after its end`);
-		await sleep(lastingMs);
+		await sleep(faultDurationMs);
 		await host.start();
 		await waitUntilAllAlive();
 		report(t, startedAt, await asking.end());
--- a/test/failures/not-run.test.ts
+++ b/test/failures/not-run.test.ts
@@ -30,7 +30,7 @@
 	letter: {...letter, queueLimit: 3},
 };
 
-type Told = CallResult & {begun: number; tookMs: number};
+type CallReport = CallResult & {begun: number; tookMs: number};
 
 describe('"not run"', () => {
 	let fleet: Fleet;
@@ -64,39 +64,39 @@
 	});
 
 	/** Sends, and counts at the moment of the answer what began for it. */
-	function start(options: CallOptions): StartedCall & {told: Promise<Told>} {
+	function start(options: CallOptions): StartedCall & {report: Promise<CallReport>} {
 		const sentAt = performance.now();
 		const call = startCall(host.callerUrl, options);
-		const tell = async (): Promise<Told> => {
+		const toReport = async (): Promise<CallReport> => {
 			const result = await call.done;
 			const {prefillsStarted, decodesStarted} = fleet.judgeRequest(result.requestId);
 			return {...result, begun: prefillsStarted + decodesStarted, tookMs: Math.round(performance.now() - sentAt)};
 		};
 
-		return {...call, told: tell()};
+		return {...call, report: toReport()};
 	}
 
-	function checkNotRun(told: Told, {kind, hasRetryAfter = true}: {kind: RegExp; hasRetryAfter?: boolean}): void {
-		const text = JSON.stringify(told);
-		assert.equal(told.outcome, 'not-run', text);
-		assert.match(told.problem ?? '', kind, text);
-		assert.equal(told.begun, 0, `said "not run" of work that began: ${text}`);
-		assert.equal(told.retryAfter !== undefined, hasRetryAfter, `Retry-After: ${text}`);
+	function checkNotRun(report: CallReport, {kind, hasRetryAfter = true}: {kind: RegExp; hasRetryAfter?: boolean}): void {
+		const text = JSON.stringify(report);
+		assert.equal(report.outcome, 'not-run', text);
+		assert.match(report.problem ?? '', kind, text);
+		assert.equal(report.begun, 0, `said "not run" of work that began: ${text}`);
+		assert.equal(report.retryAfter !== undefined, hasRetryAfter, `Retry-After: ${text}`);
 	}
 
-	function checkWord(told: Told): void {
-		if (!told.isWhole) {
-			assert.ok(told.outcome !== undefined, `no word: ${JSON.stringify(told)}`);
-			assert.ok(told.outcome !== 'not-run' || told.begun === 0, `said "not run" of work that began: ${JSON.stringify(told)}`);
-			assert.ok(told.outcome !== 'not-run' || told.retryAfter !== undefined, `did not say when to come back: ${JSON.stringify(told)}`);
+	function checkOutcome(report: CallReport): void {
+		if (!report.isWhole) {
+			assert.ok(report.outcome !== undefined, `no word: ${JSON.stringify(report)}`);
+			assert.ok(report.outcome !== 'not-run' || report.begun === 0, `said "not run" of work that began: ${JSON.stringify(report)}`);
+			assert.ok(report.outcome !== 'not-run' || report.retryAfter !== undefined, `did not say when to come back: ${JSON.stringify(report)}`);
 		}
 	}
 
 	it('is true when the queue is full, and said at once', async t => {
 		const calls = Array.from({length: 20}, (_, i) => start({prompt: `full ${i}`, maxTokens: 60}));
-		const told = await Promise.all(calls.map(async call => call.told));
-		const refused = told.filter(({isWhole}) => !isWhole);
-		t.diagnostic(`${refused.length} of ${told.length} refused, after ${Math.max(...refused.map(({tookMs}) => tookMs))} ms at most`);
+		const reports = await Promise.all(calls.map(async call => call.report));
+		const refused = reports.filter(({isWhole}) => !isWhole);
+		t.diagnostic(`${refused.length} of ${reports.length} refused, after ${Math.max(...refused.map(({tookMs}) => tookMs))} ms at most`);
 		assert.ok(refused.length > 0, 'the queue was never full');
 		for (const one of refused) {
 			checkNotRun(one, {kind: /queue-full$/v});
@@ -105,13 +105,13 @@
 
 	it('is true when the target would be missed', async t => {
 		const calls = Array.from({length: 12}, (_, i) => start({prompt: `late ${i} ${longText}`, maxTokens: 5, isQuick: true}));
-		const told = await Promise.all(calls.map(async call => call.told));
-		const missed = told.filter(({problem}) => problem?.endsWith('target-missed'));
-		const others = told.filter(one => !missed.includes(one)).map(({outcome, problem, isWhole}) => isWhole ? 'whole' : `${outcome} ${problem}`);
-		t.diagnostic(`${missed.length} of ${told.length} would miss it, told after ${missed.map(({tookMs}) => tookMs).join(', ')} ms; others: ${others.join(', ')}`);
+		const reports = await Promise.all(calls.map(async call => call.report));
+		const missed = reports.filter(({problem}) => problem?.endsWith('target-missed'));
+		const others = reports.filter(one => !missed.includes(one)).map(({outcome, problem, isWhole}) => isWhole ? 'whole' : `${outcome} ${problem}`);
+		t.diagnostic(`${missed.length} of ${reports.length} would miss it, told after ${missed.map(({tookMs}) => tookMs).join(', ')} ms; others: ${others.join(', ')}`);
 		assert.ok(missed.length > 0, 'none would miss its target');
-		for (const one of told) {
-			checkWord(one);
+		for (const one of reports) {
+			checkOutcome(one);
 		}
 
 		for (const one of missed) {
@@ -122,12 +122,12 @@
 	for (const role of ['prefill', 'decode'] as const) {
 		it(`is true when every ${role} engine is gone`, async t => {
 			await fleet.engine(`dvorana-a-${role}-1`).crash();
-			const first = await start({prompt: `gone ${role}`}).told;
-			checkWord(first);
+			const first = await start({prompt: `gone ${role}`}).report;
+			checkOutcome(first);
 			const later = await waitUntil(async () => {
-				const told = await start({prompt: `gone ${role}, later`}).told;
-				checkWord(told);
-				return told.problem?.endsWith('no-capacity') && told;
+				const report = await start({prompt: `gone ${role}, later`}).report;
+				checkOutcome(report);
+				return report.problem?.endsWith('no-capacity') && report;
 			}, {deadlineMs, what: 'the word that there is no server', everyMs: 200});
 			t.diagnostic(`the first: ${first.outcome} ${first.problem} after ${first.tookMs} ms; later ${later.problem} after ${later.tookMs} ms`);
 			checkNotRun(later, {kind: /no-capacity$/v});
@@ -135,13 +135,13 @@
 
 		it(`is true when every ${role} engine leaves`, async () => {
 			fleet.engine(`dvorana-a-${role}-1`).setState('leaving');
-			const told = await start({prompt: `leaves ${role}`}).told;
-			checkWord(told);
-			assert.equal(told.isWhole, false);
+			const report = await start({prompt: `leaves ${role}`}).report;
+			checkOutcome(report);
+			assert.equal(report.isWhole, false);
 		});
 	}
 
-	const minted = (offMs: number) => createKey({msecs: Date.now() + offMs});
+	const createKeyWithOffset = (offMs: number) => createKey({msecs: Date.now() + offMs});
 	const keys: ReadonlyArray<{name: string; toKey: () => string | undefined; kind: RegExp; outcome: string; hasRetryAfter: boolean}> = [
 		{
 			name: 'that is missing', toKey: () => undefined, kind: /key-required$/v, outcome: 'not-run', hasRetryAfter: false,
@@ -153,20 +153,20 @@
 			name: 'that bears no time', toKey: () => createRandomId(), kind: /key-invalid$/v, outcome: 'not-run', hasRetryAfter: false,
 		},
 		{
-			name: 'of an hour ago', toKey: () => minted(-hourMs), kind: /claim-unavailable$/v, outcome: 'may-have-run', hasRetryAfter: false,
+			name: 'of an hour ago', toKey: () => createKeyWithOffset(-hourMs), kind: /claim-unavailable$/v, outcome: 'may-have-run', hasRetryAfter: false,
 		},
 		{
-			name: 'of the next hour', toKey: () => minted(hourMs), kind: /claim-unavailable$/v, outcome: 'may-have-run', hasRetryAfter: true,
+			name: 'of the next hour', toKey: () => createKeyWithOffset(hourMs), kind: /claim-unavailable$/v, outcome: 'may-have-run', hasRetryAfter: true,
 		},
 	];
 	for (const {name, toKey, kind, outcome, hasRetryAfter} of keys) {
 		it(`is not said too much of a key ${name}`, async () => {
 			const key = toKey();
-			const told = await start({prompt: `a scene with a key ${name}`, isScene: true, ...(key !== undefined && {key})}).told;
-			assert.equal(told.outcome, outcome, JSON.stringify(told));
-			assert.match(told.problem ?? '', kind);
-			assert.equal(told.begun, 0, 'work of a key that was refused');
-			assert.equal(told.retryAfter !== undefined, hasRetryAfter, JSON.stringify(told));
+			const report = await start({prompt: `a scene with a key ${name}`, isScene: true, ...(key !== undefined && {key})}).report;
+			assert.equal(report.outcome, outcome, JSON.stringify(report));
+			assert.match(report.problem ?? '', kind);
+			assert.equal(report.begun, 0, 'work of a key that was refused');
+			assert.equal(report.retryAfter !== undefined, hasRetryAfter, JSON.stringify(report));
 			const atDesk = await startPlainCall(host.callerUrl, {path: '/desk/forwarding/17', ...(key !== undefined && {key})});
 			assert.equal(atDesk.outcome, outcome);
 			assert.match(atDesk.problem ?? '', kind);
@@ -183,9 +183,9 @@
 			const [plain] = fleet.plains;
 			plain!.setFaults({...faults, times: 1});
 			const key = createKey();
-			const told = await startPlainCall(host.callerUrl, {path: '/desk/forwarding/18', key});
-			assert.notEqual(told.outcome, 'not-run', JSON.stringify(told));
-			assert.ok(!told.isWhole);
+			const result = await startPlainCall(host.callerUrl, {path: '/desk/forwarding/18', key});
+			assert.notEqual(result.outcome, 'not-run', JSON.stringify(result));
+			assert.ok(!result.isWhole);
 			const again = await startPlainCall(host.callerUrl, {path: '/desk/forwarding/18', key});
 			assert.ok(plain!.countWork(key) <= 1, JSON.stringify(again));
 		});
@@ -193,20 +193,20 @@
 
 	it('is true when the host stops, of what still waits alone', async t => {
 		const running = start({prompt: 'a long letter', maxTokens: 1000});
-		const early = await Promise.race([running.told, waitUntil(() => running.received().length > 0, {deadlineMs, what: 'the first token'})]);
+		const early = await Promise.race([running.report, waitUntil(() => running.received().length > 0, {deadlineMs, what: 'the first token'})]);
 		assert.equal(early, true, JSON.stringify(early));
 		const others = Array.from({length: 5}, (_, i) => start({prompt: `waits ${i}`, maxTokens: 1000}));
 		await sleep(300);
 		host.entry().signal('SIGTERM');
-		const [first, ...rest] = await Promise.all([running, ...others].map(async call => call.told));
-		const words = rest.map(({outcome, problem, begun}) => `${outcome} ${problem} (${begun} begun)`);
-		t.diagnostic(`the letter in progress: ${first!.outcome} ${first!.problem}; the others: ${words.join(', ')}`);
+		const [first, ...rest] = await Promise.all([running, ...others].map(async call => call.report));
+		const descriptions = rest.map(({outcome, problem, begun}) => `${outcome} ${problem} (${begun} begun)`);
+		t.diagnostic(`the letter in progress: ${first!.outcome} ${first!.problem}; the others: ${descriptions.join(', ')}`);
 		await host.entry().waitForExit(deadlineMs);
 		await host.startEntry();
 		await fleet.waitUntilReady();
 		assert.ok(first!.outcome === 'ran' || first!.outcome === 'may-have-run', JSON.stringify({...first, text: ''}));
 		for (const one of rest) {
-			checkWord(one);
+			checkOutcome(one);
 		}
 
 		assert.ok(rest.some(({outcome}) => outcome === 'not-run'), 'none was waiting');
@@ -221,8 +221,8 @@
 		await host.kill();
 		fleet.platform.setFaults({down: true});
 		await host.start();
-		const told = await start({prompt: 'too early'}).told;
-		checkNotRun(told, {kind: /no-configuration$/v});
+		const report = await start({prompt: 'too early'}).report;
+		checkNotRun(report, {kind: /no-configuration$/v});
 		fleet.platform.setFaults({});
 		await fleet.waitUntilReady();
 	});
--- a/test/failures/orders.test.ts
+++ b/test/failures/orders.test.ts
@@ -21,14 +21,14 @@
 const deadlineMs = 90_000;
 const loadMs = 1000;
 /** Longer than a host plans again, twice over. */
-const quietMs = 6000;
-const askEveryMs = 250;
+const observationMs = 6000;
+const askIntervalMs = 250;
 const near = 'dvorana-a';
 const far = 'dvorana-b';
 
-type Span = {server: string; from: number; to: number};
+type Downtime = {server: string; from: number; to: number};
 
-type Load = {server: string; from: number; to: number; fence: number};
+type WeightLoad = {server: string; from: number; to: number; fence: number};
 
 const toRole = (engine: EngineStandIn) => engine.id.includes('prefill') ? 'prefill' : 'decode';
 
@@ -45,7 +45,7 @@
 			calls.push((async () => {
 				results.push(await answer);
 			})());
-			await sleep(askEveryMs);
+			await sleep(askIntervalMs);
 		}
 
 		await Promise.all(calls);
@@ -71,7 +71,7 @@
 }
 
 /** Reasons for which the host's agent holds orders, by its status. */
-async function readHeld({agentOperatorUrl}: FleetHost): Promise<string[]> {
+async function readHeldOrderReasons({agentOperatorUrl}: FleetHost): Promise<string[]> {
 	const answer = await fetch(`${agentOperatorUrl}/status`, {signal: AbortSignal.timeout(deadlineMs)});
 	const {heldOrders} = await answer.json() as {heldOrders: Array<{reason: string; remedy: string}>};
 	assert.ok(heldOrders.every(({remedy}) => remedy !== ''));
@@ -79,7 +79,7 @@
 }
 
 /** A fleet of two zones with so many servers of each role in each, and what its tests look at. */
-function createScene(serversOfRole: number) {
+function createOrdersFixture(serversOfRole: number) {
 	let fleet: Fleet;
 	let text = '';
 	let edition = 0;
@@ -103,13 +103,13 @@
 	const engines = () => [...fleet.engines.values()];
 
 	/** When servers were out of service for loads that they took, by their own record. */
-	const toLoads = (): Load[] => engines().flatMap(engine => engine.judge().orders
+	const toLoads = (): WeightLoad[] => engines().flatMap(engine => engine.judge().orders
 		.filter(({kind}) => kind === 'load-version')
 		.map(({atMs, fence}) => ({
 			server: engine.id, from: atMs, to: atMs + loadMs, fence,
 		})));
 
-	const countOverlaps = (loads: readonly Load[]): number => loads.filter((load, i) => loads.some((other, j) => j > i && other.from < load.to && load.from < other.to)).length;
+	const countOverlaps = (loads: readonly WeightLoad[]): number => loads.filter((load, i) => loads.some((other, j) => j > i && other.from < load.to && load.from < other.to)).length;
 
 	const hasLoaded = (version: string, some: readonly EngineStandIn[] = engines()): boolean => some.every(engine => engine.judge().orders.at(-1)?.version === version);
 
@@ -119,7 +119,7 @@
 	}
 
 	/** Version that a server served at a time, by the orders that it took. */
-	function toServed(engine: EngineStandIn, atMs: number, down: readonly Span[]): string | undefined {
+	function toServedVersion(engine: EngineStandIn, atMs: number, down: readonly Downtime[]): string | undefined {
 		if (down.some(({server, from, to}) => server === engine.id && atMs >= from && atMs < to)) {
 			return undefined;
 		}
@@ -129,14 +129,14 @@
 	}
 
 	/** Whether some prefill server and some decode server served one version at a time: a cache never goes to other weights. */
-	function hadPair(some: readonly EngineStandIn[], atMs: number, down: readonly Span[]): boolean {
-		const toVersions = (role: string) => some.filter(engine => toRole(engine) === role).map(engine => toServed(engine, atMs, down)).filter(version => version !== undefined);
+	function hadPair(some: readonly EngineStandIn[], atMs: number, down: readonly Downtime[]): boolean {
+		const toVersions = (role: string) => some.filter(engine => toRole(engine) === role).map(engine => toServedVersion(engine, atMs, down)).filter(version => version !== undefined);
 		const decodes = toVersions('decode');
 		return toVersions('prefill').some(version => decodes.includes(version));
 	}
 
 	/** No order took the last pair of the pool, nor of a zone that could spare a server, nor of two zones at a time. */
-	function checkPairs(down: readonly Span[] = []): void {
+	function assertPairs(down: readonly Downtime[] = []): void {
 		const zones = [near, far].map(zone => engines().filter(({id}) => id.startsWith(zone)));
 		for (const {server, from} of toLoads()) {
 			assert.ok(hadPair(engines(), from + 1, down), `the order to ${server} left no pair`);
@@ -148,7 +148,7 @@
 	}
 
 	/** No server took an order that is older than one that it took before. */
-	function checkOrders(t: TestContext, down: readonly Span[] = []): void {
+	function assertOrders(t: TestContext, down: readonly Downtime[] = []): void {
 		for (const engine of engines()) {
 			const {orders, refusedOrders} = engine.judge();
 			const fences = orders.map(({fence}) => fence);
@@ -158,7 +158,7 @@
 		}
 
 		const loads = toLoads();
-		checkPairs(down);
+		assertPairs(down);
 		assert.equal(countOverlaps(loads), 0, 'two servers loaded weights at once, beyond the rate of the store');
 	}
 
@@ -182,12 +182,12 @@
 	});
 
 	return {
-		fleet: () => fleet, edition: () => edition, publishNext, engines, hasLoaded, waitUntilLoaded, checkOrders, toLoads, countOverlaps,
+		fleet: () => fleet, edition: () => edition, publishNext, engines, hasLoaded, waitUntilLoaded, checkOrders: assertOrders, toLoads, countOverlaps,
 	};
 }
 
 describe('orders to zones with one server in a role', () => {
-	const {fleet: toFleet, publishNext, engines, hasLoaded, waitUntilLoaded, checkOrders, toLoads, countOverlaps} = createScene(1);
+	const {fleet: toFleet, publishNext, engines, hasLoaded, waitUntilLoaded, checkOrders, toLoads, countOverlaps} = createOrdersFixture(1);
 
 	it('leave the last serving copy alone, and are given one after the other', async t => {
 		const fleet = toFleet();
@@ -199,7 +199,7 @@
 		const asking = startAsking(() => fleet.hosts.map(({callerUrl}) => callerUrl));
 		const version = publishNext();
 		await waitUntil(() => prefills.some(engine => hasLoaded(version, [engine])), {deadlineMs, what: 'the first load'});
-		await sleep(quietMs);
+		await sleep(observationMs);
 		assert.deepEqual(last.judge().orders, [], 'the last serving copy was taken away');
 		await lost.revive();
 		const down = [{server: lost.id, from: lostAt, to: performance.now()}];
@@ -218,10 +218,10 @@
 		const before = toLoads().length;
 		const version = publishNext();
 		await waitUntil(async () => {
-			const reasons = await readHeld(fleet.host(side));
+			const reasons = await readHeldOrderReasons(fleet.host(side));
 			return reasons.includes('no-stand-in');
 		}, {deadlineMs, what: 'the status that says why orders wait'});
-		await sleep(quietMs);
+		await sleep(observationMs);
 		assert.equal(toLoads().length, before, 'an order took the last pair of a zone that was cut off');
 		fleet.network.heal();
 		await waitUntilLoaded(version);
@@ -244,7 +244,7 @@
 });
 
 describe('orders to zones that can spare a server', () => {
-	const {fleet: toFleet, edition, publishNext, engines, hasLoaded, waitUntilLoaded, checkOrders} = createScene(2);
+	const {fleet: toFleet, edition, publishNext, engines, hasLoaded, waitUntilLoaded, checkOrders} = createOrdersFixture(2);
 
 	it('of a host that is cut off and holds an older edition are not given', async t => {
 		const fleet = toFleet();
@@ -255,7 +255,7 @@
 		fleet.network.cut(staleSide, side);
 		const version = publishNext();
 		await waitUntilLoaded(version);
-		await sleep(quietMs);
+		await sleep(observationMs);
 		checkOrders(t);
 		assert.ok(hasLoaded(version));
 		fleet.network.heal();
@@ -281,7 +281,7 @@
 		const version = publishNext();
 		await waitUntilLoaded(version);
 		fleet.host(sleeper).agent().resume();
-		await sleep(quietMs);
+		await sleep(observationMs);
 		checkOrders(t);
 		assert.ok(hasLoaded(version));
 		await asking.end(t, 0);
--- a/test/failures/orphaned-memory.test.ts
+++ b/test/failures/orphaned-memory.test.ts
@@ -53,7 +53,7 @@
 	restore: (host: FleetHost) => Promise<void>;
 };
 
-const nothing = async () => undefined;
+const doNothing = async () => undefined;
 
 const losses: readonly Loss[] = [
 	{
@@ -61,7 +61,7 @@
 		async lose(_fleet, _host, call) {
 			call.leave();
 		},
-		restore: nothing,
+		restore: doNothing,
 	},
 	{
 		name: 'the caller leaves and two cancels are lost',
@@ -72,7 +72,7 @@
 
 			call.leave();
 		},
-		restore: nothing,
+		restore: doNothing,
 	},
 	{
 		name: 'the entry is killed',
@@ -102,7 +102,7 @@
 			});
 			host.entry().resume();
 		},
-		restore: nothing,
+		restore: doNothing,
 	},
 ];
 
--- a/test/failures/platform-returns.test.ts
+++ b/test/failures/platform-returns.test.ts
@@ -13,13 +13,13 @@
 
 const isInForce = (edition: number): boolean => toLines('configuration in force').some(line => line.edition === edition);
 
-const countWholeReads = (): number => toLines('platform read anew after its return').length;
+const countFullReads = (): number => toLines('platform read anew after its return').length;
 
 /** The relay has read what the copy has. */
-const waitForCopy = async () => waitUntil(() => countWholeReads() >= 1, {deadlineMs, what: 'the copy to be read', everyMs: 5});
+const waitForCopy = async () => waitUntil(() => countFullReads() >= 1, {deadlineMs, what: 'the copy to be read', everyMs: 5});
 
 /** Everything was read once more, after what was lost had its time to be written again. */
-const waitForSecondRead = async () => waitUntil(() => countWholeReads() >= 2, {deadlineMs, what: 'the second whole read'});
+const waitForSecondRead = async () => waitUntil(() => countFullReads() >= 2, {deadlineMs, what: 'the second whole read'});
 
 /*
  * Guards against rules that go back, against servers that left and are used again,
--- a/test/failures/relay-stop.test.ts
+++ b/test/failures/relay-stop.test.ts
@@ -29,8 +29,8 @@
 		await waitUntil(() => [servers.decode1, servers.decode2].some(server => server.runs().length > 0), {deadlineMs, what: 'the stream to run'});
 		const stopped = stopRelay();
 		await waitUntil(async () => !await isReady(), {deadlineMs: 2000, what: 'the relay to be not ready'});
-		const late = await ask({path: '/lookup/1'});
-		assert.equal(late.status, 200, late.body);
+		const lateAnswer = await ask({path: '/lookup/1'});
+		assert.equal(lateAnswer.status, 200, lateAnswer.body);
 		const answer = await stream;
 		assert.equal(answer.status, 200);
 		assert.ok(answer.isWhole);
--- a/test/failures/relay.test.ts
+++ b/test/failures/relay.test.ts
@@ -27,9 +27,9 @@
 	});
 	after(async () => fixture.stop());
 
-	const cases: ReadonlyArray<{name: string; path: string; misdeeds: Misdeed[]; status: number; runs: number; isSealed?: boolean; hasReturn?: boolean}> = [
+	const cases: ReadonlyArray<{name: string; path: string; misdeeds: Misdeed[]; status: number; runs: number; isSealed?: boolean; hasRetryAfter?: boolean}> = [
 		{
-			name: 'refuses a lookup', path: '/lookup/', misdeeds: ['refuse'], status: 503, runs: 1, hasReturn: true,
+			name: 'refuses a lookup', path: '/lookup/', misdeeds: ['refuse'], status: 503, runs: 1, hasRetryAfter: true,
 		},
 		{
 			name: 'refuses a check, and another one serves it', path: '/check/', misdeeds: ['refuse'], status: 200, runs: 2, isSealed: true,
@@ -53,10 +53,10 @@
 			name: 'answers a check with another\'s answer', path: '/check/', misdeeds: ['answer-another'], status: 200, runs: 2, isSealed: true,
 		},
 		{
-			name: 'is another one at the same address', path: '/lookup/', misdeeds: ['wrong-instance'], status: 503, runs: 1, hasReturn: true,
+			name: 'is another one at the same address', path: '/lookup/', misdeeds: ['wrong-instance'], status: 503, runs: 1, hasRetryAfter: true,
 		},
 	];
-	for (const {name, path, misdeeds, status, runs, isSealed = false, hasReturn = false} of cases) {
+	for (const {name, path, misdeeds, status, runs, isSealed = false, hasRetryAfter: hasReturn = false} of cases) {
 		it(`${name}: ${status}`, async () => {
 			const {servers, ask} = fixture;
 			const before = servers.desk1.runs().length + servers.desk2.runs().length;
@@ -107,7 +107,7 @@
 	});
 	afterEach(async () => fixture.stop());
 
-	const nothingHeld = async () => waitUntil(
+	const waitUntilNothingHeld = async () => waitUntil(
 		() => fixture.servers.decode1.reservations() + fixture.servers.decode2.reservations() + fixture.caches.size === 0,
 		{deadlineMs, what: 'reservations and caches to be given back'},
 	);
@@ -176,7 +176,7 @@
 		const answers = await Promise.all(Array.from({length: 4}, async () => ask(toStream())));
 		assert.ok(answers.some(({status}) => status === 200));
 		assert.ok(answers.every(({status}) => status === 200 || status === 503), String(answers.map(({status}) => status)));
-		await nothingHeld();
+		await waitUntilNothingHeld();
 	});
 
 	it('serves without a prefill server: a decode server computes the prompt in its reserved place', async () => {
@@ -188,7 +188,7 @@
 		assert.equal(answer.status, 200);
 		const [run] = [...servers.decode1.runs(), ...servers.decode2.runs()];
 		assert.deepEqual([run?.step, run?.headers['kv-source']], ['decode', undefined]);
-		await nothingHeld();
+		await waitUntilNothingHeld();
 	});
 
 	it('frees the cache when the decode server refuses after the prompt was computed', async () => {
@@ -196,7 +196,7 @@
 		servers.decode1.misbehave('refuse');
 		const answer = await ask(toStream());
 		assert.ok([200, 503].includes(answer.status), String(answer.status));
-		await nothingHeld();
+		await waitUntilNothingHeld();
 	});
 
 	it('frees all that it holds when the caller leaves', async () => {
@@ -204,7 +204,7 @@
 		fixture = await startRelayFixture({workMs: 400});
 		const {servers, ask} = fixture;
 		await ask({...toStream(), leaveAfterMs: 200});
-		await nothingHeld();
+		await waitUntilNothingHeld();
 		assert.equal(servers.decode1.runs().length + servers.decode2.runs().length, 0);
 	});
 
@@ -217,7 +217,7 @@
 		assert.equal(answer.body, [1, 2, 3].map(event => `id: ${event}\ndata: piece ${event} of notice-1\n\n`).join(''));
 		const runs = [...servers.decode1.runs(), ...servers.decode2.runs()];
 		assert.deepEqual(new Set(runs.map(({headers}) => headers['last-event-id'])), new Set(['2', undefined]));
-		await nothingHeld();
+		await waitUntilNothingHeld();
 	});
 
 	it('breaks a stream off that no server can continue', async () => {
@@ -226,7 +226,7 @@
 		const answer = await ask({...toStream(), path: '/notice/1'});
 		assert.equal(answer.status, 200);
 		assert.ok(!answer.isWhole);
-		await nothingHeld();
+		await waitUntilNothingHeld();
 	});
 
 	it('breaks the caller\'s answer off where the stream of its server broke', async () => {
@@ -251,18 +251,18 @@
 
 	it('says how long a prompt might take that brought no answer', async () => {
 		const {servers, ask, logs} = fixture;
-		const toSilent = () => [...servers.prefill1.arrivals, ...servers.prefill2.arrivals].filter(({step, isLeft}) => step === 'prefill' && isLeft).length;
+		const countUnansweredPrompts = () => [...servers.prefill1.arrivals, ...servers.prefill2.arrivals].filter(({step, isLeft}) => step === 'prefill' && isLeft).length;
 		await Promise.all([ask(toStream()), ask(toStream())]);
 		// With both prefill servers in doubt a decode server computes the prompt, and nobody meets the silence.
-		for (let asked = 0; toSilent() < 6 && asked < 20; asked++) {
+		for (let asked = 0; countUnansweredPrompts() < 6 && asked < 20; asked++) {
 			servers.prefill1.misbehave('silent');
 			const answer = await ask(toStream());
 			assert.equal(answer.status, 200, answer.body);
 		}
 
-		assert.ok(toSilent() >= 6, String(toSilent()));
+		assert.ok(countUnansweredPrompts() >= 6, String(countUnansweredPrompts()));
 		const reasons = logs().filter(({message}) => message === 'attempt failed').map(({reason}) => String(reason));
-		assert.equal(reasons.length, toSilent());
+		assert.equal(reasons.length, countUnansweredPrompts());
 		assert.deepEqual(reasons.filter(reason => !/within \d+ ms/v.test(reason)), []);
 	});
 });
@@ -285,15 +285,15 @@
 	/** Asks, and lets the prompt wait for as long as the relay takes to know that the chosen server leaves. */
 	async function askWhileLeaving(leave: (chosen: ServerStandIn) => void): Promise<{answer: Answer; chosen: ServerStandIn}> {
 		const {servers, ask, logs} = fixture;
-		const known = createDeferred();
-		servers.prefill1.holdPrompts(known.promise);
-		servers.prefill2.holdPrompts(known.promise);
+		const leavingKnown = createDeferred();
+		servers.prefill1.holdPrompts(leavingKnown.promise);
+		servers.prefill2.holdPrompts(leavingKnown.promise);
 		const asking = ask(toStream());
 		await waitUntil(() => hasStep(servers.prefill1, 'prefill') || hasStep(servers.prefill2, 'prefill'), {deadlineMs, what: 'a prompt under way', everyMs: 5});
 		const chosen = hasStep(servers.decode1, 'reserve') ? servers.decode1 : servers.decode2;
 		leave(chosen);
 		await waitUntil(() => logs().some(({server, state}) => server === chosen.id && (state === 'leaving' || state === 'gone')), {deadlineMs, what: 'the relay to know', everyMs: 5});
-		known.resolve();
+		leavingKnown.resolve();
 		return {answer: await asking, chosen};
 	}
 
--- a/test/failures/whole-answer.test.ts
+++ b/test/failures/whole-answer.test.ts
@@ -19,7 +19,7 @@
 	role: 'prefill' | 'decode';
 	faults: EngineFaults;
 	/** Whether the whole answer has to come all the same: the fault can be mended by a resume or another attempt. */
-	isMended: boolean;
+	isRecoverable: boolean;
 };
 
 const streamKinds = ['short', 'reset', 'garbage', 'oversized', 'crossed', 'duplicated', 'skipped', 'wrong-attempt'] as const;
@@ -27,44 +27,44 @@
 const cases: readonly Case[] = [
 	...streamKinds.flatMap((kind): Case[] => [
 		{
-			name: `${kind} at the first token`, role: 'decode', faults: {stream: {kind, atToken: 0, times: 1}}, isMended: true,
+			name: `${kind} at the first token`, role: 'decode', faults: {stream: {kind, atToken: 0, times: 1}}, isRecoverable: true,
 		},
 		{
-			name: `${kind} midway`, role: 'decode', faults: {stream: {kind, atToken: 7, times: 1}}, isMended: true,
+			name: `${kind} midway`, role: 'decode', faults: {stream: {kind, atToken: 7, times: 1}}, isRecoverable: true,
 		},
 	]),
 	{
-		name: 'late', role: 'decode', faults: {lateMs: 300}, isMended: true,
+		name: 'late', role: 'decode', faults: {lateMs: 300}, isRecoverable: true,
 	},
 	{
-		name: 'garbage for a prefill', role: 'prefill', faults: {garbageAnswers: {times: 1}}, isMended: true,
+		name: 'garbage for a prefill', role: 'prefill', faults: {garbageAnswers: {times: 1}}, isRecoverable: true,
 	},
 	{
-		name: 'a refused prefill', role: 'prefill', faults: {refuse: {reason: 'full', on: ['prefills'], times: 1}}, isMended: true,
+		name: 'a refused prefill', role: 'prefill', faults: {refuse: {reason: 'full', on: ['prefills'], times: 1}}, isRecoverable: true,
 	},
 	{
-		name: 'a refused reservation', role: 'decode', faults: {refuse: {reason: 'full', on: ['reservations'], times: 1}}, isMended: true,
+		name: 'a refused reservation', role: 'decode', faults: {refuse: {reason: 'full', on: ['reservations'], times: 1}}, isRecoverable: true,
 	},
 	{
-		name: 'a transfer that resets', role: 'prefill', faults: {transfer: {kind: 'reset', times: 1}}, isMended: true,
+		name: 'a transfer that resets', role: 'prefill', faults: {transfer: {kind: 'reset', times: 1}}, isRecoverable: true,
 	},
 	{
-		name: 'a lost answer to the reservation', role: 'decode', faults: {loseAnswers: {on: ['reservations'], times: 1}}, isMended: true,
+		name: 'a lost answer to the reservation', role: 'decode', faults: {loseAnswers: {on: ['reservations'], times: 1}}, isRecoverable: true,
 	},
 	{
-		name: 'a lost answer to the prefill', role: 'prefill', faults: {loseAnswers: {on: ['prefills'], times: 1}}, isMended: true,
+		name: 'a lost answer to the prefill', role: 'prefill', faults: {loseAnswers: {on: ['prefills'], times: 1}}, isRecoverable: true,
 	},
 	{
-		name: 'a lost answer to the start of the stream', role: 'decode', faults: {loseAnswers: {on: ['streams'], times: 1}}, isMended: true,
+		name: 'a lost answer to the start of the stream', role: 'decode', faults: {loseAnswers: {on: ['streams'], times: 1}}, isRecoverable: true,
 	},
 	{
-		name: 'every stream broken', role: 'decode', faults: {stream: {kind: 'reset', atToken: 3}}, isMended: false,
+		name: 'every stream broken', role: 'decode', faults: {stream: {kind: 'reset', atToken: 3}}, isRecoverable: false,
 	},
 	{
-		name: 'every prefill refused', role: 'prefill', faults: {refuse: {reason: 'full', on: ['prefills']}}, isMended: false,
+		name: 'every prefill refused', role: 'prefill', faults: {refuse: {reason: 'full', on: ['prefills']}}, isRecoverable: false,
 	},
 	{
-		name: 'every engine lost its answers to prefills', role: 'prefill', faults: {loseAnswers: {on: ['prefills']}}, isMended: false,
+		name: 'every engine lost its answers to prefills', role: 'prefill', faults: {loseAnswers: {on: ['prefills']}}, isRecoverable: false,
 	},
 ];
 
@@ -76,16 +76,16 @@
 }
 
 /** A caller can act on what it got: the whole, or an explicit error that agrees with the engines' count. */
-function checkTold(result: CallResult, started: {prefills: number; decodes: number}): void {
-	const told = JSON.stringify({result, started});
+function assertUsableResult(result: CallResult, started: {prefills: number; decodes: number}): void {
+	const details = JSON.stringify({result, started});
 	if (result.isWhole) {
 		return;
 	}
 
-	assert.equal(result.isBroken, false, `broken without a word: ${told}`);
-	assert.ok(result.outcome !== undefined, `an error without an outcome: ${told}`);
+	assert.equal(result.isBroken, false, `broken without a word: ${details}`);
+	assert.ok(result.outcome !== undefined, `an error without an outcome: ${details}`);
 	if (result.outcome === 'not-run') {
-		assert.equal(started.prefills + started.decodes, 0, `said "not run" of work that ran: ${told}`);
+		assert.equal(started.prefills + started.decodes, 0, `said "not run" of work that ran: ${details}`);
 	}
 }
 
@@ -117,7 +117,7 @@
 	});
 
 	const kinds = [{kind: 'letter', isScene: false}, {kind: 'scene', isScene: true}] as const;
-	for (const {name, role, faults, isMended} of cases) {
+	for (const {name, role, faults, isRecoverable: isMended} of cases) {
 		for (const {kind, isScene} of kinds) {
 			for (const isStreamed of [true, false]) {
 				it(`comes or is refused plainly: ${name}, a ${isStreamed ? 'streamed' : 'plain'} ${kind}`, async () => {
@@ -129,7 +129,7 @@
 						prompt: `${name} ${kind} ${isStreamed}`, maxTokens: 20, isStreamed, isScene, ...(isScene && {key: createKey()}),
 					}).done;
 					const started = countStarts(fleet);
-					checkTold(result, started);
+					assertUsableResult(result, started);
 					assert.equal(started.wrong, 0, 'an attempt went on from tokens that were not the answer');
 					assert.ok(!isScene || started.decodes <= 1, `a scene ran ${started.decodes} times`);
 					assert.ok(!isMended || isScene || result.isWhole, `not mended: ${JSON.stringify(result)}`);
