--- a/test/failures/_lib/create-editions.ts
+++ b/test/failures/_lib/create-editions.ts
@@ -4,12 +4,13 @@
 import {type ConfigPart} from '../../../src/ports/config.js';
 import {type Fleet} from '../../_lib/start-fleet/index.js';
 
-/** A sealed document and the marker that only this edition names. */
+/** A sealed document and the marker that identifies its edition. */
 export type Edition = {marker: number; text: string};
 
 /**
- * Makes edition after edition of a fleet's document, each with a model whose
- * name holds the edition's marker, so that callers can tell it.
+ * Creates successive editions of a fleet's configuration. Each edition lists a
+ * model whose name contains the edition's marker, so that a caller can tell from
+ * the list of models which edition a host uses.
  */
 export function createEditions({configText, pools}: Pick<Fleet, 'configText' | 'pools'>) {
 	let marker = 0;
@@ -23,13 +24,13 @@
 	}
 
 	return {
-		/** A plain document for the next edition, with `parts` in the place of its own. */
+		/** An unsealed document for the next edition, whose sections are overridden by `parts`. */
 		toNextPlain: (parts: Record<string, unknown>): string => toPlain(marker + 1, parts),
 		toSealed(previous: string | undefined): Edition {
 			marker += 1;
 			return {marker, text: sealConfig(toPlain(marker), previous)._unsafeUnwrap().text};
 		},
-		/** The next edition in parts, of which the part of rules is another each time. */
+		/** The next edition, split into parts; the part with the rules differs in every edition. */
 		toSealedParts(previous: string): Edition & {parts: readonly ConfigPart[]} {
 			marker += 1;
 			const source = splitConfig(toPlain(marker), () => true)._unsafeUnwrap();
--- a/test/failures/_lib/create-keep-alive-caller.ts
+++ b/test/failures/_lib/create-keep-alive-caller.ts
@@ -6,7 +6,7 @@
 export type CallKind = 'letter' | 'scene' | 'desk lookup' | 'desk change';
 
 export type KeepAliveCaller = {
-	/** Asks once; never rejects. */
+	/** Sends one request; never rejects. */
 	ask: (callerUrl: string, kind: CallKind, name: string) => Promise<{isWhole: boolean; detail: string}>;
 	close: () => Promise<void>;
 };
--- a/test/failures/_lib/create-loads.ts
+++ b/test/failures/_lib/create-loads.ts
@@ -4,13 +4,13 @@
 const callerCount = 6;
 
 export type Load = {
-	/** Answers so far. */
+	/** Results received so far. */
 	results: readonly CallResult[];
-	/** Lets the callers have their last answers. */
+	/** Stops sending and waits for the outstanding answers. */
 	end: () => Promise<void>;
 };
 
-/** Callers that ask again and again, each host in turn, until they are ended. */
+/** Starts callers that send requests in a loop, to each host in turn, until the load is ended. */
 function startLoad(hosts: readonly FleetHost[], name: string): Load {
 	const results: CallResult[] = [];
 	const ending = new AbortController();
@@ -29,7 +29,7 @@
 	};
 }
 
-/** Keeps the loads of a case, so that they end with it also when it fails. */
+/** Tracks the loads of a test, so that they can be ended even if the test fails. */
 export function createLoads() {
 	const loads: Load[] = [];
 	return {
--- a/test/failures/_lib/host-faults.ts
+++ b/test/failures/_lib/host-faults.ts
@@ -1,25 +1,25 @@
-/** What can happen to hosts while work that may run once only is on its way. */
+/** Faults that are injected into hosts while at-most-once work is in progress. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {type Program} from '../../_lib/start-program/index.js';
 import {type Fleet, type FleetHost} from '../../_lib/start-fleet/index.js';
 
 const twoMinutesMs = 120_000;
-/** Longer than the patience of a claim's question, shorter than that of a join. */
+/** Longer than the timeout of a claim call, shorter than that of a join call. */
 const pausedMs = 3000;
-/** Any free port, beside the sleeping process that still has the host's own. */
+/** Any free port: the paused process still holds the host's own ports. */
 const otherPorts = {callerPort: 0, peerPort: 0, operatorPort: 0};
 
 export type HostFault = {
 	name: string;
-	/** Hosts that vouch for no key of now while it lasts. */
+	/** Number of hosts that vouch for no current key while the fault lasts. */
 	nonVouchingHosts: number;
 	inject: (fleet: Fleet, host: FleetHost) => Promise<ActiveFault>;
 };
 
 export type ActiveFault = {
-	/** Undoes the fault; what was lost stays lost. */
+	/** Ends the fault; a killed process stays killed and lost state stays lost. */
 	undo: () => Promise<void>;
-	/** Ends processes that the host no longer knows. */
+	/** Kills processes that the host no longer tracks. */
 	cleanUp?: () => Promise<void>;
 };
 
@@ -32,7 +32,7 @@
 	return permanentFault;
 }
 
-/** Starts a second process in the slot of one that sleeps; returns the old one. */
+/** Pauses the host's entry and starts a second one in its slot; returns the paused one. */
 async function replacePausedEntry(host: FleetHost): Promise<Program> {
 	const old = host.entry();
 	old.pause();
@@ -41,7 +41,7 @@
 	return old;
 }
 
-/** Faults by short name; `satisfies` keeps the names. */
+/** Faults by short name; `satisfies` keeps the literal types of the keys. */
 export const hostFaults = {
 	killed: {
 		name: 'its entry is killed',
@@ -52,22 +52,22 @@
 		},
 	},
 	restarted: {
-		name: 'its entry is killed and comes back',
+		name: 'its entry is killed and restarted',
 		nonVouchingHosts: 1,
 		inject: async (_fleet, host) => restartEntry(host, 0),
 	},
 	restartedAhead: {
-		name: 'its entry is killed and comes back two minutes ahead',
+		name: 'its entry is killed and restarted with its clock two minutes ahead',
 		nonVouchingHosts: 1,
 		inject: async (_fleet, host) => restartEntry(host, twoMinutesMs),
 	},
 	restartedBehind: {
-		name: 'its entry is killed and comes back two minutes behind',
+		name: 'its entry is killed and restarted with its clock two minutes behind',
 		nonVouchingHosts: 1,
 		inject: async (_fleet, host) => restartEntry(host, -twoMinutesMs),
 	},
 	paused: {
-		name: 'its host sleeps and wakes',
+		name: 'the host is paused and resumed',
 		nonVouchingHosts: 1,
 		async inject(_fleet, host) {
 			host.pause();
@@ -81,7 +81,7 @@
 		},
 	},
 	replaced: {
-		name: 'it is replaced while it sleeps, and the old one wakes',
+		name: 'its entry is replaced while paused, and the old one resumes',
 		nonVouchingHosts: 1,
 		async inject(_fleet, host) {
 			const old = await replacePausedEntry(host);
@@ -96,7 +96,7 @@
 		},
 	},
 	cut: {
-		name: 'its zone is cut off and comes back',
+		name: 'its zone is cut off and rejoined',
 		nonVouchingHosts: 2,
 		async inject(fleet, host) {
 			fleet.network.isolate(host.zone);
@@ -108,7 +108,7 @@
 		},
 	},
 	stale: {
-		name: 'the platform gives what it gave before',
+		name: 'the platform keeps serving an old copy',
 		nonVouchingHosts: 0,
 		async inject(fleet) {
 			fleet.platform.setFaults({frozen: true});
--- a/test/failures/_lib/leaving-server-fleet.ts
+++ b/test/failures/_lib/leaving-server-fleet.ts
@@ -1,4 +1,4 @@
-/** One zone of three hosts whose servers leave, and how to see who knows of it. */
+/** A fleet of one zone and three hosts, and helpers that show which hosts know that a server is leaving. */
 import {
 	startFleet, type Fleet, type FleetHost, type FleetOptions,
 } from '../../_lib/start-fleet/index.js';
@@ -8,7 +8,7 @@
 export const deadlineMs = 20_000;
 export const zone = 'dvorana-a';
 
-/** Two engines of each role, whose decode engines take five seconds for a long letter. */
+/** Starts the fleet with two engines of each role; a decode engine takes five seconds for a long letter. */
 export async function startLeavingServerFleet(options: Partial<FleetOptions>): Promise<Fleet> {
 	return startFleet({
 		zones: [zone],
@@ -35,31 +35,31 @@
 	return !told.includes(true);
 }
 
-/** Waits until no host takes any server for a leaving one. */
+/** Waits until no host considers any server to be leaving. */
 export async function waitUntilNoneIsLeaving(fleet: Fleet): Promise<void> {
-	await waitUntil(async () => isNoServerKnownAsLeaving(fleet), {deadlineMs, what: 'the return of all servers'});
+	await waitUntil(async () => isNoServerKnownAsLeaving(fleet), {deadlineMs, what: 'all hosts to consider no server leaving'});
 }
 
-/** What the engine's own load report says, late as it is. */
+/** Reads the state in the engine's load report, which lags behind the engine's actual state. */
 export async function readReportedState({url}: EngineStandIn): Promise<string> {
 	const answer = await fetch(`${url}/engine/load`, {signal: AbortSignal.timeout(deadlineMs)});
 	const {state} = await answer.json() as {state: string};
 	return state;
 }
 
-/** Reservations and prefills that the engine was asked for, taken or not. */
+/** Counts the reservations and prefills requested from the engine, whether it accepted them or not. */
 export function countOffers(engine: EngineStandIn): number {
 	const {calls} = engine.judge();
 	return (calls['POST engine/reservations'] ?? 0) + (calls['POST engine/prefills'] ?? 0);
 }
 
-/** The same of callers' requests alone: a host that holds a server for leaving asks it now and then by a request of its own. */
+/** Counts the same for callers' requests only, without the probes that a host sends now and then to a server it considers leaving. */
 export function countCallerOffers(engine: EngineStandIn): number {
 	const {offers} = engine.judge();
 	return Object.entries(offers).filter(([id]) => !id.startsWith('probe-')).reduce((sum, [, count]) => sum + count, 0);
 }
 
-/** Waits until all hosts know, and tells when the first did. */
+/** Waits until all hosts know that the server is leaving; returns when the first host knew and when all did, in milliseconds of `performance.now()`. */
 export async function waitUntilKnownAsLeaving(fleet: Fleet, server: string): Promise<{firstMs: number; allMs: number}> {
 	let firstMs: number | undefined;
 	return waitUntil(async () => {
@@ -69,5 +69,5 @@
 		}
 
 		return firstMs !== undefined && !told.includes(false) && {firstMs, allMs: performance.now()};
-	}, {deadlineMs, what: `all hosts to know that ${server} leaves`, everyMs: 10});
+	}, {deadlineMs, what: `all hosts to know that ${server} is leaving`, everyMs: 10});
 }
--- a/test/failures/_lib/read-accounts.ts
+++ b/test/failures/_lib/read-accounts.ts
@@ -12,12 +12,13 @@
 }
 
 /**
- * Reads what hosts decided about requests, for the message of a failure: one that
- * comes once in many runs must tell its cause by itself.
+ * Reads what the hosts decided about requests, for an assertion message: a failure
+ * that occurs once in many runs cannot be reproduced, so its message has to show
+ * the cause.
  *
- * @param fleet - Hosts that may have served them.
- * @param requestIds - The requests.
- * @param isIncluded - Which accounts are told, by their text.
+ * @param fleet - Fleet whose hosts may have served the requests.
+ * @param requestIds - IDs of the requests.
+ * @param isIncluded - Tells from the JSON text of an account whether to include it.
  * @returns One line for each account.
  */
 export async function readAccounts(fleet: Fleet, requestIds: readonly string[], isIncluded: (account: string) => boolean = () => true): Promise<string> {
--- a/test/failures/_lib/start-call.ts
+++ b/test/failures/_lib/start-call.ts
@@ -1,4 +1,4 @@
-/** A caller of the failure tests: sends one completion, reads what comes, and can go away at any moment. */
+/** A caller for the failure tests: sends one completion, reads the answer, and can disconnect at any moment. */
 import {Agent, request} from 'undici';
 import {expectedAnswer} from '../../stand-ins/engine/index.js';
 
@@ -6,28 +6,28 @@
 	prompt: string;
 	maxTokens?: number;
 	isStreamed?: boolean;
-	/** Asks for the quick class. */
+	/** Whether the quick class is requested. */
 	isQuick?: boolean;
-	/** Marks a scene, which may run once only. */
+	/** Whether the request is a scene, which may run at most once. */
 	isScene?: boolean;
 	key?: string;
 	workspace?: string;
 };
 
 export type CallResult = {
-	/** 0 when no answer came. */
+	/** HTTP status; 0 if no answer came. */
 	status: number;
 	requestId: string;
-	/** Text of the answer's tokens, in order. */
+	/** Concatenated text of the answer's tokens. */
 	text: string;
-	/** Whether the answer says that it is complete and has every token of its own prompt. */
+	/** Whether the answer is marked as complete and contains every token expected for its prompt. */
 	isWhole: boolean;
-	/** Outcome that a refusal or an error event names. */
+	/** Outcome named by a refusal or an error event. */
 	outcome: string | undefined;
 	problem: string | undefined;
-	/** Whether the connection broke or was closed before the answer said that it ended. */
+	/** Whether the connection broke or was closed before the end of the answer. */
 	isBroken: boolean;
-	/** Error code of a connection that broke, as far as it has one. */
+	/** Error code of a broken connection, if it has one. */
 	errorCode?: string;
 	retryAfter: string | undefined;
 	headers: Record<string, string | string[] | undefined>;
@@ -35,9 +35,9 @@
 
 export type StartedCall = {
 	done: Promise<CallResult>;
-	/** Goes away, as a caller does whose courier has left. */
+	/** Disconnects without waiting for the answer. */
 	leave: () => void;
-	/** Text that has come so far. */
+	/** Text received so far. */
 	received: () => string;
 };
 
@@ -55,7 +55,7 @@
 	}
 }
 
-/** Splits an answer, whole or streamed, into its JSON documents. */
+/** Splits an answer, streamed or not, into its JSON documents. */
 function toDocuments(body: string): {documents: Document[]; isDone: boolean} {
 	if (!body.startsWith('data:') && !body.startsWith('event:')) {
 		return {documents: [parseDocument(body)], isDone: true};
@@ -101,8 +101,8 @@
 /**
  * Sends a completion on a connection of its own.
  *
- * @param callerUrl - Callers' URL of the entry.
- * @param options - What is asked for.
+ * @param callerUrl - URL of the entry for callers.
+ * @param options - The request.
  * @returns The call; `done` never rejects.
  */
 export function startCall(callerUrl: string, options: CallOptions): StartedCall {
--- a/test/failures/_lib/start-config-fleet.ts
+++ b/test/failures/_lib/start-config-fleet.ts
@@ -1,4 +1,4 @@
-/** A fleet whose configuration is published again and again, watched through what callers of each host see. */
+/** A fleet whose configuration changes repeatedly, observed through the answers that callers get from each host. */
 import assert from 'node:assert/strict';
 import {after, afterEach, before} from 'node:test';
 import {toPartKey} from '../../../src/domain/to-part-key/index.js';
@@ -12,7 +12,7 @@
 export const near = 'dvorana-a';
 export const far = 'dvorana-b';
 
-/** An edition that the platform serves, and when it was published. */
+/** An edition, its revision on the platform, and its time of publication in milliseconds of `performance.now()`. */
 export type Published = Edition & {revision: number; at: number};
 
 export async function readMetric(host: FleetHost, name: string): Promise<number> {
@@ -28,7 +28,7 @@
 	return await answer.json() as Status;
 }
 
-/** Two zones of two hosts, to which the first edition has been published. */
+/** Starts a fleet with two zones of two hosts each, and publishes the first edition. */
 export async function startConfigFleet() {
 	const fleet = await startFleet({zones: [near, far], hostsPerZone: 2, isCuttable: true});
 	const watch = watchHosts(fleet.hosts);
@@ -58,7 +58,7 @@
 		return hosts.map(host => Math.round(watch.latest(host)!.at - wanted.at));
 	}
 
-	/** Publishes the next edition, waits for it on all hosts, and keeps how long it took. */
+	/** Publishes the next edition, waits until all hosts use it, and records how long that took. */
 	async function putInForce(): Promise<{older: Published; newer: Published}> {
 		const older = current;
 		const newer = publishNext();
@@ -66,7 +66,7 @@
 		return {older, newer};
 	}
 
-	/** Waits until hosts say that they refused what they were offered under a revision. */
+	/** Waits until the status of each of the hosts says that it refused the document of a revision. */
 	async function waitUntilRefused(hosts: readonly FleetHost[], revision: number): Promise<void> {
 		const isRefused = async (host: FleetHost): Promise<boolean> => {
 			const {refused} = await readStatus(host);
@@ -84,7 +84,7 @@
 		await Promise.all(hosts.map(async host => host.start()));
 	}
 
-	/** Waits until hosts answer by an edition now, whatever they answered before they were restarted. */
+	/** Waits until a new request to each of the hosts shows the edition; observations from before a restart don't count. */
 	async function waitUntilAnswered(hosts: readonly FleetHost[], {marker}: Edition, what: string): Promise<void> {
 		await waitUntil(async () => {
 			const markers = await Promise.all(hosts.map(async host => readMarker(host)));
@@ -94,7 +94,7 @@
 
 	return {
 		fleet,
-		/** What is to be in force in the end. */
+		/** The edition that has to be in force on all hosts in the end. */
 		current: () => current,
 		setCurrent(published: Published): void {
 			current = published;
@@ -109,12 +109,12 @@
 		waitUntilRefused,
 		restart,
 		ofZone: (zone: string) => fleet.hosts.filter(host => host.zone === zone),
-		/** Times from publishing to each host, milliseconds. */
+		/** Times from publication until a host used the edition, in milliseconds, one for each host and edition. */
 		spreadMs: (): readonly number[] => spreadMs,
 		assertNotReverted(): void {
 			assert.deepEqual(watch.reverted(), []);
 		},
-		/** Ends all faults, and sees that the next edition still comes in force and that none was followed by an earlier one. */
+		/** Ends all faults, publishes another edition and waits until it is in force on all hosts, and asserts that no host went back to an earlier edition. */
 		async recover(): Promise<void> {
 			fleet.network.heal();
 			fleet.platform.setFaults({});
@@ -131,9 +131,9 @@
 export type ConfigFleet = Awaited<ReturnType<typeof startConfigFleet>>;
 
 /**
- * Gives the tests of a suite one such fleet, made whole again after each of them.
+ * Starts a fleet for the tests of a suite, and ends all faults after each test.
  *
- * @returns The fleet, from the first test on.
+ * @returns A function that returns the fleet; call it within tests only.
  */
 export function useConfigFleet(): () => ConfigFleet {
 	let config: ConfigFleet;
--- a/test/failures/_lib/start-plain-call.ts
+++ b/test/failures/_lib/start-plain-call.ts
@@ -1,4 +1,4 @@
-/** A caller of a plain service: sends one call and says what came back. */
+/** A caller of a plain service: sends one call and returns the result. */
 import {Agent, request} from 'undici';
 import {type CallResult} from './start-call.js';
 
@@ -31,11 +31,11 @@
 }
 
 /**
- * Sends a call that changes something, on a connection of its own.
+ * Sends a POST request on a connection of its own.
  *
- * @param callerUrl - Callers' URL of the entry.
- * @param options - What is sent; the stand-in echoes the body.
- * @returns What came back; never rejects.
+ * @param callerUrl - URL of the entry for callers.
+ * @param options - The request; the stand-in echoes its body.
+ * @returns The result; never rejects.
  */
 export async function startPlainCall(callerUrl: string, options: PlainCallOptions): Promise<PlainCallResult> {
 	const {path, body = 'a new address', key, workspace = 'odvetniki-breg'} = options;
--- a/test/failures/_lib/watch-hosts.ts
+++ b/test/failures/_lib/watch-hosts.ts
@@ -1,4 +1,4 @@
-/** What the callers of hosts see of the configuration. */
+/** Observes which edition of the configuration the callers of each host see. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {type FleetHost} from '../../_lib/start-fleet/index.js';
 
@@ -6,7 +6,7 @@
 
 type Observation = {marker: number; at: number};
 
-/** The edition that a host's callers see, by the model that only this edition names. */
+/** Reads the marker of the edition that a host uses, from the model that only this edition lists; `undefined` if the host doesn't answer or lists none. */
 export async function readMarker(host: FleetHost): Promise<number | undefined> {
 	try {
 		const answer = await fetch(`${host.callerUrl}/v1/models`, {headers: {'x-workspace': 'kavarna-lipa'}, signal: AbortSignal.timeout(2000)});
@@ -18,7 +18,7 @@
 	}
 }
 
-/** Looks at all hosts again and again, as callers do, and keeps each change. */
+/** Polls all hosts as a caller and records each change of the edition. */
 export function watchHosts(hosts: readonly FleetHost[]) {
 	const seen = new Map<string, Observation[]>(hosts.map(({id}) => [id, []]));
 	let hasEnded = false;
@@ -37,7 +37,9 @@
 	return {
 		latest: (host: FleetHost): Observation | undefined => seen.get(host.id)!.at(-1),
 		/** Hosts whose callers saw an earlier edition after a later one. */
-		reverted: () => [...seen].filter(([, looks]) => looks.some(({marker}, i) => i > 0 && marker < looks[i - 1]!.marker)).map(([id, looks]) => ({id, markers: looks.map(({marker}) => marker)})),
+		reverted: () => [...seen]
+			.filter(([, observations]) => observations.some(({marker}, i) => i > 0 && marker < observations[i - 1]!.marker))
+			.map(([id, observations]) => ({id, markers: observations.map(({marker}) => marker)})),
 		async end() {
 			hasEnded = true;
 			await Promise.all(watches);
--- a/test/failures/at-most-once.test.ts
+++ b/test/failures/at-most-once.test.ts
@@ -1,9 +1,10 @@
 /*
- * A caller sends a scene, or a change at the desk, that may run once only. Its
- * host is killed, sleeps, is replaced or cut off, and perhaps another host too;
- * the caller sends the same key to other hosts, and again when all is well. A
- * second run would be billed twice. Keys are minted by clocks that are right,
- * two minutes ahead or two minutes behind. The engines and the desk count.
+ * Guards against work that runs twice under one idempotency key, and is billed
+ * twice. A caller sends a scene, or a change at the desk, to a host that is killed,
+ * paused, replaced or cut off, in some tests together with another host; the
+ * caller repeats the key at other hosts, during the faults and after them. The
+ * keys' timestamps are correct, two minutes ahead or two minutes behind. Runs are
+ * counted by the engines and the desk.
  */
 import assert from 'node:assert/strict';
 import {setTimeout as sleep} from 'node:timers/promises';
@@ -19,10 +20,10 @@
 
 const deadlineMs = 30_000;
 const twoMinutesMs = 120_000;
-/** So long that keys of two minutes ago are vouched for. */
+/** Long enough for hosts to vouch for keys that are two minutes old. */
 const startedAgoMs = 10 * 60_000;
 const clockBound = '241s';
-/** Of six hosts in three zones. */
+/** Number of hosts, of six in three zones, that have to vouch for a new key. */
 const quorum = 4;
 const hostCount = 6;
 const sendIntervalMs = 2;
@@ -57,7 +58,7 @@
 	};
 }
 
-/** Runs of one piece of work, by the count of those that ran it. */
+/** Counts the runs of a piece of work, from the records of the engines and the desk. */
 function countRuns(fleet: Fleet, {key}: Work): {begun: number; runs: number} {
 	const atDesk = fleet.plains.reduce((sum, plain) => sum + plain.countWork(key), 0);
 	const judged = [...fleet.engines.values()].map(engine => engine.judge());
@@ -73,7 +74,7 @@
 	first: HostFault;
 	second?: HostFault;
 	listChanges?: boolean;
-	/** The first fault strikes every host. */
+	/** Whether the first fault is injected into every host. */
 	isEverywhere?: boolean;
 };
 
@@ -95,11 +96,11 @@
 	[replaced, restarted],
 ];
 const scenarios: readonly Scenario[] = [
-	...[killed, restarted, paused, replaced, cut, stale].map((first): Scenario => ({name: `of its host: ${first.name}`, first})),
-	...pairs.map(([first, second]): Scenario => ({name: `of its host: ${first.name}; of another: ${second.name}`, first, second})),
-	{name: `of every host: ${restarted.name}`, first: restarted, isEverywhere: true},
+	...[killed, restarted, paused, replaced, cut, stale].map((first): Scenario => ({name: `on its host: ${first.name}`, first})),
+	...pairs.map(([first, second]): Scenario => ({name: `on its host: ${first.name}; on another: ${second.name}`, first, second})),
+	{name: `on every host: ${restarted.name}`, first: restarted, isEverywhere: true},
 	{
-		name: `of its host: ${killed.name}; the host list changes while another zone is cut off`, first: killed, second: cut, listChanges: true,
+		name: `on its host: ${killed.name}; the host list changes while another zone is cut off`, first: killed, second: cut, listChanges: true,
 	},
 ];
 
@@ -129,8 +130,8 @@
 	afterEach(async () => {
 		fleet.network.heal();
 		fleet.platform.setFaults({});
-		for (const {cleanUp: clear} of activeFaults) {
-			await clear?.();
+		for (const {cleanUp} of activeFaults) {
+			await cleanUp?.();
 		}
 
 		await Promise.all([...faultyHosts].map(async host => {
@@ -150,13 +151,13 @@
 	const faultyHosts = new Set<FleetHost>();
 	const outcomes: Array<{work: Work; result: PlainCallResult; begun: number}> = [];
 
-	/** Sends work and compares the word given with the count at that moment. */
+	/** Sends work, and compares the outcome in the answer with the counts at that moment. */
 	async function send(work: Work, host: FleetHost): Promise<PlainCallResult> {
 		const result = await work.send(host);
 		const {begun} = countRuns(fleet, work);
 		outcomes.push({work, result, begun});
 		if (result.outcome === 'not-run') {
-			assert.equal(begun, 0, `said "not run" of a ${work.kind} that began (${work.stage}, key ${work.mint}): ${JSON.stringify(result)}`);
+			assert.equal(begun, 0, `the outcome is "not-run", but a ${work.kind} began (${work.stage}, key ${work.mint}): ${JSON.stringify(result)}`);
 		}
 
 		return result;
@@ -166,7 +167,7 @@
 		return Promise.all(works.map(async work => send(work, host)));
 	}
 
-	/** The fault of the case before may have cut this host's peers off a moment ago; until they vouch again, refusals are right. */
+	/** Waits until new work succeeds at the host: the previous test's fault may just have cut off its peers, and until they vouch again, refusals are correct. */
 	async function waitUntilClaimsSucceed(host: FleetHost): Promise<void> {
 		for (const kind of ['scene', 'desk'] as const) {
 			await waitUntil(async () => {
@@ -186,11 +187,11 @@
 		await waitUntil(() => early.every(work => {
 			const {begun, runs} = countRuns(fleet, work);
 			return hasEnded(work) || (work.stage === 'in decode' ? runs > 0 : begun > 0);
-		}), {deadlineMs, what: 'the start of all work'});
+		}), {deadlineMs, what: 'all work to have begun'});
 		const refused = outcomes.filter(({work, begun}) => early.includes(work) && begun === 0);
-		assert.deepEqual(refused.map(({work, result}) => ({work, result})), [], 'work was refused by a host that nothing ailed yet');
+		assert.deepEqual(refused.map(({work, result}) => ({work, result})), [], 'work was refused by a host before any fault was injected');
 		const last: Array<Promise<PlainCallResult>> = [];
-		// The first of these are being claimed or dispatched when the fault strikes, the last have hardly been sent.
+		// When the fault is injected, the first of these are being claimed or dispatched, and the last have just been sent.
 		for (const work of works.filter(({stage}) => stage === 'sent')) {
 			last.push(send(work, host));
 			await sleep(sendIntervalMs);
@@ -199,7 +200,7 @@
 		return {works, firsts: Promise.all([sent, ...last]).then(results => results.flat())}; // eslint-disable-line promise/prefer-await-to-then -- not to be awaited here
 	}
 
-	/** New keys for hosts that nothing ails; a refusal that isn't needed is a fault. */
+	/** Sends work with new keys to healthy hosts; a refusal is a fault if enough hosts can vouch for the key. */
 	async function countRefusals(hosts: readonly FleetHost[]): Promise<{asked: number; refused: PlainCallResult[]}> {
 		const asked = hosts.flatMap(host => mints.map(mint => ({host, work: createWork('desk', 'sent', mint)})));
 		const results = await Promise.all(asked.map(async ({host, work}) => send(work, host)));
@@ -239,17 +240,17 @@
 
 			const answeredWhole = works.filter(({key}) => outcomes.some(({work, result}) => work.key === key && result.isWhole));
 			const neverRun = counted.filter(({begun}) => begun === 0).map(({work}) => `${work.kind} ${work.stage}, key ${work.mint}`);
-			const count = (isMeant: (runs: number) => boolean) => counted.filter(({runs}) => isMeant(runs)).length;
-			t.diagnostic(`${works.length} keys: ${count(runs => runs > 1)} ran twice, ${count(runs => runs === 1)} once, ${count(runs => runs === 0)} not to the end`);
+			const count = (isCounted: (runs: number) => boolean) => counted.filter(({runs}) => isCounted(runs)).length;
+			t.diagnostic(`${works.length} keys: ${count(runs => runs > 1)} ran more than once, ${count(runs => runs === 1)} once, ${count(runs => runs === 0)} did not run`);
 			t.diagnostic(`${answeredWhole.length} got a whole answer`);
 			t.diagnostic(`refused without having begun anywhere: ${neverRun.length === 0 ? 'none' : neverRun.join('; ')}`);
-			t.diagnostic(`new keys at hosts that are well: ${newKeys.refused.length} of ${newKeys.asked} refused`);
+			t.diagnostic(`new keys at healthy hosts: ${newKeys.refused.length} of ${newKeys.asked} refused`);
 			for (const {work, runs} of counted) {
 				assert.ok(runs <= 1, `${work.kind} ${work.stage}, key ${work.mint}: ${runs} runs`);
 			}
 
-			if (hostCount - faults.reduce((sum, [{nonVouchingHosts: hostsOut}]) => sum + hostsOut, 0) >= quorum) {
-				assert.deepEqual(newKeys.refused, [], 'a refusal that was not needed');
+			if (hostCount - faults.reduce((sum, [{nonVouchingHosts}]) => sum + nonVouchingHosts, 0) >= quorum) {
+				assert.deepEqual(newKeys.refused, [], 'a healthy host refused a new key although enough hosts could vouch for it');
 			}
 		});
 	}
--- a/test/failures/config-bad-edits.test.ts
+++ b/test/failures/config-bad-edits.test.ts
@@ -1,8 +1,9 @@
 /*
- * Staff publish an edit that the platform first serves cut off or not at all,
- * that is wrong in itself, or of which a part is missing. Every host goes on by
- * the edition in force and says what is wrong, because it judges a document
- * whole before it takes it; once the edit is whole it comes in force everywhere.
+ * Guards against a bad edit of the configuration that takes effect, or that fails
+ * without a message. Operators publish an edition that the platform first serves
+ * truncated or not at all, that is invalid, or that lacks a part. Each host
+ * validates the whole document before it accepts it, so it keeps the edition in
+ * force and reports the fault; once the edition is complete, all hosts use it.
  */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
@@ -17,11 +18,11 @@
 	const config = useConfigFleet();
 
 	const firstServed = [
-		{name: 'a part of it', toFaults: () => ({truncateAt: 0.7}), isRefused: true},
-		{name: 'the document before in its place', toFaults: () => ({oldDocument: config().current().revision}), isRefused: false},
+		{name: 'a truncated copy of it', toFaults: () => ({truncateAt: 0.7}), isRefused: true},
+		{name: 'the previous document in its place', toFaults: () => ({oldDocument: config().current().revision}), isRefused: false},
 	];
 	for (const {name, toFaults, isRefused} of firstServed) {
-		it(`comes in force although the platform first served ${name}`, async t => {
+		it(`is replaced by the next edition although the platform first served ${name}`, async t => {
 			const {newer: good} = await config().putInForce();
 			config().fleet.platform.setFaults(toFaults());
 			const newer = config().publishNext();
@@ -31,7 +32,7 @@
 				await waitUntil(async () => {
 					const revisions = await Promise.all(config().fleet.hosts.map(async host => readMetric(host, 'config_revision')));
 					return revisions.every(revision => revision === newer.revision);
-				}, {deadlineMs, what: 'the document before under its later revision'});
+				}, {deadlineMs, what: 'all hosts to read the previous document under the later revision'});
 			}
 
 			await config().waitUntilSeen(good);
@@ -45,12 +46,12 @@
 	const badEdits = [
 		{name: 'names a pool that does not exist', toText: () => config().toNextPlain({edition: 1_000_000, rules: [{name: 'lost', then: {pool: 'nowhere', class: 'quick', repeatable: true}}]})},
 		{name: 'was changed after it was sealed', toText: () => config().toSealed(config().current().text).text.replace('dvorana-a-1', 'dvorana-a-9')},
-		{name: 'has lost its end', toText: () => config().toSealed(config().current().text).text.slice(0, -200)},
+		{name: 'lacks its end', toText: () => config().toSealed(config().current().text).text.slice(0, -200)},
 	];
 	for (const {name, toText} of badEdits) {
-		it(`stays when the next edit ${name}, and staff are told on every host`, async () => {
+		it(`stays in force when the next edition ${name}, and every host logs the refusal once`, async () => {
 			const text = toText();
-			// Staff repair it, and publish the bad one again by mistake.
+			// Operators publish a valid edition and then, by mistake, the bad one again.
 			for (const turn of ['first', 'again']) {
 				const {newer: good} = await config().putInForce();
 				const revision = config().fleet.platform.publish('config', text);
@@ -67,11 +68,11 @@
 
 	const halfEdits: Array<{name: string; toServed: (part: ConfigPart, other: ConfigPart) => string | undefined}> = [
 		{name: 'is missing', toServed: () => undefined},
-		{name: 'is cut off', toServed: ({text}) => text.slice(0, -20)},
-		{name: 'is another one', toServed: (_, {text}) => text},
+		{name: 'is truncated', toServed: ({text}) => text.slice(0, -20)},
+		{name: 'has the content of another part', toServed: (_, {text}) => text},
 	];
 	for (const {name, toServed} of halfEdits) {
-		it(`stays while a part of the next edit ${name}, which staff are told on every host, and follows once it is there`, async t => {
+		it(`stays in force while a part of the next edition ${name}, which every host reports, and is replaced once the part is there`, async t => {
 			const {newer: good} = await config().putInForce();
 			const {parts, ...next} = config().toSealedParts(config().current().text);
 			const latePart = parts.find(part => part.name === 'rules-001')!;
@@ -90,17 +91,17 @@
 				assert.ok(refused.reason.includes(`${latePart.name} under ${toPartKey(latePart)}`), refused.reason);
 			}
 
-			// A replaced host asks its peers and the platform, and gets what is in force.
+			// A replaced host gets the edition in force from its peers or the platform.
 			await config().restart(config().fleet.hosts.slice(0, 1));
 			await config().waitUntilSeen(good);
 			config().publishParts([latePart]);
 			config().setCurrent({...next, revision, at: performance.now()});
 			const spread = await config().waitUntilSeen(config().current());
-			t.diagnostic(`in force everywhere ${Math.max(...spread)} ms after the part was there`);
+			t.diagnostic(`in force everywhere ${Math.max(...spread)} ms after the part was published`);
 		});
 	}
 
-	it('stays and reaches replaced hosts although the platform has lost a part of it', async () => {
+	it('stays in force and reaches replaced hosts although the platform has lost one of its parts', async () => {
 		await config().putInForce();
 		const {parts, ...next} = config().toSealedParts(config().current().text);
 		config().publishParts(parts);
@@ -108,11 +109,11 @@
 		await config().waitUntilSeen(config().current());
 		config().fleet.platform.publish(toPartKey(parts.find(part => part.name === 'rules-001')!), 'lost');
 		await config().restart(config().ofZone(near));
-		await config().waitUntilAnswered(config().ofZone(near), next, 'the document from peers');
+		await config().waitUntilAnswered(config().ofZone(near), next, 'the replaced hosts to answer by the edition from their peers');
 		await config().waitUntilSeen(config().current());
 	});
 
-	it('came in force on all hosts each time', t => {
+	it('came in force on all hosts after each change', t => {
 		const sorted = config().spreadMs().toSorted((a, b) => a - b);
 		t.diagnostic(`${sorted.length} spreads to one host: median ${sorted[Math.floor(sorted.length / 2)]} ms, longest ${sorted.at(-1)} ms`);
 		assert.ok(sorted.length > 0);
--- a/test/failures/config-restarted-peer.test.ts
+++ b/test/failures/config-restarted-peer.test.ts
@@ -1,22 +1,23 @@
 /*
- * Callers of a replaced host are answered by an edition from before the one that
- * they saw. The agent of its peer restarts as well, takes up what that host's
- * entry still holds from before a long pause, and tells it on before either of
- * them has heard the platform. A host that has forgotten everything took the
- * first edition that it was told. Proof: what its callers see never goes back.
+ * Guards against a replaced host that goes back to an older edition. While the
+ * platform is down, the agent of a peer restarts, takes over an outdated edition
+ * from its entry, which missed the newest one during a long pause, and passes it on
+ * to the replaced host. The replaced host has no state and would accept the first
+ * edition that it is sent. The test checks that its callers never see an older
+ * edition after a newer one.
  */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {describe, it} from 'node:test';
 import {type FleetHost} from '../_lib/start-fleet/index.js';
 import {useConfigFleet} from './_lib/start-config-fleet.js';
 
-/** Long enough for a replaced host to have heard its peer. */
+/** Long enough for a replaced host to hear from its peer. */
 const platformDownMs = 1500;
 
 describe('a replaced host beside a restarted agent', () => {
 	const config = useConfigFleet();
 
-	it('does not take what the agent has from its entry alone', async () => {
+	it('does not accept an edition that the agent knows from its own entry alone', async () => {
 		await config().putInForce();
 		const [behind, replaced, ...others] = config().fleet.hosts as [FleetHost, FleetHost, ...FleetHost[]];
 		behind.agent().pause();
--- a/test/failures/crashing-request.test.ts
+++ b/test/failures/crashing-request.test.ts
@@ -1,4 +1,4 @@
-/** A request that crashes each server that runs it, and comes again. */
+/** A request that crashes each server that runs it, and is sent again. */
 import assert from 'node:assert/strict';
 import {afterEach, describe, it} from 'node:test';
 import {setTimeout as sleep} from 'node:timers/promises';
@@ -25,7 +25,7 @@
 
 const countCrashes = (): number => allServers().reduce((sum, server) => sum + server.crashes(), 0);
 
-/** Calls of the request at any server, the computing of its prompt included. */
+/** Counts the calls for a request at all servers, including those that compute its prompt, or those of one step only. */
 const countCalls = ({body}: Asked, step?: Arrival['step']): number =>
 	allServers().flatMap(({arrivals}) => arrivals).filter(arrival => arrival.body === body && (step === undefined || arrival.step === step)).length;
 
@@ -36,7 +36,7 @@
 	}
 }
 
-/** Sends what another host would tell. */
+/** Sends a host the message in which another host reports three crashes under a request. */
 async function sendCrashReport(address: string, fingerprint: string): Promise<void> {
 	const from = await findUdpAddress();
 	const other = await openLoadDatagrams({address: from, onMessage: () => undefined, onFault: () => undefined});
@@ -70,26 +70,26 @@
 		return allServers().every(({id}) => known.has(id)) && known.size === allServers().length;
 	};
 
-	await waitUntil(() => Array.from({length: hosts}, (_, i) => isUpToDate(i)).every(Boolean), {deadlineMs, what: 'the hosts to know the new starts'});
+	await waitUntil(() => Array.from({length: hosts}, (_, i) => isUpToDate(i)).every(Boolean), {deadlineMs, what: 'all hosts to know the restarted servers and no others'});
 }
 
-/** Sends the request, at one host after the other, until so many servers have crashed. */
+/** Sends the request, to the hosts in turn, until the given number of servers have crashed. */
 async function crashServers(asked: Asked, {crashes, hosts}: {crashes: number; hosts: number}): Promise<void> {
 	for (let sent = 0; countCrashes() < crashes; sent++) {
-		assert.ok(sent < 10 * crashes, 'the request crashes no server');
+		assert.ok(sent < 10 * crashes, 'too few servers crashed after ten requests for each expected crash');
 		await fixture.ask({...asked, at: sent % hosts});
 		await publishRestarts(hosts);
 	}
 }
 
 /*
- * Guards against a request that is run again and again, at one host after the
- * other, though it crashed each server that ran it.
+ * Guards against a request that crashes each server that runs it, and is run again
+ * and again by one host after the other.
  */
 describe('relay: a request crashes each server that runs it', () => {
 	afterEach(async () => fixture.stop());
 
-	it('is the same request in the log of each host that it reaches', async () => {
+	it('has the same fingerprint in the logs of all hosts', async () => {
 		await startFixture(2);
 		const asked = [{...harmless, at: 0}, {...harmless, at: 1}, {...harmless, path: '/summary/2'}];
 		for (const one of asked) {
@@ -102,7 +102,7 @@
 		assert.notEqual(other, first);
 	});
 
-	it('reaches no server any more once three have crashed under it, whichever hosts sent it there', async () => {
+	it('is sent to no server after three have crashed under it, whichever hosts sent it there', async () => {
 		await startFixture(2);
 		await crashServers(crashing, {crashes: 3, hosts: 2});
 		const callsBefore = countCalls(crashing);
@@ -116,7 +116,7 @@
 		assert.deepEqual(answers.map(({status}) => status), [503, 503, 503, 503]);
 	});
 
-	it('reaches no server of a plain service either', async () => {
+	it('is sent to no server of a plain service either', async () => {
 		await startFixture(1);
 		await crashServers(crashingLookup, {crashes: 3, hosts: 1});
 		const answer = await fixture.ask(crashingLookup);
@@ -124,7 +124,7 @@
 		assert.equal(countCrashes(), 3);
 	});
 
-	/** Asks, and lets another host tell of the crashes while the prompt is computed; `undefined` where the prompt took longer than it may on a busy machine. */
+	/** Sends the request, and reports its crashes from another host while its prompt is computed; returns `undefined` if the prompt exceeded its timeout on a busy machine. */
 	async function askDuringCrashReport(n: number): Promise<Answer | undefined> {
 		const {prefill1, prefill2} = fixture.servers;
 		const released = createDeferred();
@@ -133,17 +133,17 @@
 		const requestId = `told-${n}`;
 		const body = `crashing-${n}`;
 		const asking = fixture.ask({...crashing, body, headers: toStreamHeaders({'request-id': requestId})});
-		await waitUntil(() => countCalls({body}, 'prefill') > 0, {deadlineMs, what: 'its prompt under way', everyMs: 2});
+		await waitUntil(() => countCalls({body}, 'prefill') > 0, {deadlineMs, what: 'a prefill server to compute the prompt', everyMs: 2});
 		const toOwn = (message: string) => fixture.logs().find(line => line.message === message && line.requestId === requestId);
 		await sendCrashReport(fixture.peerAddresses[0]!, String(toOwn('request received')?.fingerprint));
-		await waitUntil(() => fixture.logs().filter(({message}) => message === 'request quarantined').length > n, {deadlineMs, what: 'the host to know', everyMs: 2});
+		await waitUntil(() => fixture.logs().filter(({message}) => message === 'request quarantined').length > n, {deadlineMs, what: 'the host to log the quarantine', everyMs: 2});
 		const isLate = toOwn('attempt failed') !== undefined;
 		released.resolve();
 		const answer = await asking;
 		return isLate ? undefined : answer;
 	}
 
-	it('is not sent on when another host tells of its crashes while its prompt is computed', async () => {
+	it('is not sent to a decode server when another host reports its crashes while its prompt is computed', async () => {
 		await startFixture(2);
 		for (let n = 0; n < 10; n++) {
 			const answer = await askDuringCrashReport(n);
@@ -155,10 +155,10 @@
 			}
 		}
 
-		assert.fail('the machine is too slow for a prompt within its limit');
+		assert.fail('in none of 10 tries was the prompt computed within its timeout; the machine is too slow');
 	});
 
-	it('is refused at once where others have to wait for room', async () => {
+	it('is refused at once when other requests have to wait for decode memory', async () => {
 		await startFixture(1);
 		await crashServers(crashing, {crashes: 3, hosts: 1});
 		fixture.servers.decode1.setFreeTokens(0);
@@ -166,19 +166,19 @@
 		const {status} = await fixture.ask({...crashing, headers: {...crashing.headers, 'request-id': 'refused'}});
 		assert.equal(status, 503);
 		const own = fixture.logs().filter(({requestId}) => requestId === 'refused');
-		assert.deepEqual(own.map(({message, reason}) => `${String(message)}: ${String(reason)}`), ['request refused: quarantined'], 'it went in among those that wait');
+		assert.deepEqual(own.map(({message, reason}) => `${String(message)}: ${String(reason)}`), ['request refused: quarantined'], 'the request was queued instead of refused at once');
 	});
 
-	it('is refused while it waits for room, once another host tells of its crashes', async () => {
+	it('is refused while it waits for decode memory, once another host reports its crashes', async () => {
 		await startFixture(2);
 		const {decode1, decode2} = fixture.servers;
 		decode1.setFreeTokens(0);
 		decode2.setFreeTokens(0);
 		const asking = fixture.ask({...crashing, at: 0});
-		await waitUntil(() => decode1.arrivals.length + decode2.arrivals.length > 0, {deadlineMs, what: 'it to wait', everyMs: 2});
+		await waitUntil(() => decode1.arrivals.length + decode2.arrivals.length > 0, {deadlineMs, what: 'a decode server to be asked for a reservation', everyMs: 2});
 		const received = fixture.logs().find(({message}) => message === 'request received');
 		await sendCrashReport(fixture.peerAddresses[0]!, String(received?.fingerprint));
-		await waitUntil(() => fixture.logs().some(({message}) => message === 'request quarantined'), {deadlineMs, what: 'the host to know', everyMs: 2});
+		await waitUntil(() => fixture.logs().some(({message}) => message === 'request quarantined'), {deadlineMs, what: 'the host to log the quarantine', everyMs: 2});
 		decode1.setFreeTokens(40_000);
 		const {status, body} = await asking;
 		assert.equal(status, 503);
@@ -186,14 +186,14 @@
 		assert.equal(countCalls(crashing), 0);
 	});
 
-	it('leaves requests alone that ran beside it: they are served when they come again', async () => {
+	it('does not affect requests that ran beside it: they are served when they are sent again', async () => {
 		await startFixture(1);
 		await crashServers(crashing, {crashes: 2, hosts: 1});
 		const stream = {...harmless, body: 'beside it'};
 		const {decode1, decode2} = fixture.servers;
 		const asking = fixture.ask(stream);
 		const hasBegun = ({arrivals}: ServerStandIn) => arrivals.some(({body, step}) => body === 'beside it' && step === 'decode');
-		await waitUntil(() => [decode1, decode2].some(server => hasBegun(server)), {deadlineMs, what: 'it to run', everyMs: 1});
+		await waitUntil(() => [decode1, decode2].some(server => hasBegun(server)), {deadlineMs, what: 'the harmless request to run', everyMs: 1});
 		await crashServers(crashing, {crashes: 3, hosts: 1});
 		await asking;
 		const again = await fixture.ask(stream);
@@ -203,12 +203,13 @@
 });
 
 /*
- * Guards against refusing a request for good because living servers broke its answers off.
+ * Guards against a request that is quarantined because servers that did not crash
+ * broke its answers off.
  */
-describe('relay: servers break answers off and live on', () => {
+describe('relay: servers break answers off without crashing', () => {
 	afterEach(async () => fixture.stop());
 
-	it('serves a request that broke at as many of them as may crash under one', async () => {
+	it('serves a request whose answers broke at as many servers as crashes are allowed', async () => {
 		fixture = await startRelayFixture();
 		const misdeeds: Misdeed[] = [];
 		const desks = await Promise.all([3, 4, 5, 6].map(async i => startServerStandIn({id: `desk${i}`, misdeeds})));
@@ -220,7 +221,7 @@
 			fixture.store.remove(`servers/${id}`);
 		}
 
-		await waitUntil(() => fixture.knownServers(0).size === 8 && !fixture.knownServers(0).has('desk1'), {deadlineMs, what: 'the host to know the desks'});
+		await waitUntil(() => fixture.knownServers(0).size === 8 && !fixture.knownServers(0).has('desk1'), {deadlineMs, what: 'the host to know the new desk servers'});
 		const broken = new Set<ServerStandIn>();
 		while (broken.size < 3) {
 			misdeeds.push('reset');
--- a/test/failures/duplicate-delivery.test.ts
+++ b/test/failures/duplicate-delivery.test.ts
@@ -1,9 +1,9 @@
 /*
- * A caller sends one letter with an idempotency key, loses the connection or
- * patience, and sends the same again: to the same host, to another, to two at
- * once, during a cut and after it. A second run would be a second letter to the
- * client; two whole answers would be a scene billed twice. The second call joins
- * the first run and takes its delivery over.
+ * Guards against work that runs twice under one idempotency key. A caller sends a
+ * letter, loses the connection or gives up, and repeats the request at the same
+ * host, at another one, at two hosts at once, and during and after a network
+ * partition. A second run would send the client a second letter, and bill a scene
+ * twice. The second call has to join the first run and take over its answer.
  */
 import assert from 'node:assert/strict';
 import {
@@ -18,7 +18,7 @@
 
 const deadlineMs = 20_000;
 
-/** Runs that the engines began, whatever the names under which requests reached them. */
+/** Counts the runs that the engines began, under any request ID. */
 function countRuns(fleet: Fleet): number {
 	return [...fleet.engines.values()]
 		.flatMap(engine => Object.values(engine.judge().requests))
@@ -74,14 +74,14 @@
 			assert.equal(countRuns(fleet), 1);
 		});
 
-		it(`runs once when ${name} is asked during the answer`, async () => {
+		it(`runs once when ${name} gets the key again during the answer`, async () => {
 			const results = await callTwice(0, second, waitForTokens);
 			assert.equal(results[1].isWhole, true, JSON.stringify(results));
 			assert.equal(results[0].isWhole, false);
 			assert.equal(countRuns(fleet), 1);
 		});
 
-		it(`runs once when ${name} is asked after the first connection broke`, async () => {
+		it(`runs once when ${name} gets the key again after the first connection broke`, async () => {
 			const results = await callTwice(0, second, async call => {
 				await waitForTokens(call);
 				call.leave();
@@ -90,7 +90,7 @@
 			assert.equal(countRuns(fleet), 1);
 		});
 
-		it(`gives the kept answer when ${name} is asked after the end`, async () => {
+		it(`sends the retained answer when ${name} gets the key again after the end`, async () => {
 			const results = await callTwice(0, second, async call => {
 				await call.done;
 			});
@@ -107,7 +107,7 @@
 		});
 	}
 
-	it('runs once when the second host is cut off from the first, and answers when the cut heals', async () => {
+	it('runs once when the second host is cut off from the first, and sends the retained answer once the partition heals', async () => {
 		const scene = {...toLetter(), isScene: true};
 		const first = startCall(fleet.hosts[0]!.callerUrl, scene);
 		await waitForTokens(first);
@@ -121,7 +121,7 @@
 		const healed = await waitUntil(async () => {
 			const result = await startCall(fleet.hosts[1]!.callerUrl, scene).done;
 			return result.isWhole && result;
-		}, {deadlineMs, what: 'the kept answer through the healed cut', everyMs: 200});
+		}, {deadlineMs, what: 'the retained answer after the partition healed', everyMs: 200});
 		assert.equal(healed.text, whole.text);
 		assert.equal(countRuns(fleet), 1);
 	});
--- a/test/failures/graceful-stop.test.ts
+++ b/test/failures/graceful-stop.test.ts
@@ -1,8 +1,10 @@
 /*
- * All hosts are restarted one after the other, as in a release, while callers
- * send letters, scenes and desk calls and long letters stream. Callers follow
- * readiness, as a balancer does, and `Connection: close`. They see no error and
- * lose no token; and a key that was used before a restart is known after it.
+ * Guards against errors and forgotten idempotency keys in a rolling restart. All
+ * hosts are restarted one after the other, as in a release, while callers send
+ * letters, scenes and desk calls, and long letters stream. The callers follow
+ * readiness, as a load balancer does, and `Connection: close`. No call may fail, no
+ * answer may lose a token, and a key that was used before a restart must not run
+ * again after it.
  */
 import assert from 'node:assert/strict';
 import {setTimeout as sleep} from 'node:timers/promises';
@@ -21,7 +23,7 @@
 const readyPollIntervalMs = 100;
 const betweenCallsMs = 20;
 
-/** Where a balancer sends new connections. */
+/** Polls the readiness of hosts, as a load balancer does to route new connections. */
 function watchReadiness(hosts: readonly FleetHost[]) {
 	const ready = new Set<FleetHost>();
 	const ending = new AbortController();
@@ -59,14 +61,14 @@
 
 describe('a graceful stop of all hosts, one after the other', () => {
 	let fleet: Fleet;
-	/** What goes on until it is ended; a case that fails must not leave it running. */
+	/** End the loops of a test, which would otherwise go on after the test failed. */
 	const endings: AbortController[] = [];
 
 	before(async () => {
 		fleet = await startFleet({
 			zones: ['dvorana-a', 'dvorana-b'],
 			hostsPerZone: 2,
-			// The default bound: without its hand-over, a restarted witness would vouch for nothing for four minutes.
+			// With the default clock bound, a restarted witness that got no hand-over vouches for no key for four minutes.
 			entryClock: {startedAgoMs: 600_000},
 			entryFlags: {drainDelay: '1s'},
 			prefillEngine: {prefillConcurrency: 4},
@@ -81,7 +83,7 @@
 		await fleet.stop();
 	});
 
-	it('cuts off nothing and forgets no key', async t => {
+	it('breaks no answer and forgets no key', async t => {
 		const reports: CallReport[] = [];
 		const readiness = watchReadiness(fleet.hosts);
 		await waitUntil(() => fleet.hosts.every(host => readiness.isReady(host)), {deadlineMs, what: 'all hosts to be ready'});
@@ -140,7 +142,7 @@
 			const leaving = host.entry();
 			await host.stop(deadlineMs);
 			stopDurationsMs.push(Math.round(performance.now() - stoppedAt));
-			// A clock that says nothing of an earlier start: only the hand-over lets it vouch for keys.
+			// The clock gives no earlier start time, so the host can vouch for keys only after a hand-over.
 			host.setClock({});
 			await host.start();
 			await waitUntil(() => readiness.isReady(host), {deadlineMs, what: `${host.id} to be ready again`});
@@ -159,17 +161,17 @@
 		const again = await Promise.all(usedKeys.flatMap(options => fleet.hosts.map(async host => startCall(host.callerUrl, options).done)));
 		const outcomeCounts = new Map<string, number>();
 		for (const {isWhole, outcome} of again) {
-			const word = isWhole ? 'the whole answer' : (outcome ?? 'nothing');
-			outcomeCounts.set(word, (outcomeCounts.get(word) ?? 0) + 1);
+			const label = isWhole ? 'whole answers' : (outcome ?? 'without an outcome');
+			outcomeCounts.set(label, (outcomeCounts.get(label) ?? 0) + 1);
 		}
 
 		const failed = reports.filter(({isWhole}) => !isWhole);
 		t.diagnostic(`${asked} calls and ${longLetters.length} long letters during ${fleet.hosts.length} restarts: ${failed.length} not whole`);
 		t.diagnostic(`stops took ${stopDurationsMs.join(', ')} ms`);
-		t.diagnostic(`old keys sent to all hosts again: ${[...outcomeCounts].map(([word, count]) => `${count} ${word}`).join(', ')}`);
+		t.diagnostic(`keys from before the restarts, sent to all hosts again: ${[...outcomeCounts].map(([outcome, count]) => `${count} ${outcome}`).join(', ')}`);
 		t.diagnostic(claimLines.flatMap(toLines => toLines()).join('\n'));
 		assert.deepEqual(failed.slice(0, 10), []);
-		assert.ok(reports.some(({what}) => what === 'scene'), 'no scene was asked for');
+		assert.ok(reports.some(({what}) => what === 'scene'), 'no scene was sent during the restarts');
 		assert.equal(countScenes(), runsBefore, 'a key that was used before a restart ran again');
 		assert.ok(again.every(({isWhole, outcome}) => isWhole || outcome === 'may-have-run' || outcome === 'ran'), JSON.stringify(again));
 	});
--- a/test/failures/leaving-answer.test.ts
+++ b/test/failures/leaving-answer.test.ts
@@ -1,4 +1,4 @@
-/** What servers say of themselves in their answers, where the platform tells it late or not at all. */
+/** States that servers announce in their answers, which the platform reports late or not at all. */
 import assert from 'node:assert/strict';
 import {
 	afterEach, beforeEach, describe, it,
@@ -15,7 +15,7 @@
 const lookup: Asked = {path: '/lookup/1'};
 const summary: Asked = {path: '/summary/1', body: 'prompt', headers: toStreamHeaders()};
 
-/** Asks until the server has answered one more call; gives the time just before the request that it answered. */
+/** Sends requests until the server has answered one; returns the time just before that request. */
 async function askUntilAnswered(server: ServerStandIn, asked: Asked): Promise<number> {
 	const before = server.arrivals.length;
 	return waitUntil(async () => {
@@ -25,7 +25,7 @@
 	}, {deadlineMs, what: `${server.id} to answer a call`});
 }
 
-/** Asks many times; gives the calls that reached the server meanwhile. */
+/** Sends 12 requests at once; returns how many calls reached the server meanwhile. */
 async function countCallsDuringLoad(server: ServerStandIn, asked: Asked): Promise<number> {
 	const before = server.arrivals.length;
 	const answers = await Promise.all(Array.from({length: 12}, async () => fixture.ask(asked)));
@@ -34,16 +34,16 @@
 }
 
 /*
- * Guards against requests at a server that said in an answer that it leaves, while
- * the platform does not answer or still lists it as ready.
+ * Guards against requests sent to a server that has announced in an answer that it
+ * is leaving, while the platform does not answer or still lists it as ready.
  */
-describe('relay: a server says in an answer that it leaves', () => {
+describe('relay: a server says in an answer that it is leaving', () => {
 	beforeEach(async () => {
 		fixture = await startRelayFixture();
 	});
 	afterEach(async () => fixture.stop());
 
-	it('gets nothing new once it has answered so, though the platform is silent', async () => {
+	it('gets no new requests after that answer, although the platform is silent', async () => {
 		const {servers, store} = fixture;
 		store.setMood('silent');
 		store.cutWatches();
@@ -52,7 +52,7 @@
 		assert.equal(await countCallsDuringLoad(servers.desk1, lookup), 0);
 	});
 
-	it('gets nothing new, though the platform lists it as ready after that', async () => {
+	it('gets no new requests, although the platform lists it as ready after that answer', async () => {
 		const {servers, publishServer, publishRoutes, logs} = fixture;
 		servers.desk1.setLeaving(true);
 		await askUntilAnswered(servers.desk1, lookup);
@@ -62,26 +62,26 @@
 		assert.equal(await countCallsDuringLoad(servers.desk1, lookup), 0);
 	});
 
-	it('computes no prompt for a decode server that says so with the place that it grants', async () => {
+	it('gets no prompt computed for it if it is a decode server and says so when it grants a reservation', async () => {
 		const {servers} = fixture;
 		servers.decode1.setLeaving(true);
 		await askUntilAnswered(servers.decode1, summary);
 		assert.equal(await countCallsDuringLoad(servers.decode1, summary), 0);
 		assert.equal(servers.decode1.runs().length, 0);
 		const prompts = [...servers.prefill1.arrivals, ...servers.prefill2.arrivals].filter(({step}) => step === 'prefill').length;
-		assert.equal(prompts, servers.decode2.runs().length, 'a prompt was computed for nothing');
-		await waitUntil(() => servers.decode1.reservations() === 0, {deadlineMs, what: 'the place to be given back'});
+		assert.equal(prompts, servers.decode2.runs().length, 'a prompt was computed that no decode server used');
+		await waitUntil(() => servers.decode1.reservations() === 0, {deadlineMs, what: 'the reservation to be released'});
 	});
 
-	it('gets no further prompt once it has computed one and said so', async () => {
+	it('gets no further prompt after it has computed one and said so', async () => {
 		const {servers} = fixture;
 		servers.prefill1.setLeaving(true);
 		await askUntilAnswered(servers.prefill1, summary);
-		await waitUntil(() => fixture.caches.size === 0, {deadlineMs, what: 'the prompt to be fetched'});
+		await waitUntil(() => fixture.caches.size === 0, {deadlineMs, what: 'the computed prompt to be fetched'});
 		assert.equal(await countCallsDuringLoad(servers.prefill1, summary), 0);
 	});
 
-	it('is used again from its next start', async () => {
+	it('is used again after its next start', async () => {
 		const {servers, publishServer, store, knownServers} = fixture;
 		servers.desk1.setLeaving(true);
 		await askUntilAnswered(servers.desk1, lookup);
@@ -89,14 +89,14 @@
 		store.remove('servers/desk1');
 		servers.desk1.id = 'desk1-next';
 		publishServer(servers.desk1);
-		await waitUntil(() => knownServers(0).has('desk1-next'), {deadlineMs, what: 'the next start to be known'});
+		await waitUntil(() => knownServers(0).has('desk1-next'), {deadlineMs, what: 'the host to know the next start'});
 		await askUntilAnswered(servers.desk1, lookup);
 	});
 });
 
 /*
- * Guards against requests at a server that has turned one away and named a time
- * for which it wants nothing.
+ * Guards against requests sent to a server that has turned one away and asked for
+ * none during a stated time.
  */
 describe('relay: a server turns requests away for a while', () => {
 	beforeEach(async () => {
@@ -106,7 +106,7 @@
 
 	const backoffMs = 2000;
 
-	/** Lets the server turn one call away, and serve all others. */
+	/** Makes the server turn one call away, and serve all others; returns the time just before that call. */
 	async function turnOneCallAway(server: ServerStandIn, asked: Asked): Promise<number> {
 		server.turnAway(backoffMs / 1000);
 		const at = await askUntilAnswered(server, asked);
@@ -120,7 +120,7 @@
 		{name: 'that computes prompts', server: 'prefill1', asked: summary},
 	];
 	for (const {name, server: id, asked} of cases) {
-		it(`gets nothing until that time is over, and is used again then: one ${name}`, async () => {
+		it(`gets no requests until that time is over, and is used again then: a server ${name}`, async () => {
 			const server = fixture.servers[id];
 			const at = await turnOneCallAway(server, asked);
 			const before = server.arrivals.length;
@@ -131,28 +131,28 @@
 
 			assert.equal(server.arrivals.length, before);
 			await askUntilAnswered(server, asked);
-			assert.ok(performance.now() - at >= backoffMs, 'asked too early');
+			assert.ok(performance.now() - at >= backoffMs, 'a call reached the server before its back-off was over');
 		});
 	}
 
-	it('refuses at once, and says when to come back, where all servers of a service want nothing', async () => {
+	it('refuses at once with Retry-After if all servers of a service back off', async () => {
 		const {desk1, desk2} = fixture.servers;
 		const [first] = await Promise.all([turnOneCallAway(desk1, lookup), turnOneCallAway(desk2, lookup)]);
 		const before = desk1.arrivals.length + desk2.arrivals.length;
 		const answer = await fixture.ask(lookup);
-		assert.ok(performance.now() - first < backoffMs, 'the machine was too slow for this case');
+		assert.ok(performance.now() - first < backoffMs, 'the back-off ended before the refusal: the machine was too slow for this test');
 		assert.equal(answer.status, 503);
 		const returnMs = Number(answer.headers['retry-after']) * 1000;
 		assert.ok(returnMs > 0 && returnMs <= backoffMs, String(returnMs));
 		assert.equal(desk1.arrivals.length + desk2.arrivals.length, before);
 	});
 
-	it('lets a stream wait for a decode server that wants nothing for so short that it can be in time', async () => {
+	it('lets a stream wait for a decode server whose back-off ends early enough for the deadline', async () => {
 		const {decode1, decode2} = fixture.servers;
 		decode1.turnAway(0.3);
 		decode2.turnAway(0.3);
 		const asking = fixture.ask(summary);
-		await waitUntil(() => decode1.arrivals.length + decode2.arrivals.length >= 2, {deadlineMs, what: 'both to turn it away', everyMs: 5});
+		await waitUntil(() => decode1.arrivals.length + decode2.arrivals.length >= 2, {deadlineMs, what: 'both decode servers to turn the stream away', everyMs: 5});
 		decode1.turnAway(undefined);
 		decode2.turnAway(undefined);
 		const {status} = await asking;
@@ -160,7 +160,7 @@
 		assert.equal([...decode1.arrivals, ...decode2.arrivals].filter(({step}) => step === 'reserve').length, 3);
 	});
 
-	it('refuses a stream at once where all decode servers want nothing for longer than it could wait', async () => {
+	it('refuses a stream at once if all decode servers back off for longer than the stream can wait', async () => {
 		const {decode1, decode2, prefill1, prefill2} = fixture.servers;
 		decode1.turnAway(20);
 		decode2.turnAway(20);
@@ -171,7 +171,7 @@
 		assert.equal(prefill1.arrivals.length + prefill2.arrivals.length, 0);
 	});
 
-	it('gets neither the answer to run nor its place back, if it asks so while a prompt is computed for it', async () => {
+	it('gets neither the run nor the release of its reservation if it asks to back off while a prompt is computed for it', async () => {
 		const {decode1, decode2, prefill1, prefill2} = fixture.servers;
 		const released = createDeferred();
 		prefill1.holdPrompts(released.promise);
@@ -181,7 +181,9 @@
 		const chosen = decode1.arrivals.length > 0 ? decode1 : decode2;
 		chosen.turnAway(backoffMs / 1000);
 		const other = fixture.ask(summary);
-		await waitUntil(() => fixture.logs().some(({message, server}) => message === 'server asks to back off' && server === chosen.id), {deadlineMs, what: 'the relay to know', everyMs: 5});
+		await waitUntil(() => fixture.logs().some(({message, server}) => message === 'server asks to back off' && server === chosen.id), {
+			deadlineMs, what: 'the relay to log that the chosen server backs off', everyMs: 5,
+		});
 		const before = chosen.arrivals.length;
 		prefill1.holdPrompts(Promise.resolve());
 		prefill2.holdPrompts(Promise.resolve());
--- a/test/failures/leaving-server.test.ts
+++ b/test/failures/leaving-server.test.ts
@@ -1,10 +1,10 @@
 /*
- * A server is taken out of service. The platform's list says so late, its own
- * load reports lag, and it may refuse before either; a host that has heard
- * nothing learns it from a peer. Callers go on being answered by the other
- * servers, what runs on the leaving one is finished whole, and once a host
- * knows, no caller's request is offered there. That a host asks the server by a
- * probe of its own is the matter of `leaving-contradicted`.
+ * Guards against requests that fail because a server is taken out of service. Hosts
+ * learn of it from the platform's list, which is late, from the server's load
+ * reports, which lag, from a refusal that precedes both, or from a peer. Callers
+ * have to be answered by the other servers, work in flight on the leaving one has
+ * to be completed, and once a host knows, it may not offer the server any caller's
+ * request. Probes of the host itself are tested in `leaving-contradicted`.
  */
 import assert from 'node:assert/strict';
 import {setTimeout as sleep} from 'node:timers/promises';
@@ -22,10 +22,10 @@
 import {startCall, type StartedCall} from './_lib/start-call.js';
 import {startPlainCall} from './_lib/start-plain-call.js';
 
-/** Load goes on for so long after all hosts know. */
+/** How long the load continues after all hosts know. */
 const loadAfterKnownMs = 2000;
 
-/** Two seconds of prefill, or five of decode, and what an engine holds meanwhile. */
+/** Letters that take two seconds of prefill or five of decode, and the kind of hold that an engine has meanwhile. */
 const longLetters = {
 	prefill: {text: 'All of your post of this year, in one scan. '.repeat(730), maxTokens: 5, kind: 'prefill'},
 	decode: {text: 'a letter with a long summary', maxTokens: 250, kind: 'stream'},
@@ -35,16 +35,16 @@
 	return engine.judge().holds.some(hold => hold.kind === kind);
 }
 
-/** A machine that is busy with other work may serve late; a call that would miss its target is refused, whoever leaves. */
+/** On a busy machine calls may be served late, and a call predicted to miss its target is refused; targets this long rule that out. */
 const patientDesk = {...usualRoutes.desk, target: {firstToken: '60s', complete: '120s'}};
 
 const loads = createLoads();
 
 type Case = {
 	name: string;
-	/** Whether callers ask while the hosts learn of it; a refusal can be learnt from only then. */
+	/** Whether callers send requests while the hosts learn of it; without requests there are no refusals to learn from. */
 	hasLoadWhileLearning: boolean;
-	/** What its report says when all hosts know: other than `leaving` proves that they did not learn it there. */
+	/** State in the server's load report when all hosts know; `serving` proves that they did not learn it from the report. */
 	reported: 'serving' | 'leaving';
 	leave: (fleet: Fleet, engine: EngineStandIn) => void;
 };
@@ -55,7 +55,7 @@
 
 const cases: readonly Case[] = [
 	{
-		name: 'the platform\'s list, which its own word contradicts',
+		name: 'the platform\'s list, which its load report contradicts',
 		hasLoadWhileLearning: true,
 		reported: 'serving',
 		leave(fleet, {id}) {
@@ -102,7 +102,7 @@
 		await fleet.stop();
 	});
 
-	/** Long letters, at least one of them on the server. */
+	/** Starts long letters until at least one of them runs on the server. */
 	async function startLongLetters(engine: EngineStandIn, role: 'prefill' | 'decode'): Promise<StartedCall[]> {
 		const calls: StartedCall[] = [];
 		const {text, maxTokens, kind} = longLetters[role];
@@ -114,15 +114,15 @@
 	}
 
 	for (const {
-		name, hasLoadWhileLearning: isAskedMeanwhile, reported, leave,
+		name, hasLoadWhileLearning, reported, leave,
 	} of cases) {
 		for (const role of ['decode', 'prefill'] as const) {
-			it(`gets nothing new: a ${role} engine, known from ${name}`, async t => {
+			it(`is offered no new work: a ${role} engine, known to be leaving from ${name}`, async t => {
 				const engine = fleet.engine(`${zone}-${role}-1`);
 				const long = await startLongLetters(engine, role);
 				let load = loads.start(fleet.hosts, `${role} ${name}`);
-				await waitUntil(() => load.results.length > 20, {deadlineMs, what: 'some load'});
-				if (!isAskedMeanwhile) {
+				await waitUntil(() => load.results.length > 20, {deadlineMs, what: 'more than 20 answers'});
+				if (!hasLoadWhileLearning) {
 					await load.end();
 				}
 
@@ -131,35 +131,35 @@
 				leave(fleet, engine);
 				const {firstMs, allMs} = await waitUntilKnownAsLeaving(fleet, engine.id);
 				assert.equal(await readReportedState(engine), reported);
-				// What was placed a moment before all knew may still be on its way.
+				// Work that was placed just before all hosts knew may still be in flight.
 				await sleep(200);
 				const offers = countCallerOffers(engine);
 				const {lastAcceptedAtMs} = engine.judge();
 				const answered = before.length;
-				load = isAskedMeanwhile ? load : loads.start(fleet.hosts, `${role} ${name}, later`);
+				load = hasLoadWhileLearning ? load : loads.start(fleet.hosts, `${role} ${name}, later`);
 				await sleep(loadAfterKnownMs);
 				await load.end();
 				const longResults = await Promise.all(long.map(async ({done}) => done));
 				const results = [...new Set([...before, ...load.results])];
 
 				const acceptedAfterMs = Math.round((engine.judge().lastAcceptedAtMs ?? 0) - firstMs);
-				t.diagnostic(`first known ${Math.round(firstMs - leftAt)} ms, by all ${Math.round(allMs - leftAt)} ms after it left`);
+				t.diagnostic(`first known ${Math.round(firstMs - leftAt)} ms, by all ${Math.round(allMs - leftAt)} ms after the server began to leave`);
 				t.diagnostic(`last new work accepted ${acceptedAfterMs} ms after the first host knew`);
-				t.diagnostic(`${results.length - answered} letters after all knew, ${countCallerOffers(engine) - offers} offers`);
-				assert.ok(offers > 0, 'the load did not reach the server');
-				assert.ok(results.length > answered, 'no load came after all knew');
-				assert.equal(countCallerOffers(engine), offers, 'new work was offered to a server that all knew to be leaving');
+				t.diagnostic(`${results.length - answered} letters after all hosts knew, ${countCallerOffers(engine) - offers} offers`);
+				assert.ok(offers > 0, 'the load did not reach the server before all hosts knew');
+				assert.ok(results.length > answered, 'no request ended after all hosts knew');
+				assert.equal(countCallerOffers(engine), offers, 'new work was offered to a server that all hosts knew to be leaving');
 				assert.equal(engine.judge().lastAcceptedAtMs, lastAcceptedAtMs);
 				assert.deepEqual(results.filter(({isWhole}) => !isWhole), []);
-				assert.deepEqual(longResults.filter(({isWhole}) => !isWhole), [], 'a letter in progress was not finished');
+				assert.deepEqual(longResults.filter(({isWhole}) => !isWhole), [], 'a letter in progress was not completed');
 			});
 		}
 	}
 
-	it('gets nothing new from a host that only a peer told', async t => {
+	it('is offered no new work by a host that learnt of it from a peer', async t => {
 		const [near, ...others] = fleet.hosts as [FleetHost, ...FleetHost[]];
 		const engine = fleet.engine(`${zone}-decode-1`);
-		// Reports lag, and nobody asks the others: they know it from the first host's refusals.
+		// Load reports lag and the other hosts get no requests, so they learn it from the first host, which is refused.
 		engine.setState('leaving');
 		const refusedAt = performance.now();
 		const load = loads.start([near], 'peer');
@@ -170,13 +170,13 @@
 		const calls = others.flatMap((host, i) => Array.from({length: 10}, (_, j) => startCall(host.callerUrl, {prompt: `told ${i} ${j}`, maxTokens: 5})));
 		const results = await Promise.all(calls.map(async ({done}) => done));
 		t.diagnostic(`first known ${Math.round(firstMs - refusedAt)} ms, by all ${Math.round(allMs - refusedAt)} ms after the refusals began`);
-		t.diagnostic(`${results.length} letters at hosts that were told, ${countCallerOffers(engine) - offers} offers`);
+		t.diagnostic(`${results.length} letters at hosts that learnt of it from a peer, ${countCallerOffers(engine) - offers} offers`);
 		const offered = countCallerOffers(engine) === offers ? '' : await readAccounts(fleet, results.map(({requestId}) => requestId), account => account.includes(engine.id));
 		assert.equal(countCallerOffers(engine), offers, offered);
 		assert.deepEqual(results.filter(({isWhole}) => !isWhole), []);
 	});
 
-	it('gets nothing new: a plain service, known from the platform\'s list', async t => {
+	it('gets no new calls: a plain service, known to be leaving from the platform\'s list', async t => {
 		const [plain] = fleet.plains;
 		assert.ok(plain);
 		const ask = async (i: number) => startPlainCall(fleet.hosts[i % fleet.hosts.length]!.callerUrl, {path: '/desk/box/17'});
@@ -193,6 +193,6 @@
 		const unserved = results.filter(({isWhole}) => !isWhole);
 		assert.deepEqual(unserved, [], await readAccounts(fleet, unserved.map(({requestId}) => requestId)));
 		const finished = await Promise.all(inProgress.map(async ([call]) => call));
-		assert.deepEqual(finished.filter(({isWhole}) => !isWhole), [], 'a call in progress was not finished');
+		assert.deepEqual(finished.filter(({isWhole}) => !isWhole), [], 'a call in progress was not completed');
 	});
 });
--- a/test/failures/membership.test.ts
+++ b/test/failures/membership.test.ts
@@ -1,8 +1,9 @@
 /*
- * A host sleeps, a link is cut one way or flaps, a zone is cut off, all agents
- * restart, a host leaves. Callers of the other hosts go on being answered. The
- * others suspect a silent host, and declare it dead only when nobody at all
- * hears it; one that runs and is connected is known alive by all soon after.
+ * Guards against healthy hosts that are declared dead, and against callers of other
+ * hosts that are refused. A host is paused, a link is cut one way or flaps, a zone
+ * is cut off, all agents restart, or a host leaves. The other hosts suspect a
+ * silent host, declare it dead only if no host can reach it, and consider it alive
+ * again soon after it runs and is connected.
  */
 import assert from 'node:assert/strict';
 import {setTimeout as sleep} from 'node:timers/promises';
@@ -19,7 +20,7 @@
 const askIntervalMs = 200;
 const near = 'dvorana-a';
 const far = 'dvorana-b';
-/** Several times the patience that the hosts of this test have. */
+/** Silence after which the hosts of this test declare another one dead. */
 const deadAfterMs = 3000;
 const faultDurationMs = 2 * deadAfterMs;
 const flapIntervalMs = 400;
@@ -36,7 +37,7 @@
 	}
 }
 
-/** Keeps every change of what each host thinks of each other one. */
+/** Records every change of the state in which each host sees each other one. */
 function watchLives(hosts: readonly FleetHost[]) {
 	const seen: LifeChange[] = [];
 	const latest = new Map<string, HostLife>();
@@ -69,7 +70,7 @@
 	};
 }
 
-/** Quick requests to hosts that a case leaves alone. */
+/** Starts sending quick requests to hosts that the fault doesn't affect. */
 function startAsking(hosts: readonly FleetHost[]) {
 	const calls: Array<Promise<CallResult>> = [];
 	let hasEnded = false;
@@ -92,16 +93,16 @@
 
 type Case = {
 	name: string;
-	/** Hosts that the fault silences for others; callers ask the rest. */
+	/** Hosts that the others can't hear during the fault; callers send to the remaining ones. */
 	silencedHosts: readonly string[];
-	/** What the others must find out about those; only what is dead may be declared so, and a zone that falls silent as a whole is taken for cut off. */
+	/** State in which the others must come to see the silenced hosts. A zone that falls silent as a whole counts as cut off, so its hosts are only suspected. */
 	expectedLife?: 'suspect' | 'dead';
 	run: (fleet: Fleet, waitUntilFound: () => Promise<void>) => Promise<void>;
 };
 
 const cases: readonly Case[] = [
 	{
-		name: 'a host that sleeps beyond patience and wakes',
+		name: 'a host that is paused until it is declared dead, and resumes',
 		silencedHosts: [`${near}-1`],
 		expectedLife: 'dead',
 		async run(fleet, waitUntilFound) {
@@ -143,7 +144,7 @@
 		},
 	},
 	{
-		name: 'a zone that is cut off and joined again',
+		name: 'a zone that is cut off and rejoins',
 		silencedHosts: [`${far}-1`, `${far}-2`],
 		expectedLife: 'suspect',
 		async run(fleet, waitUntilFound) {
@@ -173,15 +174,15 @@
 		await waitUntil(async () => {
 			const lives = await Promise.all(fleet.hosts.map(async host => readLives(host)));
 			return lives.every(seen => fleet.hosts.every(({id}) => seen.some(host => host.id === id && host.life === 'alive')));
-		}, {deadlineMs, what: 'all hosts to be alive for all', everyMs: pollIntervalMs});
+		}, {deadlineMs, what: 'every host to consider all hosts alive', everyMs: pollIntervalMs});
 	}
 
-	/** Waits until all others think that hosts live no longer. */
+	/** Waits until all other hosts see the given hosts in the given state. */
 	async function waitUntilGone(ids: readonly string[], life: HostLife): Promise<void> {
 		await waitUntil(async () => {
 			const lives = await Promise.all(others(ids).map(async host => readLives(host)));
 			return lives.every(seen => ids.every(id => seen.some(host => host.id === id && host.life === life)));
-		}, {deadlineMs, what: `${ids.join(', ')} to be ${life} for the others`, everyMs: pollIntervalMs});
+		}, {deadlineMs, what: `${ids.join(', ')} to be considered ${life} by the other hosts`, everyMs: pollIntervalMs});
 	}
 
 	function report(t: TestContext, startedAt: number, results: readonly CallResult[]): void {
@@ -193,7 +194,7 @@
 		const reasons = refused.map(({status, problem, outcome, isBroken}) => `${status} ${problem ?? ''} ${outcome ?? ''}${isBroken ? ' broken' : ''}`);
 		t.diagnostic(`${results.length} quick requests, ${refused.length} not answered whole: ${reasons.join('; ') || '-'}`);
 		assert.ok(results.length > 0);
-		assert.deepEqual(refused, [], 'a host that the fault leaves alone did not answer whole');
+		assert.deepEqual(refused, [], 'a host that the fault did not affect gave no whole answer');
 	}
 
 	before(async () => {
@@ -215,23 +216,23 @@
 		await fleet.stop();
 	});
 
-	for (const {name, silencedHosts: silenced, expectedLife: found, run} of cases) {
-		it(`outlives ${name}`, async t => {
-			const asking = startAsking(others(silenced));
+	for (const {name, silencedHosts, expectedLife, run} of cases) {
+		it(`recovers from ${name}`, async t => {
+			const asking = startAsking(others(silencedHosts));
 			const startedAt = performance.now();
-			await run(fleet, async () => waitUntilGone(silenced, found!));
+			await run(fleet, async () => waitUntilGone(silencedHosts, expectedLife!));
 			const undoneAt = performance.now();
 			await waitUntilAllAlive();
-			t.diagnostic(`all alive for all ${Math.round(performance.now() - undoneAt)} ms after it was over`);
+			t.diagnostic(`all hosts considered alive ${Math.round(performance.now() - undoneAt)} ms after the end of the fault`);
 			await sleep(pollIntervalMs);
 			const results = await asking.end();
 			report(t, startedAt, results);
 			const dead = watch.since(startedAt).filter(({life}) => life === 'dead');
-			assert.deepEqual(dead.filter(({of}) => found !== 'dead' || !silenced.includes(of)), [], 'a live, connected host was declared dead');
+			assert.deepEqual(dead.filter(({of}) => expectedLife !== 'dead' || !silencedHosts.includes(of)), [], 'a running, connected host was declared dead');
 		});
 	}
 
-	it('knows a host that leaves gracefully as left, and never as dead', async t => {
+	it('considers a host that stops gracefully left, and never dead', async t => {
 		const host = fleet.host(`${near}-1`);
 		const asking = startAsking(others([host.id]));
 		const startedAt = performance.now();
--- a/test/failures/not-run.test.ts
+++ b/test/failures/not-run.test.ts
@@ -1,8 +1,9 @@
 /*
- * The system gives up: a queue is full, a target would be missed, no server is
- * left, no configuration is there yet, the host stops, or a key can't be taken.
- * The caller is told at once what it may conclude. "Not run" is compared with
- * what the engines and the desk counted for that request: they saw nothing.
+ * Guards against a refusal with the outcome "not-run" for work that has begun. A
+ * queue is full, a target would be missed, no server is left, no configuration is
+ * there yet, the host stops, or a key can't be claimed. The caller has to learn at
+ * once whether its request may have run; the test compares the outcome "not-run"
+ * with the counts of the engines and the desk for that request.
  */
 import assert from 'node:assert/strict';
 import {setTimeout as sleep} from 'node:timers/promises';
@@ -53,17 +54,17 @@
 			await engine.revive();
 		}
 
-		await waitUntil(() => fleet.holds().length === 0, {deadlineMs, what: 'the release of all memory'});
+		await waitUntil(() => fleet.holds().length === 0, {deadlineMs, what: 'the engines to release all memory'});
 		await waitUntil(async () => {
 			const {isWhole} = await startCall(host.callerUrl, {prompt: 'Is all well again?'}).done;
 			return isWhole;
-		}, {deadlineMs, what: 'a whole answer', everyMs: 100});
+		}, {deadlineMs, what: 'a whole answer after the faults ended', everyMs: 100});
 	});
 	after(async () => {
 		await fleet.stop();
 	});
 
-	/** Sends, and counts at the moment of the answer what began for it. */
+	/** Sends a request; the report counts what had begun for it by the time of the answer. */
 	function start(options: CallOptions): StartedCall & {report: Promise<CallReport>} {
 		const sentAt = performance.now();
 		const call = startCall(host.callerUrl, options);
@@ -80,19 +81,19 @@
 		const text = JSON.stringify(report);
 		assert.equal(report.outcome, 'not-run', text);
 		assert.match(report.problem ?? '', kind, text);
-		assert.equal(report.begun, 0, `said "not run" of work that began: ${text}`);
-		assert.equal(report.retryAfter !== undefined, hasRetryAfter, `Retry-After: ${text}`);
+		assert.equal(report.begun, 0, `the outcome is "not-run", but work began: ${text}`);
+		assert.equal(report.retryAfter !== undefined, hasRetryAfter, `Retry-After is missing or unexpected: ${text}`);
 	}
 
 	function checkOutcome(report: CallReport): void {
 		if (!report.isWhole) {
-			assert.ok(report.outcome !== undefined, `no word: ${JSON.stringify(report)}`);
-			assert.ok(report.outcome !== 'not-run' || report.begun === 0, `said "not run" of work that began: ${JSON.stringify(report)}`);
-			assert.ok(report.outcome !== 'not-run' || report.retryAfter !== undefined, `did not say when to come back: ${JSON.stringify(report)}`);
+			assert.ok(report.outcome !== undefined, `no outcome: ${JSON.stringify(report)}`);
+			assert.ok(report.outcome !== 'not-run' || report.begun === 0, `the outcome is "not-run", but work began: ${JSON.stringify(report)}`);
+			assert.ok(report.outcome !== 'not-run' || report.retryAfter !== undefined, `no Retry-After: ${JSON.stringify(report)}`);
 		}
 	}
 
-	it('is true when the queue is full, and said at once', async t => {
+	it('is true when the queue is full, and answered at once', async t => {
 		const calls = Array.from({length: 20}, (_, i) => start({prompt: `full ${i}`, maxTokens: 60}));
 		const reports = await Promise.all(calls.map(async call => call.report));
 		const refused = reports.filter(({isWhole}) => !isWhole);
@@ -108,8 +109,8 @@
 		const reports = await Promise.all(calls.map(async call => call.report));
 		const missed = reports.filter(({problem}) => problem?.endsWith('target-missed'));
 		const others = reports.filter(one => !missed.includes(one)).map(({outcome, problem, isWhole}) => isWhole ? 'whole' : `${outcome} ${problem}`);
-		t.diagnostic(`${missed.length} of ${reports.length} would miss it, told after ${missed.map(({tookMs}) => tookMs).join(', ')} ms; others: ${others.join(', ')}`);
-		assert.ok(missed.length > 0, 'none would miss its target');
+		t.diagnostic(`${missed.length} of ${reports.length} would miss their target, refused after ${missed.map(({tookMs}) => tookMs).join(', ')} ms; others: ${others.join(', ')}`);
+		assert.ok(missed.length > 0, 'no request was refused with target-missed');
 		for (const one of reports) {
 			checkOutcome(one);
 		}
@@ -128,12 +129,12 @@
 				const report = await start({prompt: `gone ${role}, later`}).report;
 				checkOutcome(report);
 				return report.problem?.endsWith('no-capacity') && report;
-			}, {deadlineMs, what: 'the word that there is no server', everyMs: 200});
+			}, {deadlineMs, what: 'a refusal with no-capacity', everyMs: 200});
 			t.diagnostic(`the first: ${first.outcome} ${first.problem} after ${first.tookMs} ms; later ${later.problem} after ${later.tookMs} ms`);
 			checkNotRun(later, {kind: /no-capacity$/v});
 		});
 
-		it(`is true when every ${role} engine leaves`, async () => {
+		it(`is true when every ${role} engine is leaving`, async () => {
 			fleet.engine(`dvorana-a-${role}-1`).setState('leaving');
 			const report = await start({prompt: `leaves ${role}`}).report;
 			checkOutcome(report);
@@ -160,12 +161,12 @@
 		},
 	];
 	for (const {name, toKey, kind, outcome, hasRetryAfter} of keys) {
-		it(`is not said too much of a key ${name}`, async () => {
+		it(`is answered only if true for a request with a key ${name}`, async () => {
 			const key = toKey();
 			const report = await start({prompt: `a scene with a key ${name}`, isScene: true, ...(key !== undefined && {key})}).report;
 			assert.equal(report.outcome, outcome, JSON.stringify(report));
 			assert.match(report.problem ?? '', kind);
-			assert.equal(report.begun, 0, 'work of a key that was refused');
+			assert.equal(report.begun, 0, 'work began although its key was refused');
 			assert.equal(report.retryAfter !== undefined, hasRetryAfter, JSON.stringify(report));
 			const atDesk = await startPlainCall(host.callerUrl, {path: '/desk/forwarding/17', ...(key !== undefined && {key})});
 			assert.equal(atDesk.outcome, outcome);
@@ -174,12 +175,12 @@
 	}
 
 	const deskFaults = [
-		{name: 'drops it before the work', faults: {drop: 'before'}},
-		{name: 'drops it after the work', faults: {drop: 'after'}},
-		{name: 'breaks off midway', faults: {drop: 'midway'}},
+		{name: 'drops the call before the work', faults: {drop: 'before'}},
+		{name: 'drops the call after the work', faults: {drop: 'after'}},
+		{name: 'breaks its answer off midway', faults: {drop: 'midway'}},
 	] as const;
 	for (const {name, faults} of deskFaults) {
-		it(`is not said of a change when the desk ${name}`, async () => {
+		it(`is not answered to a change when the desk ${name}`, async () => {
 			const [plain] = fleet.plains;
 			plain!.setFaults({...faults, times: 1});
 			const key = createKey();
@@ -191,7 +192,7 @@
 		});
 	}
 
-	it('is true when the host stops, of what still waits alone', async t => {
+	it('is true when the host stops, and answered only to requests that still wait', async t => {
 		const running = start({prompt: 'a long letter', maxTokens: 1000});
 		const early = await Promise.race([running.report, waitUntil(() => running.received().length > 0, {deadlineMs, what: 'the first token'})]);
 		assert.equal(early, true, JSON.stringify(early));
@@ -209,7 +210,7 @@
 			checkOutcome(one);
 		}
 
-		assert.ok(rest.some(({outcome}) => outcome === 'not-run'), 'none was waiting');
+		assert.ok(rest.some(({outcome}) => outcome === 'not-run'), 'no waiting request was refused with not-run');
 	});
 
 	it('is true when no configuration is there yet, and when no server answers at the desk', async () => {
--- a/test/failures/orders.test.ts
+++ b/test/failures/orders.test.ts
@@ -1,11 +1,13 @@
 /*
- * Staff publish an edition that wants other weights. Hosts order the servers to
- * load them, one after the other, while callers go on being answered. A host
- * that is cut off or asleep holds an older edition and would order the old
- * weights back; some engines refuse an order with an older fence, others take
- * anything. Callers of a pool always find a pair that serves, because the last
- * one of the pool, and of each zone that can spare a server, is left alone. A
- * zone with one server in a role loads only while another answers for it.
+ * Guards against a rollout of weights that leaves callers without servers or brings
+ * old weights back. Operators publish an edition with new weights, and hosts order
+ * the servers to load them one after the other while callers are being served. A
+ * host that is cut off or paused still has an older edition and would order the old
+ * weights; some engines refuse an order with an older fencing token, others accept
+ * any. A pool always keeps a prefill and a decode server of one version, because
+ * hosts never take the last such pair of the pool, nor of a zone that can spare a
+ * server. A zone with one server in a role loads only while another zone can serve
+ * its callers.
  */
 import assert from 'node:assert/strict';
 import {setTimeout as sleep} from 'node:timers/promises';
@@ -20,7 +22,7 @@
 
 const deadlineMs = 90_000;
 const loadMs = 1000;
-/** Longer than a host plans again, twice over. */
+/** More than twice the interval at which a host plans the rollout. */
 const observationMs = 6000;
 const askIntervalMs = 250;
 const near = 'dvorana-a';
@@ -32,7 +34,7 @@
 
 const toRole = (engine: EngineStandIn) => engine.id.includes('prefill') ? 'prefill' : 'decode';
 
-/** Quick requests to one host after the other, until ended. */
+/** Starts sending quick requests to the hosts in turn, until ended. */
 function startAsking(hostUrls: () => readonly string[]) {
 	const results: CallResult[] = [];
 	let hasEnded = false;
@@ -51,7 +53,7 @@
 		await Promise.all(calls);
 	})();
 	return {
-		/** Ends, and fails if an answer was cut off or more were refused than may be. */
+		/** Stops sending; asserts that no answer was cut off and that at most `mostRefused` requests were refused. */
 		async end(t: TestContext, mostRefused = Infinity): Promise<void> {
 			hasEnded = true;
 			await done;
@@ -70,7 +72,7 @@
 	};
 }
 
-/** Reasons for which the host's agent holds orders, by its status. */
+/** Reads from the status of the host's agent why it holds orders back. */
 async function readHeldOrderReasons({agentOperatorUrl}: FleetHost): Promise<string[]> {
 	const answer = await fetch(`${agentOperatorUrl}/status`, {signal: AbortSignal.timeout(deadlineMs)});
 	const {heldOrders} = await answer.json() as {heldOrders: Array<{reason: string; remedy: string}>};
@@ -78,13 +80,13 @@
 	return heldOrders.map(({reason}) => reason);
 }
 
-/** A fleet of two zones with so many servers of each role in each, and what its tests look at. */
+/** Starts a fleet of two zones, each with the given number of servers of each role, and returns what its tests need. */
 function createOrdersFixture(serversOfRole: number) {
 	let fleet: Fleet;
 	let text = '';
 	let edition = 0;
 
-	/** Publishes the next edition with its own weights; prefill engines check fences, decode engines do not. */
+	/** Publishes the next edition, with a new version of the weights; prefill engines check fencing tokens, decode engines do not. */
 	function publishNext(change: {rollout?: 'allow-gap'} = {}): string {
 		const document = JSON.parse(fleet.configText) as {servers: Array<{role: string}>; pools: Array<{name: string}>};
 		edition += 1;
@@ -102,7 +104,7 @@
 
 	const engines = () => [...fleet.engines.values()];
 
-	/** When servers were out of service for loads that they took, by their own record. */
+	/** The times at which servers were out of service to load weights, from the orders that they accepted. */
 	const toLoads = (): WeightLoad[] => engines().flatMap(engine => engine.judge().orders
 		.filter(({kind}) => kind === 'load-version')
 		.map(({atMs, fence}) => ({
@@ -114,11 +116,11 @@
 	const hasLoaded = (version: string, some: readonly EngineStandIn[] = engines()): boolean => some.every(engine => engine.judge().orders.at(-1)?.version === version);
 
 	async function waitUntilLoaded(version: string, some?: readonly EngineStandIn[]): Promise<void> {
-		await waitUntil(() => hasLoaded(version, some), {deadlineMs, what: `${version} on the servers`});
+		await waitUntil(() => hasLoaded(version, some), {deadlineMs, what: `the servers to load ${version}`});
 		await sleep(2 * loadMs);
 	}
 
-	/** Version that a server served at a time, by the orders that it took. */
+	/** The version that a server served at a time, from the orders that it accepted; `undefined` if it served none. */
 	function toServedVersion(engine: EngineStandIn, atMs: number, down: readonly Downtime[]): string | undefined {
 		if (down.some(({server, from, to}) => server === engine.id && atMs >= from && atMs < to)) {
 			return undefined;
@@ -128,14 +130,14 @@
 		return last === undefined || atMs >= last.atMs + loadMs ? last?.version ?? 'v1' : undefined;
 	}
 
-	/** Whether some prefill server and some decode server served one version at a time: a cache never goes to other weights. */
+	/** Whether a prefill server and a decode server served the same version at a time; a KV cache can't be used with other weights. */
 	function hadPair(some: readonly EngineStandIn[], atMs: number, down: readonly Downtime[]): boolean {
 		const toVersions = (role: string) => some.filter(engine => toRole(engine) === role).map(engine => toServedVersion(engine, atMs, down)).filter(version => version !== undefined);
 		const decodes = toVersions('decode');
 		return toVersions('prefill').some(version => decodes.includes(version));
 	}
 
-	/** No order took the last pair of the pool, nor of a zone that could spare a server, nor of two zones at a time. */
+	/** Asserts that no order took the last pair of the pool, of a zone that could spare a server, or of both zones at a time. */
 	function assertPairs(down: readonly Downtime[] = []): void {
 		const zones = [near, far].map(zone => engines().filter(({id}) => id.startsWith(zone)));
 		for (const {server, from} of toLoads()) {
@@ -147,19 +149,19 @@
 		}
 	}
 
-	/** No server took an order that is older than one that it took before. */
+	/** Asserts that no server accepted an order older than one that it had accepted before, and that loads neither overlapped nor took a last pair. */
 	function assertOrders(t: TestContext, down: readonly Downtime[] = []): void {
 		for (const engine of engines()) {
 			const {orders, refusedOrders} = engine.judge();
 			const fences = orders.map(({fence}) => fence);
 			const taken = orders.map(({fence, version}) => `${version} of edition ${fence}`).join(', ');
-			t.diagnostic(`${engine.id}: took ${taken}; refused ${refusedOrders.length}`);
-			assert.deepEqual(fences, fences.toSorted((a, b) => a - b), `${engine.id} took an order of an older edition`);
+			t.diagnostic(`${engine.id}: accepted ${taken}; refused ${refusedOrders.length}`);
+			assert.deepEqual(fences, fences.toSorted((a, b) => a - b), `${engine.id} accepted an order of an older edition`);
 		}
 
 		const loads = toLoads();
 		assertPairs(down);
-		assert.equal(countOverlaps(loads), 0, 'two servers loaded weights at once, beyond the rate of the store');
+		assert.equal(countOverlaps(loads), 0, 'two servers loaded weights at once, which exceeds the rate of the weight store');
 	}
 
 	before(async () => {
@@ -174,7 +176,7 @@
 			engine: {loadVersionMs: loadMs, loadLagMs: 100},
 			decodeEngine: {checksFence: false},
 		});
-		// The weights that the servers start with.
+		// The first edition has the weights that the servers start with.
 		publishNext();
 	});
 	after(async () => {
@@ -182,14 +184,14 @@
 	});
 
 	return {
-		fleet: () => fleet, edition: () => edition, publishNext, engines, hasLoaded, waitUntilLoaded, checkOrders: assertOrders, toLoads, countOverlaps,
+		fleet: () => fleet, edition: () => edition, publishNext, engines, hasLoaded, waitUntilLoaded, assertOrders, toLoads, countOverlaps,
 	};
 }
 
 describe('orders to zones with one server in a role', () => {
-	const {fleet: toFleet, publishNext, engines, hasLoaded, waitUntilLoaded, checkOrders, toLoads, countOverlaps} = createOrdersFixture(1);
+	const {fleet: toFleet, publishNext, engines, hasLoaded, waitUntilLoaded, assertOrders, toLoads, countOverlaps} = createOrdersFixture(1);
 
-	it('leave the last serving copy alone, and are given one after the other', async t => {
+	it('spare the last serving server of a role, and are sent one after the other', async t => {
 		const fleet = toFleet();
 		const lost = fleet.engine(`${near}-decode-1`);
 		const last = fleet.engine(`${far}-decode-1`);
@@ -198,19 +200,19 @@
 		await lost.crash();
 		const asking = startAsking(() => fleet.hosts.map(({callerUrl}) => callerUrl));
 		const version = publishNext();
-		await waitUntil(() => prefills.some(engine => hasLoaded(version, [engine])), {deadlineMs, what: 'the first load'});
+		await waitUntil(() => prefills.some(engine => hasLoaded(version, [engine])), {deadlineMs, what: 'a prefill server to load the new weights'});
 		await sleep(observationMs);
-		assert.deepEqual(last.judge().orders, [], 'the last serving copy was taken away');
+		assert.deepEqual(last.judge().orders, [], 'the last serving decode server was ordered to load weights');
 		await lost.revive();
 		const down = [{server: lost.id, from: lostAt, to: performance.now()}];
 		await waitUntilLoaded(version);
 		await asking.end(t);
 		const [first, second] = [lost.judge().orders[0]!.atMs, last.judge().orders[0]!.atMs];
-		assert.ok(second >= first + loadMs, 'the last copy was taken away before the other one served');
-		checkOrders(t, down);
+		assert.ok(second >= first + loadMs, 'the last serving decode server was ordered to load weights before the other one served again');
+		assertOrders(t, down);
 	});
 
-	it('wait while the zone that would answer meanwhile is cut off, and go on when it is back', async t => {
+	it('wait while the zone that could serve the callers meanwhile is cut off, and continue when it is back', async t => {
 		const fleet = toFleet();
 		const [side, other] = [`${near}-1`, `${far}-1`];
 		const asking = startAsking(() => [fleet.host(side).callerUrl, fleet.host(other).callerUrl]);
@@ -220,16 +222,16 @@
 		await waitUntil(async () => {
 			const reasons = await readHeldOrderReasons(fleet.host(side));
 			return reasons.includes('no-stand-in');
-		}, {deadlineMs, what: 'the status that says why orders wait'});
+		}, {deadlineMs, what: 'the status to give no-stand-in as the reason why orders wait'});
 		await sleep(observationMs);
-		assert.equal(toLoads().length, before, 'an order took the last pair of a zone that was cut off');
+		assert.equal(toLoads().length, before, 'an order took the last pair of a zone while the other zone was cut off');
 		fleet.network.heal();
 		await waitUntilLoaded(version);
 		await asking.end(t, 0);
-		checkOrders(t);
+		assertOrders(t);
 	});
 
-	it('go out during the cut where staff allow a gap, one after the other', async t => {
+	it('are sent during the partition if operators allow a gap, one after the other', async t => {
 		const fleet = toFleet();
 		const [side, other] = [`${near}-1`, `${far}-1`];
 		const asking = startAsking(() => [fleet.host(side).callerUrl]);
@@ -237,40 +239,40 @@
 		await waitUntilLoaded(publishNext({rollout: 'allow-gap'}));
 		fleet.network.heal();
 		await asking.end(t);
-		// Hosts on both sides look after each server, and may send it the same order within a moment; that is one load.
+		// Hosts on both sides may send a server the same order at nearly the same time, which counts as one load.
 		const loads = toLoads().filter((load, i, all) => !all.some((other, j) => j < i && other.server === load.server && Math.abs(other.from - load.from) < loadMs));
 		assert.equal(countOverlaps(loads), 0, `two servers loaded weights at once: ${JSON.stringify(loads)}`);
 	});
 });
 
 describe('orders to zones that can spare a server', () => {
-	const {fleet: toFleet, edition, publishNext, engines, hasLoaded, waitUntilLoaded, checkOrders} = createOrdersFixture(2);
+	const {fleet: toFleet, edition, publishNext, engines, hasLoaded, waitUntilLoaded, assertOrders} = createOrdersFixture(2);
 
-	it('of a host that is cut off and holds an older edition are not given', async t => {
+	it('of a host that is cut off and has an older edition are not sent', async t => {
 		const fleet = toFleet();
 		const [side, staleSide] = [`${near}-1`, `${far}-1`];
 		const asking = startAsking(() => [fleet.host(side).callerUrl]);
-		// It reaches every server, and nobody who knows better.
+		// The host can reach every server, but neither the platform nor the host with the newer edition.
 		fleet.network.cut(staleSide, 'platform');
 		fleet.network.cut(staleSide, side);
 		const version = publishNext();
 		await waitUntilLoaded(version);
 		await sleep(observationMs);
-		checkOrders(t);
+		assertOrders(t);
 		assert.ok(hasLoaded(version));
 		fleet.network.heal();
 		await asking.end(t, 0);
 	});
 
-	it('of a host that slept between its decision and the sending are not given', async t => {
+	it('of a host that was paused between its decision and the sending are not sent', async t => {
 		const fleet = toFleet();
 		const [side, sleeper] = [`${near}-1`, `${far}-1`];
 		const servers = engines().filter(({id}) => id.startsWith(far));
 		const asking = startAsking(() => [fleet.host(side).callerUrl]);
 		publishNext();
-		// Its orders to its own zone are on their way, and no byte of them arrives.
+		// The host sends orders to the servers of its own zone, but the cuts keep them from arriving.
 		const isOrdered = (id: string) => fleet.engine(id).judge().orders.at(-1)?.fence === edition();
-		await waitUntil(() => isOrdered(`${near}-decode-1`) || isOrdered(`${near}-prefill-1`), {deadlineMs, what: 'the first order'});
+		await waitUntil(() => isOrdered(`${near}-decode-1`) || isOrdered(`${near}-prefill-1`), {deadlineMs, what: 'the first order of the new edition'});
 		for (const {id} of servers) {
 			fleet.network.cut(sleeper, id);
 		}
@@ -282,7 +284,7 @@
 		await waitUntilLoaded(version);
 		fleet.host(sleeper).agent().resume();
 		await sleep(observationMs);
-		checkOrders(t);
+		assertOrders(t);
 		assert.ok(hasLoaded(version));
 		await asking.end(t, 0);
 	});
--- a/test/failures/orphaned-memory.test.ts
+++ b/test/failures/orphaned-memory.test.ts
@@ -1,9 +1,9 @@
 /*
- * A caller sends a letter and its connection closes, or the process that serves
- * it dies, is killed with its host, or is paused, while the letter waits, is in
- * prefill, in transfer, or in decode. The caller sees nothing any more; the
- * engines would go on holding memory for it. The entry cancels what it owes
- * nobody, and when it cannot, an agent releases it in its place.
+ * Guards against memory that engines keep for requests whose caller or entry is
+ * gone. While a letter is in prefill, in transfer or in decode, the caller
+ * disconnects, the entry is killed, alone or with its host, or the caller
+ * disconnects while the entry is paused. The entry cancels requests that nobody
+ * waits for; when it can't, an agent releases their memory instead.
  */
 import assert from 'node:assert/strict';
 import {
@@ -113,20 +113,20 @@
 	})();
 
 	await waitUntil(() => {
-		assert.equal(ended, undefined, `the call ended before it was ${stage.name}`);
+		assert.equal(ended, undefined, `the call ended before the letter was ${stage.name}`);
 		return stage.isReached(fleet);
 	}, {deadlineMs: stageDeadlineMs, what: `a letter ${stage.name}`});
 }
 
 async function waitUntilReleased(fleet: Fleet): Promise<void> {
 	try {
-		await waitUntil(() => fleet.holds().length === 0, {deadlineMs: releaseDeadlineMs, what: 'the release of all memory'});
+		await waitUntil(() => fleet.holds().length === 0, {deadlineMs: releaseDeadlineMs, what: 'the engines to release all memory'});
 	} catch (error) {
-		assert.fail(`${String(error)}; still held: ${JSON.stringify(fleet.holds())}`);
+		assert.fail(`${String(error)}; engines still hold ${JSON.stringify(fleet.holds())}`);
 	}
 }
 
-describe('memory of callers who are gone', () => {
+describe('engine memory of requests whose caller or entry is gone', () => {
 	let fleet: Fleet;
 
 	before(async () => {
@@ -149,7 +149,7 @@
 					engine.setFaults(stage.stallsTransfer ? {transfer: {kind: 'stall'}} : {});
 				}
 
-				// Each prompt begins otherwise, or the prefix cache would make the prefill too short to be seen.
+				// Each prompt begins differently; otherwise a hit in the prefix cache would make the prefill too short to observe.
 				const call = startCall(host.callerUrl, {...stage.call, prompt: `${loss.name}: ${stage.call.prompt}`});
 				await waitUntilReached(fleet, stage, call);
 				const lostAt = performance.now();
--- a/test/failures/platform-returns.test.ts
+++ b/test/failures/platform-returns.test.ts
@@ -1,4 +1,4 @@
-/** The platform comes back from a copy some seconds old, as callers of the relay meet it. */
+/** The platform is restored from a backup that is some seconds old, as seen by callers of the relay. */
 import assert from 'node:assert/strict';
 import {
 	afterEach, beforeEach, describe, it,
@@ -15,24 +15,24 @@
 
 const countFullReads = (): number => toLines('platform read anew after its return').length;
 
-/** The relay has read what the copy has. */
-const waitForCopy = async () => waitUntil(() => countFullReads() >= 1, {deadlineMs, what: 'the copy to be read', everyMs: 5});
+/** Waits until the relay has read the restored copy. */
+const waitForCopy = async () => waitUntil(() => countFullReads() >= 1, {deadlineMs, what: 'the relay to read the restored copy', everyMs: 5});
 
-/** Everything was read once more, after what was lost had its time to be written again. */
-const waitForSecondRead = async () => waitUntil(() => countFullReads() >= 2, {deadlineMs, what: 'the second whole read'});
+/** Waits for the second full read, which follows after lost entries have had time to be written again. */
+const waitForSecondRead = async () => waitUntil(() => countFullReads() >= 2, {deadlineMs, what: 'the second full read'});
 
 /*
- * Guards against rules that go back, against servers that left and are used again,
- * and against living servers that are dropped, because a copy of the platform is
- * taken for news, or its revisions for those of before.
+ * Guards against hosts that go back to older rules, use servers again that have
+ * left, or drop healthy servers, because they mistake the restored copy for new
+ * content or its revisions for those from before the restore.
  */
-describe('relay: the platform comes back from an older copy', () => {
+describe('relay: the platform is restored from an older copy', () => {
 	beforeEach(async () => {
 		fixture = await startRelayFixture();
 	});
 	afterEach(async () => fixture.stop());
 
-	it('keeps the newer rules, and takes the next ones', async () => {
+	it('keeps the newer rules, and accepts the next ones', async () => {
 		const {store, ask, askUntil, publishRoutes} = fixture;
 		const copy = store.copy();
 		publishRoutes(5, route => route.name === 'lookups' ? undefined : route);
@@ -45,16 +45,16 @@
 		await askUntil({path: '/lookup/'}, 200);
 	});
 
-	it('hears what is written under revisions that it has read before', async () => {
+	it('reads what is written under revisions that it has read before the restore', async () => {
 		const {store, publishRoutes, logs} = fixture;
 		const copy = store.copy();
 		for (const version of [2, 3, 4, 5]) {
 			publishRoutes(version);
 		}
 
-		await waitUntil(() => isInForce(5), {deadlineMs, what: 'the relay to read to the end'});
+		await waitUntil(() => isInForce(5), {deadlineMs, what: 'the relay to read the last edition'});
 		store.comeBackFrom(copy);
-		// By the time of the next read the revisions have passed those of before.
+		// By the next read the revisions are higher than those from before the restore.
 		store.put('servers/desk9', {
 			service: 'desk', address: '127.0.0.1:9', zone: 'b', version: 'v1', slots: 8, state: 'ready', cold_remaining_ms: 0, sequence: 1,
 		});
@@ -62,8 +62,8 @@
 			publishRoutes(version);
 		}
 
-		await waitUntil(() => logs().some(({server, state}) => server === 'desk9' && state === 'serving'), {deadlineMs, what: 'the server that was written below'});
-		await waitUntil(() => isInForce(6), {deadlineMs, what: 'the newest rules'});
+		await waitUntil(() => logs().some(({server, state}) => server === 'desk9' && state === 'serving'), {deadlineMs, what: 'the server that was written under a lower revision'});
+		await waitUntil(() => isInForce(6), {deadlineMs, what: 'the newest rules to be in force'});
 	});
 
 	it('sends nothing to a server that left, though the copy lists it as ready', async () => {
@@ -71,11 +71,13 @@
 		const copy = store.copy();
 		publishServer(servers.desk1, {state: 'draining'});
 		store.remove('servers/desk2');
-		await waitUntil(() => logs().some(({server, state}) => server === 'desk1' && state === 'leaving') && logs().some(({server, state}) => server === 'desk2' && state === 'gone'), {deadlineMs, what: 'both to be known'});
+		await waitUntil(() => logs().some(({server, state}) => server === 'desk1' && state === 'leaving') && logs().some(({server, state}) => server === 'desk2' && state === 'gone'), {
+			deadlineMs, what: 'the relay to know that both servers left',
+		});
 		store.comeBackFrom(copy);
 		await waitForCopy();
 		const answer = await ask({path: '/lookup/'});
-		assert.equal(answer.status, 503, 'a server that left was used');
+		assert.equal(answer.status, 503, 'a request was not refused although all servers had left');
 		await sleep(1000);
 		publishServer(servers.desk1, {state: 'draining'});
 		store.remove('servers/desk2');
@@ -85,7 +87,7 @@
 		assert.equal(servers.desk1.arrivals.length + servers.desk2.arrivals.length, 0);
 	});
 
-	it('uses a server that the copy lacks until it has written again, and drops one that does not', async () => {
+	it('uses servers that the copy lacks until the second full read, and drops those that have not been published again by then', async () => {
 		const {store, servers, publishServer, ask, askUntil, logs} = fixture;
 		store.remove('servers/desk1');
 		store.remove('servers/desk2');
@@ -99,7 +101,7 @@
 		store.comeBackFrom(copy);
 		await waitForCopy();
 		const answer = await ask({path: '/lookup/'});
-		assert.equal(answer.status, 200, 'a living server was dropped');
+		assert.equal(answer.status, 200, 'a healthy server was dropped');
 		await sleep(1000);
 		publishServer(servers.desk1);
 		await waitForSecondRead();
@@ -109,12 +111,14 @@
 		assert.ok(logs().some(({server, state}) => server === 'desk2-next' && state === 'gone'));
 	});
 
-	it('tells what differs, and where the platform stands', async () => {
+	it('logs the numbers of both eras, the edition, and how many servers differ', async () => {
 		const {store, servers, publishServer, publishRoutes} = fixture;
 		const copy = store.copy();
 		publishRoutes(3);
 		publishServer(servers.desk1, {state: 'draining'});
-		await waitUntil(() => isInForce(3) && fixture.logs().some(({server, state}) => server === 'desk1' && state === 'leaving'), {deadlineMs, what: 'both to be known'});
+		await waitUntil(() => isInForce(3) && fixture.logs().some(({server, state}) => server === 'desk1' && state === 'leaving'), {
+			deadlineMs, what: 'the relay to know the new rules and the leaving server',
+		});
 		store.comeBackFrom(copy);
 		await waitForCopy();
 		const [reset] = toLines('platform came back from an older copy, reading all anew');
--- a/test/failures/recovery.test.ts
+++ b/test/failures/recovery.test.ts
@@ -1,9 +1,10 @@
 /*
- * A caller asks an entry whose agent has just died or restarted, or whose agent
- * was told by mistake that servers can't be reached: a poll was lost in a busy
- * moment, or hung in a cut that has healed. All engines serve, and the entry's
- * last view names them. A refusal would be needless: the entry serves on with
- * what it knew, and lets the engine's own reservation decide where it doubts.
+ * Guards against an entry that refuses requests although all engines serve. Its
+ * agent has just died or restarted, or wrongly considers servers unreachable: a
+ * poll was lost under load, or hung in a network partition that has healed. The
+ * entry's last view still lists the servers, so the entry goes on using it, and
+ * where a server's state is doubtful, the engine decides when it is asked for a
+ * reservation.
  */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
@@ -34,7 +35,7 @@
 	id, zone: id[0]!, life: 'alive', incarnation: 1, entryAddress: `${id}:1`, agentAddress: `${id}:2`, leaving: false,
 }]));
 
-/** Host a-1: an agent that can be restarted, and an entry that decides with what it was fed. */
+/** Creates host a-1: an agent that can be restarted, and an entry that decides by the view that the agent feeds it. */
 function createHost() {
 	const clock = createManualClock({monotonic: 100_000});
 	const random = toSeededRandom(1);
@@ -45,7 +46,7 @@
 
 	const connection = {
 		closed: new Promise<never>(() => {
-			// It stays open.
+			// The connection stays open.
 		}),
 		send(_name: string, update: unknown) {
 			view = applyUpdate(view, update as FeedUpdate, {parse: () => assert.fail('the entry has the document'), isNewer: () => false});
@@ -78,7 +79,7 @@
 	view = {...emptyView, accepted};
 
 	const host = {
-		/** Time goes by; the agent, while there is one, tells its entry what it knows. */
+		/** Advances the clock; the agent, if one is running, publishes its view to the entry. */
 		pass(ms: number) {
 			for (const end = clock.now() + ms; clock.now() < end;) {
 				clock.advance(tickMs);
@@ -88,19 +89,19 @@
 				agent?.publisher.publish(agent.table.view(clock.now()), 0, clock.now());
 			}
 		},
-		/** Reports of servers are known. */
+		/** Gives the agent a load report of every server. */
 		report() {
 			for (const server of servers) {
 				agent?.table.noteLoad(toReport(server), clock.now());
 			}
 		},
-		/** The agent's own polls fail. */
+		/** Makes the agent's own polls of servers fail. */
 		lose(ids: readonly string[]) {
 			for (const id of ids) {
 				agent?.table.noteUnreachable(id, clock.now());
 			}
 		},
-		/** Another host says that its polls of servers failed. */
+		/** Delivers a message in which another host says that its polls of servers failed. */
 		hearLost(from: string, ids: readonly string[]) {
 			const sender = createLoadBroadcast();
 			for (const id of ids) {
@@ -112,12 +113,12 @@
 		killAgent() {
 			agent = undefined;
 		},
-		/** A new agent knows the document, which its entry told it, and nobody but itself. */
+		/** Starts a new agent, which knows the configuration from its entry, and no host but its own. */
 		restartAgent() {
 			agent = startAgent(new Map([...hosts].filter(([id]) => id === 'a-1')));
 		},
 		view: () => view,
-		/** `served`, or why not. */
+		/** Sends one request; returns `served`, or the reason of the refusal. */
 		async ask(): Promise<string> {
 			const now = clock.now();
 			const id = `r${asked++}`;
@@ -147,7 +148,7 @@
 	['all agents restart', host => {
 		host.restartAgent();
 	}, 10_000],
-	['a cut between zones has healed and all agents restart, while late word of both sides\' polls is still believed', host => {
+	['a partition between zones has healed and all agents restart, while late reports of failed polls from both sides still count', host => {
 		host.lose(ofZone('b'));
 		host.hearLost('b-1', ofZone('a'));
 		host.pass(200);
@@ -164,34 +165,34 @@
 		host.pass(200);
 		host.killAgent();
 	}, 60_000],
-	['the agent restarts while the platform is down, and reaches no peer and no server', host => {
+	['the agent restarts while the platform is down, and can reach no peer and no server', host => {
 		host.restartAgent();
 		host.pass(200);
 		host.lose(all);
 	}, 60_000],
-	['the reports of all servers go stale at once', () => undefined, 60_000],
+	['the load reports of all servers go stale at once', () => undefined, 60_000],
 ];
 
-describe('an entry that knows servers', () => {
+describe('an entry whose last view lists servers', () => {
 	for (const [name, fault, lastsMs] of cases) {
-		it(`serves on when ${name}`, async () => {
+		it(`keeps serving when ${name}`, async () => {
 			const host = createHost();
 			fault(host);
 			for (let passedMs = 0; passedMs < lastsMs; passedMs += tickMs) {
-				assert.equal(await host.ask(), 'served', `${passedMs} ms after it`);
+				assert.equal(await host.ask(), 'served', `${passedMs} ms after the fault`);
 				host.pass(tickMs);
 			}
 		});
 	}
 
-	it('keeps the hosts that it knew while its agent hears of them again', () => {
+	it('keeps the hosts that it knew until its restarted agent hears of them again', () => {
 		const host = createHost();
 		host.restartAgent();
 		host.pass(1000);
 		assert.deepEqual([...host.view().hosts.keys()].sort(), ['a-1', 'a-2', 'b-1']);
 	});
 
-	it('serves on through any order of lost polls, late words, deaths and restarts of its agent', async () => {
+	it('keeps serving through any order of failed polls, late reports, deaths and restarts of its agent', async () => {
 		const lost = fc.subarray(all);
 		const step = fc.oneof(
 			lost.map(ids => (host: Host) => {
--- a/test/failures/relay-platform.test.ts
+++ b/test/failures/relay-platform.test.ts
@@ -1,4 +1,4 @@
-/** Faults of the platform, as callers of the relay meet them. */
+/** Faults of the platform, as seen by callers of the relay. */
 import assert from 'node:assert/strict';
 import {
 	afterEach, beforeEach, describe, it,
@@ -12,9 +12,10 @@
 let fixture: RelayFixture;
 
 /*
- * The platform answers with older rules, forgets its history, fails a read, or is
- * away for seconds while the entries of living servers lapse. Callers must not
- * see rules go back, nor a pool without servers that serve.
+ * The platform answers with older rules, loses its history, fails a read, or is
+ * unreachable for seconds while the entries of healthy servers expire. Guards
+ * against hosts that go back to older rules, or refuse requests although servers
+ * of the pool are available.
  */
 describe('relay: the platform misbehaves', () => {
 	beforeEach(async () => {
@@ -32,7 +33,7 @@
 		assert.equal(answer.status, 404);
 	});
 
-	it('reads all anew when the history is forgotten, and drops servers that are gone', async () => {
+	it('reads everything again when the platform has lost its history, and drops servers that are gone', async () => {
 		const {askUntil, store, publishRoutes} = fixture;
 		store.cutWatches();
 		store.remove('servers/desk1');
@@ -42,17 +43,17 @@
 		await askUntil({path: '/lookup/'}, 503);
 	});
 
-	it('does not take one failed read for an outage: a server that left gets nothing more', async () => {
+	it('does not mistake one failed read for an outage: a server that left gets no more requests', async () => {
 		const {ask, store, servers, logs} = fixture;
 		store.cutWatches();
 		store.remove('servers/desk1');
-		await waitUntil(() => logs().some(line => line.server === 'desk1' && line.state === 'gone'), {deadlineMs: 2000, what: 'the server to be gone'});
+		await waitUntil(() => logs().some(line => line.server === 'desk1' && line.state === 'gone'), {deadlineMs: 2000, what: 'the relay to log that the server is gone'});
 		const before = servers.desk1.arrivals.length;
 		await Promise.all(Array.from({length: 6}, async () => ask({path: '/lookup/'})));
 		assert.equal(servers.desk1.arrivals.length, before);
 	});
 
-	it('serves on with servers whose entries lapsed while the platform was away, until they stay away', async () => {
+	it('keeps using servers whose entries expired during an outage of the platform, and drops those that do not return', async () => {
 		const {ask, store, logs} = fixture;
 		store.setMood('refusing');
 		store.cutWatches();
@@ -67,31 +68,31 @@
 		await fixture.askUntil({path: '/lookup/'}, 503);
 	});
 
-	it('says that nothing ran when no published server can be reached', async () => {
+	it('answers that nothing ran when no published server can be reached', async () => {
 		const {ask, publishServer, servers, logs} = fixture;
 		for (const server of [servers.desk1, servers.desk2]) {
 			publishServer(server, {address: '127.0.0.1:1', zone: 'moved'});
 		}
 
-		await waitUntil(() => logs().filter(line => line.state === 'serving' && String(line.server).startsWith('desk')).length >= 4, {deadlineMs, what: 'the relay to know'});
+		await waitUntil(() => logs().filter(line => line.state === 'serving' && String(line.server).startsWith('desk')).length >= 4, {deadlineMs, what: 'the relay to know the new addresses'});
 		const answer = await ask({path: '/lookup/'});
 		assert.equal(answer.status, 503);
 		assert.notEqual(answer.headers['retry-after'], undefined);
 	});
 
-	it('passes over an entry that it can\'t read, says so, and keeps the rules in force', async () => {
+	it('skips entries that it can\'t parse, logs an error for each, and keeps the rules in force', async () => {
 		const {ask, store, logs} = fixture;
 		store.put('op/config', {version: 12, routes: 'none'});
 		store.put('servers/odd', {service: 7});
-		await waitUntil(() => logs().filter(line => line.level === 'error').length >= 2, {deadlineMs, what: 'both faults to be logged'});
+		await waitUntil(() => logs().filter(line => line.level === 'error').length >= 2, {deadlineMs, what: 'an error in the log for each of the two entries'});
 		const answer = await ask({path: '/lookup/'});
 		assert.equal(answer.status, 200, answer.body);
 	});
 
-	it('gets nothing to a server that is leaving', async () => {
+	it('sends nothing to a server that is leaving', async () => {
 		const {ask, publishServer, servers, logs} = fixture;
 		publishServer(servers.desk1, {state: 'draining'});
-		await waitUntil(() => logs().some(line => line.server === 'desk1' && line.state === 'leaving'), {deadlineMs, what: 'the relay to know'});
+		await waitUntil(() => logs().some(line => line.server === 'desk1' && line.state === 'leaving'), {deadlineMs, what: 'the relay to know that the server is leaving'});
 		await Promise.all(Array.from({length: 6}, async () => ask({path: '/lookup/'})));
 		assert.equal(servers.desk1.arrivals.length, 0);
 		assert.ok(servers.desk2.arrivals.length >= 6);
@@ -99,8 +100,9 @@
 });
 
 /*
- * A host starts before anything is published: the balancer must not send to it,
- * and who comes all the same is told that nothing ran, not that its path is wrong.
+ * A host starts before anything is published. Guards against a load balancer that
+ * sends requests to it, and against callers that are told that their path is
+ * wrong instead of that nothing ran.
  */
 describe('relay: nothing is published yet', () => {
 	it('is ready only once rules are in force', async () => {
@@ -109,7 +111,7 @@
 		const answer = await empty.ask({path: '/lookup/'});
 		assert.equal(answer.status, 503);
 		empty.publishRoutes(1);
-		await waitUntil(empty.isReady, {deadlineMs, what: 'readiness'});
+		await waitUntil(empty.isReady, {deadlineMs, what: 'the relay to be ready'});
 		await empty.stop();
 	});
 });
--- a/test/failures/relay-stop.test.ts
+++ b/test/failures/relay-stop.test.ts
@@ -1,4 +1,4 @@
-/** A planned stop of a relay, as callers meet it. */
+/** A planned stop of a relay, as seen by its callers. */
 import assert from 'node:assert/strict';
 import {
 	afterEach, beforeEach, describe, it,
@@ -12,10 +12,11 @@
 let fixture: RelayFixture;
 
 /*
- * A host is told to stop while a stream runs and callers still come, as the
- * balancer learns of it a second or two later. Callers must get the whole of
- * what has begun, and an answer to what they send meanwhile; a cut stream would
- * be work done twice, or lost where it may not be repeated.
+ * Guards against requests lost in a planned stop. A host is told to stop while a
+ * stream is in flight, and callers still connect because the load balancer notices
+ * a second or two later. Streams in flight have to be completed and late requests
+ * answered: a stream that is cut off is run twice, or lost if it must not be
+ * repeated.
  */
 describe('relay: a planned stop', () => {
 	beforeEach(async () => {
@@ -23,12 +24,12 @@
 	});
 	afterEach(async () => fixture.stop());
 
-	it('says that it takes no more, answers who still comes, and ends streams whole', async () => {
+	it('stops being ready, answers late requests, and completes streams in flight', async () => {
 		const {ask, isReady, stopRelay, servers} = fixture;
 		const stream = ask({path: '/summary/1', headers: toStreamHeaders()});
-		await waitUntil(() => [servers.decode1, servers.decode2].some(server => server.runs().length > 0), {deadlineMs, what: 'the stream to run'});
+		await waitUntil(() => [servers.decode1, servers.decode2].some(server => server.runs().length > 0), {deadlineMs, what: 'a decode server to run the stream'});
 		const stopped = stopRelay();
-		await waitUntil(async () => !await isReady(), {deadlineMs: 2000, what: 'the relay to be not ready'});
+		await waitUntil(async () => !await isReady(), {deadlineMs: 2000, what: 'the relay to stop being ready'});
 		const lateAnswer = await ask({path: '/lookup/1'});
 		assert.equal(lateAnswer.status, 200, lateAnswer.body);
 		const answer = await stream;
@@ -36,10 +37,10 @@
 		assert.ok(answer.isWhole);
 		assert.equal(answer.body.match(/^id: /gmv)?.length, 6);
 		await stopped;
-		await assert.rejects(ask({path: '/lookup/2'}), 'nobody listens any more');
+		await assert.rejects(ask({path: '/lookup/2'}), 'the stopped relay accepted a connection');
 	});
 
-	it('ends within its limit though a server never answers, and the caller hears of it', async () => {
+	it('stops within its time limit although a server never answers, and tells the caller', async () => {
 		const {ask, stopRelay, servers} = fixture;
 		servers.desk1.misbehave('silent');
 		const startedAt = performance.now();
--- a/test/failures/relay.test.ts
+++ b/test/failures/relay.test.ts
@@ -1,4 +1,4 @@
-/** Faults of servers and callers, as callers of the relay meet them. */
+/** Faults of servers and callers, as seen by callers of the relay. */
 import assert from 'node:assert/strict';
 import {
 	after, afterEach, before, beforeEach, describe, it,
@@ -16,10 +16,11 @@
 const toStream = (headers: Record<string, string> = {}) => ({path: '/summary/1', body: 'prompt', headers: toStreamHeaders(headers)});
 
 /*
- * A server of the desk refuses, fails, or breaks off a request. Callers read the
- * status alone: 503 says that nothing ran and may be sent again, 502 says
- * nothing, and an answer with the server's mark is the server's own. A wrong
- * status makes a lookup run twice, or be given up for nothing.
+ * Guards against a wrong status when a server of the desk refuses, fails, or breaks
+ * off a request. Callers rely on the status alone: 503 says that nothing ran and the
+ * request may be sent again, 502 leaves open whether it ran, and an answer with the
+ * server's seal is the server's own. A wrong status makes a lookup run twice, or
+ * be given up needlessly.
  */
 describe('relay: a server of a plain service misbehaves', () => {
 	before(async () => {
@@ -53,21 +54,21 @@
 			name: 'answers a check with another\'s answer', path: '/check/', misdeeds: ['answer-another'], status: 200, runs: 2, isSealed: true,
 		},
 		{
-			name: 'is another one at the same address', path: '/lookup/', misdeeds: ['wrong-instance'], status: 503, runs: 1, hasRetryAfter: true,
+			name: 'is replaced by another one at the same address', path: '/lookup/', misdeeds: ['wrong-instance'], status: 503, runs: 1, hasRetryAfter: true,
 		},
 	];
-	for (const {name, path, misdeeds, status, runs, isSealed = false, hasRetryAfter: hasReturn = false} of cases) {
+	for (const {name, path, misdeeds, status, runs, isSealed = false, hasRetryAfter = false} of cases) {
 		it(`${name}: ${status}`, async () => {
 			const {servers, ask} = fixture;
 			const before = servers.desk1.runs().length + servers.desk2.runs().length;
-			// What the case before said of a server no longer counts.
+			// Wait until hosts no longer avoid a server because of the previous test.
 			await sleep(100);
 			servers.desk1.misbehave(...misdeeds);
 			const answer = await ask({path});
 			assert.equal(answer.status, status);
 			assert.equal(servers.desk1.runs().length + servers.desk2.runs().length - before, runs);
 			assert.equal(answer.headers['server-seal'] !== undefined, isSealed);
-			assert.equal(answer.headers['retry-after'] !== undefined, hasReturn);
+			assert.equal(answer.headers['retry-after'] !== undefined, hasRetryAfter);
 		});
 	}
 
@@ -79,27 +80,28 @@
 		assert.match(String(answer.headers['server-seal']), /^seal-of-desk/v);
 	});
 
-	it('breaks off an answer without a length: no whole answer comes of it', async () => {
+	it('breaks off an answer without a length: the caller gets no whole answer', async () => {
 		const {servers, ask} = fixture;
 		servers.desk1.misbehave('cut-unframed');
 		const answer: Answer = await ask({path: '/lookup/'});
 		assert.ok(answer.status !== 200 || !answer.isWhole, `${answer.status} ${answer.body}`);
 	});
 
-	it('is silent: the caller gets its final answer at its deadline, and the server is let go', async () => {
+	it('is silent: the caller gets its final answer at its deadline, and the call to the server is ended', async () => {
 		const {servers, ask} = fixture;
 		servers.desk1.misbehave('silent');
 		const answer = await ask({path: '/lookup/', headers: {'deadline-ms': '400'}});
 		assert.equal(answer.status, 504);
 		assert.ok(answer.tookMs >= 390, `${answer.tookMs}`);
-		await waitUntil(() => [...servers.desk1.runs(), ...servers.desk2.runs()].some(({isLeft}) => isLeft), {deadlineMs, what: 'the server to see the call end'});
+		await waitUntil(() => [...servers.desk1.runs(), ...servers.desk2.runs()].some(({isLeft}) => isLeft), {deadlineMs, what: 'a server to see that its call was ended'});
 	});
 });
 
 /*
- * Decode memory is short, or a model server breaks an attempt off. A prompt that
- * is computed for nothing takes time from everybody, and memory that stays
- * reserved for a request that has gone keeps others out.
+ * Decode memory is scarce, or a model server breaks an attempt off. Guards against
+ * prompts that are computed in vain, which takes prefill time from other requests,
+ * and against memory that stays reserved for requests that have ended, which keeps
+ * others out.
  */
 describe('relay: model servers are full or break off', () => {
 	beforeEach(async () => {
@@ -109,7 +111,7 @@
 
 	const waitUntilNothingHeld = async () => waitUntil(
 		() => fixture.servers.decode1.reservations() + fixture.servers.decode2.reservations() + fixture.caches.size === 0,
-		{deadlineMs, what: 'reservations and caches to be given back'},
+		{deadlineMs, what: 'all reservations and caches to be released'},
 	);
 
 	it('asks the other decode server when one is full', async () => {
@@ -120,7 +122,7 @@
 		assert.equal(servers.decode2.runs().length, 1);
 	});
 
-	it('lets a new request wait while it can be in time, and computes no prompt before there is room', async () => {
+	it('lets a new request wait while it can still meet its deadline, and computes no prompt before decode memory is reserved', async () => {
 		const {servers, ask} = fixture;
 		servers.decode1.setFreeTokens(0);
 		servers.decode2.setFreeTokens(0);
@@ -132,7 +134,7 @@
 		assert.equal(answer.status, 200);
 	});
 
-	it('refuses a request that can\'t be in time any more, and says when to come back', async () => {
+	it('refuses a request that can\'t meet its deadline, with Retry-After', async () => {
 		const {servers, ask} = fixture;
 		servers.decode1.setFreeTokens(0);
 		servers.decode2.setFreeTokens(0);
@@ -146,10 +148,11 @@
 	});
 
 	/*
-	 * A caller has little time left, in fractions of a millisecond. The time limits
-	 * of node take whole ones, and the request ended as a fault of the program.
+	 * Guards against requests that end as a fault of the program because their
+	 * remaining time has a fraction of a millisecond: timeouts of Node accept whole
+	 * milliseconds only.
 	 */
-	it('serves callers who have little time left, to the fraction of a millisecond', async () => {
+	it('serves callers whose remaining time has a fraction of a millisecond', async () => {
 		const {ask, logs} = fixture;
 		const answers = await Promise.all(['290.4', '900.7', '1400.2'].map(async time => ask(toStream({'deadline-ms': time}))));
 		assert.deepEqual(answers.map(({status}) => status), [200, 200, 200]);
@@ -157,10 +160,11 @@
 	});
 
 	/*
-	 * The answer of a prompt is lost on its way. Waiting for it as long as the place
-	 * lives made the request late for sure; servers take a tenth of that time.
+	 * Guards against waiting for a lost answer to a prompt until the reservation
+	 * expires: the request would always be late, although servers need only a tenth of
+	 * that time.
 	 */
-	it('asks another server long before the place lapses when a prompt brings no answer', async () => {
+	it('asks another server long before the reservation expires when a prompt gets no answer', async () => {
 		const {servers, ask, logs} = fixture;
 		servers.prefill1.misbehave('silent');
 		const answer = await ask(toStream());
@@ -170,7 +174,7 @@
 		assert.ok(Number(limitMs) <= 750, String(failed?.reason));
 	});
 
-	it('gives the place back and goes to another server when the prompt is refused', async () => {
+	it('releases the reservation and tries another server when the prompt is refused', async () => {
 		const {servers, ask} = fixture;
 		servers.prefill1.misbehave('refuse', 'refuse', 'refuse');
 		const answers = await Promise.all(Array.from({length: 4}, async () => ask(toStream())));
@@ -179,11 +183,11 @@
 		await waitUntilNothingHeld();
 	});
 
-	it('serves without a prefill server: a decode server computes the prompt in its reserved place', async () => {
+	it('serves without a prefill server: a decode server computes the prompt in its reserved memory', async () => {
 		const {servers, ask, store, logs} = fixture;
 		store.remove('servers/prefill1');
 		store.remove('servers/prefill2');
-		await waitUntil(() => logs().filter(line => line.state === 'gone').length === 2, {deadlineMs, what: 'both to be gone'});
+		await waitUntil(() => logs().filter(line => line.state === 'gone').length === 2, {deadlineMs, what: 'the relay to log that both prefill servers are gone'});
 		const answer = await ask(toStream());
 		assert.equal(answer.status, 200);
 		const [run] = [...servers.decode1.runs(), ...servers.decode2.runs()];
@@ -199,7 +203,7 @@
 		await waitUntilNothingHeld();
 	});
 
-	it('frees all that it holds when the caller leaves', async () => {
+	it('releases all that it holds when the caller disconnects', async () => {
 		await fixture.stop();
 		fixture = await startRelayFixture({workMs: 400});
 		const {servers, ask} = fixture;
@@ -208,7 +212,7 @@
 		assert.equal(servers.decode1.runs().length + servers.decode2.runs().length, 0);
 	});
 
-	it('continues a stream that may be resumed at the other server, behind the last whole event', async () => {
+	it('continues a resumable stream at the other server, after the last complete event', async () => {
 		const {servers, ask} = fixture;
 		servers.decode1.misbehave('cut-stream');
 		const answer = await ask({...toStream({'request-id': 'notice-1'}), path: '/notice/1'});
@@ -220,7 +224,7 @@
 		await waitUntilNothingHeld();
 	});
 
-	it('breaks a stream off that no server can continue', async () => {
+	it('breaks off a stream that no server can continue', async () => {
 		const {servers, ask} = fixture;
 		servers.decode1.misbehave('cut-stream', 'refuse');
 		const answer = await ask({...toStream(), path: '/notice/1'});
@@ -229,7 +233,7 @@
 		await waitUntilNothingHeld();
 	});
 
-	it('breaks the caller\'s answer off where the stream of its server broke', async () => {
+	it('breaks off the caller\'s answer when the server\'s stream broke and can\'t be resumed', async () => {
 		const {servers, ask} = fixture;
 		servers.decode1.misbehave('cut-stream');
 		const answer = await ask(toStream());
@@ -239,9 +243,10 @@
 });
 
 /*
- * Prompts take long, so what is predicted for one, and three times of it, is
- * hardly a whole number of milliseconds. Two timers of one call that differ by
- * the fraction race, and on call read of a timeout without a time or a cause.
+ * Guards against a timeout that is logged without its time and cause. When prompts
+ * take long, the predicted time of one, and the timeout of three times that, are
+ * rarely whole milliseconds. Two timers of one call that differ by the fraction race,
+ * and if the wrong one fires first, the log names neither.
  */
 describe('relay: prompts are slow', () => {
 	beforeEach(async () => {
@@ -249,11 +254,11 @@
 	});
 	afterEach(async () => fixture.stop());
 
-	it('says how long a prompt might take that brought no answer', async () => {
+	it('logs the timeout of each prompt that got no answer', async () => {
 		const {servers, ask, logs} = fixture;
 		const countUnansweredPrompts = () => [...servers.prefill1.arrivals, ...servers.prefill2.arrivals].filter(({step, isLeft}) => step === 'prefill' && isLeft).length;
 		await Promise.all([ask(toStream()), ask(toStream())]);
-		// With both prefill servers in doubt a decode server computes the prompt, and nobody meets the silence.
+		// While both prefill servers are in cooldown, a decode server computes the prompt, so not every request reaches a silent server.
 		for (let asked = 0; countUnansweredPrompts() < 6 && asked < 20; asked++) {
 			servers.prefill1.misbehave('silent');
 			const answer = await ask(toStream());
@@ -268,11 +273,12 @@
 });
 
 /*
- * A caller's stream breaks with a server that had said long before that it leaves.
- * The decode server is chosen before the prompt is computed, which may take 1.5 s;
- * what became known of the server meanwhile was not looked at when the request was
- * sent there, and a server serves on for 2 s only. The publication is seen in the log
- * before the prompt is ready, and the judge is the stand-in's count of arrivals.
+ * Guards against a stream that breaks because it was sent to a server already known
+ * to be leaving. The decode server is chosen before the prompt is computed, which may
+ * take 1.5 s, and a leaving server serves for only 2 s more, so its state has to be
+ * checked again before the request is sent there. The test waits until the relay has
+ * logged the change before the prompt is ready, and counts the runs that arrive at the
+ * stand-in.
  */
 describe('relay: the chosen decode server leaves while the prompt is computed', () => {
 	beforeEach(async () => {
@@ -282,41 +288,43 @@
 
 	const hasStep = (server: ServerStandIn, wanted: string) => server.arrivals.some(({step}) => step === wanted);
 
-	/** Asks, and lets the prompt wait for as long as the relay takes to know that the chosen server leaves. */
+	/** Sends a request, and delays its prompt until the relay knows that the chosen decode server is leaving. */
 	async function askWhileLeaving(leave: (chosen: ServerStandIn) => void): Promise<{answer: Answer; chosen: ServerStandIn}> {
 		const {servers, ask, logs} = fixture;
 		const leavingKnown = createDeferred();
 		servers.prefill1.holdPrompts(leavingKnown.promise);
 		servers.prefill2.holdPrompts(leavingKnown.promise);
 		const asking = ask(toStream());
-		await waitUntil(() => hasStep(servers.prefill1, 'prefill') || hasStep(servers.prefill2, 'prefill'), {deadlineMs, what: 'a prompt under way', everyMs: 5});
+		await waitUntil(() => hasStep(servers.prefill1, 'prefill') || hasStep(servers.prefill2, 'prefill'), {deadlineMs, what: 'a prefill server to compute the prompt', everyMs: 5});
 		const chosen = hasStep(servers.decode1, 'reserve') ? servers.decode1 : servers.decode2;
 		leave(chosen);
-		await waitUntil(() => logs().some(({server, state}) => server === chosen.id && (state === 'leaving' || state === 'gone')), {deadlineMs, what: 'the relay to know', everyMs: 5});
+		await waitUntil(() => logs().some(({server, state}) => server === chosen.id && (state === 'leaving' || state === 'gone')), {
+			deadlineMs, what: 'the relay to log that the chosen server is leaving or gone', everyMs: 5,
+		});
 		leavingKnown.resolve();
 		return {answer: await asking, chosen};
 	}
 
 	const cases: ReadonlyArray<{name: string; leave: (chosen: ServerStandIn) => void}> = [
 		{
-			name: 'says so', leave(chosen) {
+			name: 'the platform lists it as draining', leave(chosen) {
 				fixture.publishServer(chosen, {state: 'draining'});
 			},
 		},
 		{
-			name: 'is removed', leave({id}) {
+			name: 'the platform no longer lists it', leave({id}) {
 				fixture.store.remove(`servers/${id}`);
 			},
 		},
 	];
 	for (const {name, leave} of cases) {
-		it(`sends the request to the other one: it ${name}`, async () => {
-			// A watch that waits tells of the change at once; right after a change the next one comes later.
+		it(`sends the request to the other decode server: ${name}`, async () => {
+			// A watch that is already waiting reports a change at once; right after another change it would report late.
 			await sleep(1000);
 			const {answer, chosen} = await askWhileLeaving(leave);
 			assert.equal(answer.status, 200, answer.body);
-			assert.equal(chosen.runs().length, 0, 'the request was sent to a server that was known to leave');
-			await waitUntil(() => chosen.reservations() === 0 && fixture.caches.size === 0, {deadlineMs, what: 'the place and the first prompt to be given back'});
+			assert.equal(chosen.runs().length, 0, 'the request was sent to a server that was known to be leaving');
+			await waitUntil(() => chosen.reservations() === 0 && fixture.caches.size === 0, {deadlineMs, what: 'the reservation and the first prompt to be released'});
 		});
 	}
 });
--- a/test/failures/retry-calls.test.ts
+++ b/test/failures/retry-calls.test.ts
@@ -1,4 +1,4 @@
-/** What further attempts send to the servers of a pool, and what the retry budget is charged for it. */
+/** Calls that further attempts send to the servers of a pool, and their cost to the retry budget. */
 import assert from 'node:assert/strict';
 import {afterEach, describe, it} from 'node:test';
 import {waitUntil} from '../_lib/wait-until/index.js';
@@ -12,9 +12,9 @@
 type Case = {
 	name: string;
 	asked: Asked;
-	/** What the first servers that are asked do, in place of serving. */
+	/** Faults of the servers that get the first calls, in order. */
 	misdeeds: Partial<Record<'desk1' | 'prefill1' | 'decode1', Misdeed[]>>;
-	/** Calls beyond the first that the servers get. */
+	/** Number of calls that the servers get beyond the first. */
 	extra: number;
 	retrySlack?: number;
 };
@@ -58,7 +58,7 @@
 	},
 ];
 
-/** The refused prompts are the first ones; of the others the first one is no call that servers count. */
+/** Counts the calls beyond the first attempt: every refused prompt (these come first), and of the other prompts and of the runs all but the first. */
 function countExtra(arrivals: readonly Arrival[], refusedPrompts: number): number {
 	const prompts = arrivals.filter(({step}) => step === 'prefill').length;
 	const runs = arrivals.filter(({step}) => step === 'decode' || step === 'whole').length;
@@ -66,10 +66,10 @@
 }
 
 /*
- * Guards against a service that gets more calls beyond the first of each request
- * than the retry budgets of all hosts allow.
+ * Guards against a service that gets more retries than the retry budgets of all
+ * hosts allow, because an attempt sends more calls than the budget is charged for.
  */
-describe('relay: a further attempt is charged for each call that servers get', () => {
+describe('relay: a further attempt is charged for each call that it sends', () => {
 	afterEach(async () => fixture.stop());
 
 	for (const {name, asked, misdeeds, extra, retrySlack = 400} of cases) {
@@ -83,25 +83,25 @@
 			assert.deepEqual({status, isWhole}, {status: 200, isWhole: true});
 			const arrivals = Object.values(fixture.servers).flatMap(server => server.arrivals);
 			const refusedPrompts = misdeeds.prefill1?.filter(misdeed => misdeed === 'refuse').length ?? 0;
-			assert.equal(countExtra(arrivals, refusedPrompts), extra, 'the scenario sends other calls than it says');
+			assert.equal(countExtra(arrivals, refusedPrompts), extra, 'the scenario did not cause the expected number of further calls');
 			const decided = await waitUntil(() => {
 				const lines = fixture.logs().filter(({message}) => message === 'retry decided');
 				return lines.length > 0 && lines;
-			}, {deadlineMs, what: 'the decisions in the log'});
+			}, {deadlineMs, what: 'a retry decision in the log'});
 			const cost = decided.reduce((sum, line) => sum + Number(line.cost), 0);
 			assert.equal(cost, extra);
 			assert.ok(decided.every(({reason}) => reason === 'granted'));
 		});
 	}
 
-	it('and is not made by a process that just started, as the one before it may have made its part', async () => {
+	it('and is not made by a process that just started, as its predecessor may have spent the budget', async () => {
 		fixture = await startRelayFixture({retryWindow: '10m'});
 		fixture.servers.desk1.misbehave('refuse');
 		const {status} = await fixture.ask(lookup);
 		assert.equal(status, 503);
 		const arrivals = Object.values(fixture.servers).flatMap(server => server.arrivals);
 		assert.equal(arrivals.length, 1);
-		const decided = await waitUntil(() => fixture.logs().find(({message}) => message === 'retry decided'), {deadlineMs, what: 'the decision in the log'});
+		const decided = await waitUntil(() => fixture.logs().find(({message}) => message === 'retry decided'), {deadlineMs, what: 'the retry decision in the log'});
 		assert.equal(decided.reason, 'budget');
 	});
 });
--- a/test/failures/storm.test.ts
+++ b/test/failures/storm.test.ts
@@ -1,9 +1,10 @@
 /*
- * Callers ask, leave, and send the same key to other hosts while hosts are
- * killed, paused and restarted, zones are cut, streams break, cancels are lost
- * and edits are published, good ones and bad. In the end each caller has had
- * one whole answer or a true word, and nothing is left behind. The faults are
- * drawn from a seed before the storm begins; only safety is judged.
+ * Guards against lost guarantees when faults coincide. Callers send requests,
+ * disconnect, and repeat idempotency keys at other hosts while hosts are killed,
+ * paused and restarted, zones are cut off, streams break, cancels are lost, and
+ * valid and invalid configurations are published. Each caller has to get one whole
+ * answer or a truthful error, and nothing may stay reserved on an engine. The
+ * faults are drawn from a seed before the storm begins; only safety is checked.
  */
 import assert from 'node:assert/strict';
 import {before, describe, it} from 'node:test';
@@ -46,8 +47,8 @@
 		it(`kept: ${promise}`, () => {
 			const verdict = report.verdicts.find(candidate => candidate.promise === promise);
 			assert.ok(verdict !== undefined);
-			// Whether anybody is refused hangs on timing; all else is there in any storm.
-			assert.ok(verdict.checked > 0 || promise === 'what was told as not run was not run', 'nothing was checked');
+			// Whether any request is refused depends on timing; every other promise is exercised in each storm.
+			assert.ok(verdict.checked > 0 || promise === 'what was told as not run was not run', 'the storm produced no case to check');
 			assert.deepEqual(verdict.violations, []);
 		});
 	}
--- a/test/failures/whole-answer.test.ts
+++ b/test/failures/whole-answer.test.ts
@@ -1,9 +1,9 @@
 /*
- * An engine answers late, crossed between streams, twice, short, or breaks off
- * in the middle of a letter or of a scene that may run once only. The caller
- * sees every token of its own answer, or an error that says what may have run;
- * never half an answer that looks whole. What was told of the run is compared
- * with the engines' own count.
+ * Guards against partial or foreign answers that look complete. An engine answers
+ * late, mixes up two streams, repeats or skips tokens, or breaks off in the middle
+ * of a letter or of a scene, which may run at most once. The caller has to get
+ * every token of its own answer, or an error that says whether the request may
+ * have run; the test compares that outcome with the engines' own counts.
  */
 import assert from 'node:assert/strict';
 import {
@@ -18,7 +18,7 @@
 	name: string;
 	role: 'prefill' | 'decode';
 	faults: EngineFaults;
-	/** Whether the whole answer has to come all the same: the fault can be mended by a resume or another attempt. */
+	/** Whether the whole answer has to arrive despite the fault, because a resume or another attempt can compensate for it. */
 	isRecoverable: boolean;
 };
 
@@ -68,24 +68,24 @@
 	},
 ];
 
-/** What the engines did for all requests since the last reset. */
+/** Sums what the engines started for all requests since the last reset. */
 function countStarts(fleet: Fleet): {prefills: number; decodes: number; wrong: number} {
 	const requests = [...fleet.engines.values()].flatMap(engine => Object.values(engine.judge().requests));
 	const sum = (name: 'prefillsStarted' | 'decodesStarted' | 'wrongContinuations') => requests.reduce((total, request) => total + request[name], 0);
 	return {prefills: sum('prefillsStarted'), decodes: sum('decodesStarted'), wrong: sum('wrongContinuations')};
 }
 
-/** A caller can act on what it got: the whole, or an explicit error that agrees with the engines' count. */
+/** Asserts that the caller got the whole answer, or an explicit error that agrees with the engines' counts. */
 function assertUsableResult(result: CallResult, started: {prefills: number; decodes: number}): void {
 	const details = JSON.stringify({result, started});
 	if (result.isWhole) {
 		return;
 	}
 
-	assert.equal(result.isBroken, false, `broken without a word: ${details}`);
+	assert.equal(result.isBroken, false, `the connection broke without an error event: ${details}`);
 	assert.ok(result.outcome !== undefined, `an error without an outcome: ${details}`);
 	if (result.outcome === 'not-run') {
-		assert.equal(started.prefills + started.decodes, 0, `said "not run" of work that ran: ${details}`);
+		assert.equal(started.prefills + started.decodes, 0, `the outcome is "not-run", but engines started work: ${details}`);
 	}
 }
 
@@ -97,7 +97,7 @@
 			zones: ['dvorana-a'],
 			prefillsPerZone: 2,
 			decodesPerZone: 2,
-			// More faults than a real minute brings: the budget that holds back a flood of retries would end some cases.
+			// More faults a minute than in operation: the default retry budget, which limits retry storms, would fail some tests.
 			entryFlags: {clockBound: '0ms', retryBudget: 1000},
 			engine: {timeScale: 2},
 		});
@@ -117,10 +117,10 @@
 	});
 
 	const kinds = [{kind: 'letter', isScene: false}, {kind: 'scene', isScene: true}] as const;
-	for (const {name, role, faults, isRecoverable: isMended} of cases) {
+	for (const {name, role, faults, isRecoverable} of cases) {
 		for (const {kind, isScene} of kinds) {
 			for (const isStreamed of [true, false]) {
-				it(`comes or is refused plainly: ${name}, a ${isStreamed ? 'streamed' : 'plain'} ${kind}`, async () => {
+				it(`arrives or is refused explicitly: ${name}, a ${isStreamed ? 'streamed' : 'plain'} ${kind}`, async () => {
 					for (const engine of fleet.engines.values()) {
 						engine.setFaults(engine.id.includes(role) ? structuredClone(faults) : {});
 					}
@@ -130,9 +130,9 @@
 					}).done;
 					const started = countStarts(fleet);
 					assertUsableResult(result, started);
-					assert.equal(started.wrong, 0, 'an attempt went on from tokens that were not the answer');
+					assert.equal(started.wrong, 0, 'an attempt continued from tokens that were not part of the answer');
 					assert.ok(!isScene || started.decodes <= 1, `a scene ran ${started.decodes} times`);
-					assert.ok(!isMended || isScene || result.isWhole, `not mended: ${JSON.stringify(result)}`);
+					assert.ok(!isRecoverable || isScene || result.isWhole, `no whole answer despite a recoverable fault: ${JSON.stringify(result)}`);
 				});
 			}
 		}
