--- a/test/failures/_lib/host-faults.ts
+++ b/test/failures/_lib/host-faults.ts
@@ -1,39 +1,39 @@
-/** What can happen to hosts while work that may run once only is on its way. */
+/** Faults that are injected into hosts while at-most-once work is in progress. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {type Program} from '../../_lib/start-program/index.js';
 import {type Fleet, type FleetHost} from '../../_lib/start-fleet/index.js';
 
 const twoMinutesMs = 120_000;
-/** Longer than the patience of a claim's question, shorter than that of a join. */
-const sleepMs = 3000;
-/** Any free port, beside the sleeping process that still has the host's own. */
+/** Longer than the timeout of a claim call, shorter than that of a join call. */
+const pausedMs = 3000;
+/** Any free port: the paused process still holds the host's own ports. */
 const otherPorts = {callerPort: 0, peerPort: 0, operatorPort: 0};
 
 export type HostFault = {
 	name: string;
-	/** Hosts that vouch for no key of now while it lasts. */
-	hostsOut: number;
-	strike: (fleet: Fleet, host: FleetHost) => Promise<Struck>;
+	/** Number of hosts that vouch for no current key while the fault lasts. */
+	nonVouchingHosts: number;
+	inject: (fleet: Fleet, host: FleetHost) => Promise<ActiveFault>;
 };
 
-export type Struck = {
-	/** Undoes the fault; what was lost stays lost. */
+export type ActiveFault = {
+	/** Ends the fault; a killed process stays killed and lost state stays lost. */
 	undo: () => Promise<void>;
-	/** Ends processes that the host no longer knows. */
-	clear?: () => Promise<void>;
+	/** Kills processes that the host no longer tracks. */
+	cleanUp?: () => Promise<void>;
 };
 
-const lasting: Struck = {undo: async () => undefined};
+const permanentFault: ActiveFault = {undo: async () => undefined};
 
-async function comeBack(host: FleetHost, aheadMs: number): Promise<Struck> {
+async function restartEntry(host: FleetHost, aheadMs: number): Promise<ActiveFault> {
 	await host.entry().kill();
 	host.setClock({aheadMs});
 	await host.startEntry();
-	return lasting;
+	return permanentFault;
 }
 
-/** Starts a second process in the slot of one that sleeps; returns the old one. */
-async function replaceSleeping(host: FleetHost): Promise<Program> {
+/** Pauses the host's entry and starts a second one in its slot; returns the paused one. */
+async function replacePausedEntry(host: FleetHost): Promise<Program> {
 	const old = host.entry();
 	old.pause();
 	host.setClock({});
@@ -41,37 +41,37 @@
 	return old;
 }
 
-/** Faults by short name; `satisfies` keeps the names. */
+/** Faults by short name; `satisfies` keeps the literal types of the keys. */
 export const hostFaults = {
 	killed: {
 		name: 'its entry is killed',
-		hostsOut: 1,
-		async strike(_fleet, host) {
+		nonVouchingHosts: 1,
+		async inject(_fleet, host) {
 			await host.kill();
-			return lasting;
+			return permanentFault;
 		},
 	},
-	back: {
-		name: 'its entry is killed and comes back',
-		hostsOut: 1,
-		strike: async (_fleet, host) => comeBack(host, 0),
+	restarted: {
+		name: 'its entry is killed and restarted',
+		nonVouchingHosts: 1,
+		inject: async (_fleet, host) => restartEntry(host, 0),
 	},
-	backAhead: {
-		name: 'its entry is killed and comes back two minutes ahead',
-		hostsOut: 1,
-		strike: async (_fleet, host) => comeBack(host, twoMinutesMs),
+	restartedAhead: {
+		name: 'its entry is killed and restarted with its clock two minutes ahead',
+		nonVouchingHosts: 1,
+		inject: async (_fleet, host) => restartEntry(host, twoMinutesMs),
 	},
-	backBehind: {
-		name: 'its entry is killed and comes back two minutes behind',
-		hostsOut: 1,
-		strike: async (_fleet, host) => comeBack(host, -twoMinutesMs),
+	restartedBehind: {
+		name: 'its entry is killed and restarted with its clock two minutes behind',
+		nonVouchingHosts: 1,
+		inject: async (_fleet, host) => restartEntry(host, -twoMinutesMs),
 	},
-	asleep: {
-		name: 'its host sleeps and wakes',
-		hostsOut: 1,
-		async strike(_fleet, host) {
+	paused: {
+		name: 'the host is paused and resumed',
+		nonVouchingHosts: 1,
+		async inject(_fleet, host) {
 			host.pause();
-			const slept = sleep(sleepMs);
+			const slept = sleep(pausedMs);
 			return {
 				async undo() {
 					await slept;
@@ -81,24 +81,24 @@
 		},
 	},
 	replaced: {
-		name: 'it is replaced while it sleeps, and the old one wakes',
-		hostsOut: 1,
-		async strike(_fleet, host) {
-			const old = await replaceSleeping(host);
+		name: 'its entry is replaced while paused, and the old one resumes',
+		nonVouchingHosts: 1,
+		async inject(_fleet, host) {
+			const old = await replacePausedEntry(host);
 			return {
 				async undo() {
 					old.resume();
 				},
-				async clear() {
+				async cleanUp() {
 					await old.kill();
 				},
 			};
 		},
 	},
 	cut: {
-		name: 'its zone is cut off and comes back',
-		hostsOut: 2,
-		async strike(fleet, host) {
+		name: 'its zone is cut off and rejoined',
+		nonVouchingHosts: 2,
+		async inject(fleet, host) {
 			fleet.network.isolate(host.zone);
 			return {
 				async undo() {
@@ -108,9 +108,9 @@
 		},
 	},
 	stale: {
-		name: 'the platform gives what it gave before',
-		hostsOut: 0,
-		async strike(fleet) {
+		name: 'the platform keeps serving an old copy',
+		nonVouchingHosts: 0,
+		async inject(fleet) {
 			fleet.platform.setFaults({frozen: true});
 			return {
 				async undo() {
--- a/test/failures/_lib/start-plain-call.ts
+++ b/test/failures/_lib/start-plain-call.ts
@@ -1,4 +1,4 @@
-/** A caller of a plain service: sends one call and says what came back. */
+/** A caller of a plain service: sends one call and returns the result. */
 import {Agent, request} from 'undici';
 import {type CallResult} from './start-call.js';
 
@@ -11,16 +11,16 @@
 
 export type PlainCallResult = Pick<CallResult, 'status' | 'requestId' | 'isWhole' | 'outcome' | 'problem' | 'isBroken' | 'retryAfter'>;
 
-const broken: PlainCallResult = {
+const brokenResult: PlainCallResult = {
 	status: 0, requestId: '', isWhole: false, outcome: undefined, problem: undefined, isBroken: true, retryAfter: undefined,
 };
 
-type Answered = {status: number; body: string; requestId: string; retryAfter: string | undefined};
+type PlainAnswer = {status: number; body: string; requestId: string; retryAfter: string | undefined};
 
-function toResult(sent: string, {status, body, requestId, retryAfter}: Answered): PlainCallResult {
+function toResult(sent: string, {status, body, requestId, retryAfter}: PlainAnswer): PlainCallResult {
 	if (status === 200) {
 		return {
-			...broken, status, requestId, isWhole: body === sent, isBroken: false,
+			...brokenResult, status, requestId, isWhole: body === sent, isBroken: false,
 		};
 	}
 
@@ -31,11 +31,11 @@
 }
 
 /**
- * Sends a call that changes something, on a connection of its own.
+ * Sends a POST request on a connection of its own.
  *
- * @param callerUrl - Callers' URL of the entry.
- * @param options - What is sent; the stand-in echoes the body.
- * @returns What came back; never rejects.
+ * @param callerUrl - URL of the entry for callers.
+ * @param options - The request; the stand-in echoes its body.
+ * @returns The result; never rejects.
  */
 export async function startPlainCall(callerUrl: string, options: PlainCallOptions): Promise<PlainCallResult> {
 	const {path, body = 'a new address', key, workspace = 'odvetniki-breg'} = options;
@@ -48,7 +48,7 @@
 			status: res.statusCode, body: await res.body.text(), requestId: String(res.headers['x-request-id'] ?? ''), retryAfter: res.headers['retry-after']?.toString(),
 		});
 	} catch {
-		return broken;
+		return brokenResult;
 	} finally {
 		await dispatcher.destroy();
 	}
--- a/test/failures/membership.test.ts
+++ b/test/failures/membership.test.ts
@@ -1,8 +1,9 @@
 /*
- * A host sleeps, a link is cut one way or flaps, a zone is cut off, all agents
- * restart, a host leaves. Callers of the other hosts go on being answered. The
- * others suspect a silent host, and declare it dead only when nobody at all
- * hears it; one that runs and is connected is known alive by all soon after.
+ * Guards against healthy hosts that are declared dead, and against callers of other
+ * hosts that are refused. A host is paused, a link is cut one way or flaps, a zone
+ * is cut off, all agents restart, or a host leaves. The other hosts suspect a
+ * silent host, declare it dead only if no host can reach it, and consider it alive
+ * again soon after it runs and is connected.
  */
 import assert from 'node:assert/strict';
 import {setTimeout as sleep} from 'node:timers/promises';
@@ -15,16 +16,16 @@
 import {startCall, type CallResult} from './_lib/start-call.js';
 
 const deadlineMs = 40_000;
-const lookEveryMs = 100;
-const askEveryMs = 200;
+const pollIntervalMs = 100;
+const askIntervalMs = 200;
 const near = 'dvorana-a';
 const far = 'dvorana-b';
-/** Several times the patience that the hosts of this test have. */
-const patienceMs = 3000;
-const lastingMs = 2 * patienceMs;
-const flapMs = 400;
+/** Silence after which the hosts of this test declare another one dead. */
+const deadAfterMs = 3000;
+const faultDurationMs = 2 * deadAfterMs;
+const flapIntervalMs = 400;
 
-type Seen = {by: string; of: string; life: HostLife; atMs: number};
+type LifeChange = {by: string; of: string; life: HostLife; atMs: number};
 
 async function readLives(host: FleetHost): Promise<Array<{id: string; life: HostLife}>> {
 	try {
@@ -36,13 +37,13 @@
 	}
 }
 
-/** Keeps every change of what each host thinks of each other one. */
+/** Records every change of the state in which each host sees each other one. */
 function watchLives(hosts: readonly FleetHost[]) {
-	const seen: Seen[] = [];
+	const seen: LifeChange[] = [];
 	const latest = new Map<string, HostLife>();
 	let hasEnded = false;
 	const isOver = () => hasEnded;
-	const look = async (host: FleetHost): Promise<void> => {
+	const recordChanges = async (host: FleetHost): Promise<void> => {
 		for (const {id, life} of await readLives(host)) {
 			const key = `${host.id} ${id}`;
 			if (latest.get(key) !== life) {
@@ -56,8 +57,8 @@
 
 	const watches = hosts.map(async host => {
 		while (!isOver()) {
-			await look(host);
-			await sleep(lookEveryMs);
+			await recordChanges(host);
+			await sleep(pollIntervalMs);
 		}
 	});
 	return {
@@ -69,7 +70,7 @@
 	};
 }
 
-/** Quick requests to hosts that a case leaves alone. */
+/** Starts sending quick requests to hosts that the fault doesn't affect. */
 function startAsking(hosts: readonly FleetHost[]) {
 	const calls: Array<Promise<CallResult>> = [];
 	let hasEnded = false;
@@ -78,7 +79,7 @@
 		for (let i = 0; !isOver(); i++) {
 			const {callerUrl} = hosts[i % hosts.length]!;
 			calls.push(startCall(callerUrl, {prompt: `question ${i}`, maxTokens: 4, isQuick: true}).done);
-			await sleep(askEveryMs);
+			await sleep(askIntervalMs);
 		}
 	})();
 	return {
@@ -92,18 +93,18 @@
 
 type Case = {
 	name: string;
-	/** Hosts that the fault silences for others; callers ask the rest. */
-	silenced: readonly string[];
-	/** What the others must find out about those; only what is dead may be declared so, and a zone that falls silent as a whole is taken for cut off. */
-	found?: 'suspect' | 'dead';
+	/** Hosts that the others can't hear during the fault; callers send to the remaining ones. */
+	silencedHosts: readonly string[];
+	/** State in which the others must come to see the silenced hosts. A zone that falls silent as a whole counts as cut off, so its hosts are only suspected. */
+	expectedLife?: 'suspect' | 'dead';
 	run: (fleet: Fleet, waitUntilFound: () => Promise<void>) => Promise<void>;
 };
 
 const cases: readonly Case[] = [
 	{
-		name: 'a host that sleeps beyond patience and wakes',
-		silenced: [`${near}-1`],
-		found: 'dead',
+		name: 'a host that is paused until it is declared dead, and resumes',
+		silencedHosts: [`${near}-1`],
+		expectedLife: 'dead',
 		async run(fleet, waitUntilFound) {
 			const host = fleet.host(`${near}-1`);
 			host.pause();
@@ -113,49 +114,49 @@
 	},
 	{
 		name: 'a link that is cut one way',
-		silenced: [],
+		silencedHosts: [],
 		async run(fleet) {
 			fleet.network.cut(`${near}-1`, `${near}-2`, {isOneWay: true});
-			await sleep(lastingMs);
+			await sleep(faultDurationMs);
 			fleet.network.heal();
 		},
 	},
 	{
 		name: 'a link between zones that is cut one way',
-		silenced: [],
+		silencedHosts: [],
 		async run(fleet) {
 			fleet.network.cut(`${near}-1`, `${far}-1`, {isOneWay: true});
-			await sleep(lastingMs);
+			await sleep(faultDurationMs);
 			fleet.network.heal();
 		},
 	},
 	{
 		name: 'a flapping link',
-		silenced: [],
+		silencedHosts: [],
 		async run(fleet) {
-			for (const until = performance.now() + lastingMs; performance.now() < until;) {
+			for (const until = performance.now() + faultDurationMs; performance.now() < until;) {
 				fleet.network.cut(`${near}-1`, `${near}-2`);
 				fleet.network.cut(`${near}-1`, `${far}-1`);
-				await sleep(flapMs);
+				await sleep(flapIntervalMs);
 				fleet.network.heal();
-				await sleep(flapMs);
+				await sleep(flapIntervalMs);
 			}
 		},
 	},
 	{
-		name: 'a zone that is cut off and joined again',
-		silenced: [`${far}-1`, `${far}-2`],
-		found: 'suspect',
+		name: 'a zone that is cut off and rejoins',
+		silencedHosts: [`${far}-1`, `${far}-2`],
+		expectedLife: 'suspect',
 		async run(fleet, waitUntilFound) {
 			fleet.network.isolate(far);
 			await waitUntilFound();
-			await sleep(lastingMs);
+			await sleep(faultDurationMs);
 			fleet.network.heal();
 		},
 	},
 	{
 		name: 'a restart of all agents at once',
-		silenced: [],
+		silencedHosts: [],
 		async run(fleet) {
 			await Promise.all(fleet.hosts.map(async host => host.agent().kill()));
 			await Promise.all(fleet.hosts.map(async host => host.startAgent()));
@@ -173,15 +174,15 @@
 		await waitUntil(async () => {
 			const lives = await Promise.all(fleet.hosts.map(async host => readLives(host)));
 			return lives.every(seen => fleet.hosts.every(({id}) => seen.some(host => host.id === id && host.life === 'alive')));
-		}, {deadlineMs, what: 'all hosts to be alive for all', everyMs: lookEveryMs});
+		}, {deadlineMs, what: 'every host to consider all hosts alive', everyMs: pollIntervalMs});
 	}
 
-	/** Waits until all others think that hosts live no longer. */
+	/** Waits until all other hosts see the given hosts in the given state. */
 	async function waitUntilGone(ids: readonly string[], life: HostLife): Promise<void> {
 		await waitUntil(async () => {
 			const lives = await Promise.all(others(ids).map(async host => readLives(host)));
 			return lives.every(seen => ids.every(id => seen.some(host => host.id === id && host.life === life)));
-		}, {deadlineMs, what: `${ids.join(', ')} to be ${life} for the others`, everyMs: lookEveryMs});
+		}, {deadlineMs, what: `${ids.join(', ')} to be considered ${life} by the other hosts`, everyMs: pollIntervalMs});
 	}
 
 	function report(t: TestContext, startedAt: number, results: readonly CallResult[]): void {
@@ -193,7 +194,7 @@
 		const reasons = refused.map(({status, problem, outcome, isBroken}) => `${status} ${problem ?? ''} ${outcome ?? ''}${isBroken ? ' broken' : ''}`);
 		t.diagnostic(`${results.length} quick requests, ${refused.length} not answered whole: ${reasons.join('; ') || '-'}`);
 		assert.ok(results.length > 0);
-		assert.deepEqual(refused, [], 'a host that the fault leaves alone did not answer whole');
+		assert.deepEqual(refused, [], 'a host that the fault did not affect gave no whole answer');
 	}
 
 	before(async () => {
@@ -201,7 +202,7 @@
 			zones: [near, far],
 			hostsPerZone: 2,
 			isCuttable: true,
-			agentFlags: {heartbeatInterval: '300ms', suspectAfter: '1s', deadAfter: `${patienceMs}ms`},
+			agentFlags: {heartbeatInterval: '300ms', suspectAfter: '1s', deadAfter: `${deadAfterMs}ms`},
 		});
 		await waitUntilAllAlive();
 		watch = watchLives(fleet.hosts);
@@ -215,23 +216,23 @@
 		await fleet.stop();
 	});
 
-	for (const {name, silenced, found, run} of cases) {
-		it(`outlives ${name}`, async t => {
-			const asking = startAsking(others(silenced));
+	for (const {name, silencedHosts, expectedLife, run} of cases) {
+		it(`recovers from ${name}`, async t => {
+			const asking = startAsking(others(silencedHosts));
 			const startedAt = performance.now();
-			await run(fleet, async () => waitUntilGone(silenced, found!));
+			await run(fleet, async () => waitUntilGone(silencedHosts, expectedLife!));
 			const undoneAt = performance.now();
 			await waitUntilAllAlive();
-			t.diagnostic(`all alive for all ${Math.round(performance.now() - undoneAt)} ms after it was over`);
-			await sleep(lookEveryMs);
+			t.diagnostic(`all hosts considered alive ${Math.round(performance.now() - undoneAt)} ms after the end of the fault`);
+			await sleep(pollIntervalMs);
 			const results = await asking.end();
 			report(t, startedAt, results);
 			const dead = watch.since(startedAt).filter(({life}) => life === 'dead');
-			assert.deepEqual(dead.filter(({of}) => found !== 'dead' || !silenced.includes(of)), [], 'a live, connected host was declared dead');
+			assert.deepEqual(dead.filter(({of}) => expectedLife !== 'dead' || !silencedHosts.includes(of)), [], 'a running, connected host was declared dead');
 		});
 	}
 
-	it('knows a host that leaves gracefully as left, and never as dead', async t => {
+	it('considers a host that stops gracefully left, and never dead', async t => {
 		const host = fleet.host(`${near}-1`);
 		const asking = startAsking(others([host.id]));
 		const startedAt = performance.now();
@@ -239,7 +240,7 @@
 		const stoppedAt = performance.now();
 		await waitUntilGone([host.id], 'left');
 		t.diagnostic(`known as left by all ${Math.round(performance.now() - stoppedAt)} ms after its end`);
-		await sleep(lastingMs);
+		await sleep(faultDurationMs);
 		await host.start();
 		await waitUntilAllAlive();
 		report(t, startedAt, await asking.end());
--- a/test/failures/not-run.test.ts
+++ b/test/failures/not-run.test.ts
@@ -1,8 +1,9 @@
 /*
- * The system gives up: a queue is full, a target would be missed, no server is
- * left, no configuration is there yet, the host stops, or a key can't be taken.
- * The caller is told at once what it may conclude. "Not run" is compared with
- * what the engines and the desk counted for that request: they saw nothing.
+ * Guards against a refusal with the outcome "not-run" for work that has begun. A
+ * queue is full, a target would be missed, no server is left, no configuration is
+ * there yet, the host stops, or a key can't be claimed. The caller has to learn at
+ * once whether its request may have run; the test compares the outcome "not-run"
+ * with the counts of the engines and the desk for that request.
  */
 import assert from 'node:assert/strict';
 import {setTimeout as sleep} from 'node:timers/promises';
@@ -30,7 +31,7 @@
 	letter: {...letter, queueLimit: 3},
 };
 
-type Told = CallResult & {begun: number; tookMs: number};
+type CallReport = CallResult & {begun: number; tookMs: number};
 
 describe('"not run"', () => {
 	let fleet: Fleet;
@@ -53,50 +54,50 @@
 			await engine.revive();
 		}
 
-		await waitUntil(() => fleet.holds().length === 0, {deadlineMs, what: 'the release of all memory'});
+		await waitUntil(() => fleet.holds().length === 0, {deadlineMs, what: 'the engines to release all memory'});
 		await waitUntil(async () => {
 			const {isWhole} = await startCall(host.callerUrl, {prompt: 'Is all well again?'}).done;
 			return isWhole;
-		}, {deadlineMs, what: 'a whole answer', everyMs: 100});
+		}, {deadlineMs, what: 'a whole answer after the faults ended', everyMs: 100});
 	});
 	after(async () => {
 		await fleet.stop();
 	});
 
-	/** Sends, and counts at the moment of the answer what began for it. */
-	function start(options: CallOptions): StartedCall & {told: Promise<Told>} {
+	/** Sends a request; the report counts what had begun for it by the time of the answer. */
+	function start(options: CallOptions): StartedCall & {report: Promise<CallReport>} {
 		const sentAt = performance.now();
 		const call = startCall(host.callerUrl, options);
-		const tell = async (): Promise<Told> => {
+		const toReport = async (): Promise<CallReport> => {
 			const result = await call.done;
 			const {prefillsStarted, decodesStarted} = fleet.judgeRequest(result.requestId);
 			return {...result, begun: prefillsStarted + decodesStarted, tookMs: Math.round(performance.now() - sentAt)};
 		};
 
-		return {...call, told: tell()};
+		return {...call, report: toReport()};
 	}
 
-	function checkNotRun(told: Told, {kind, hasRetryAfter = true}: {kind: RegExp; hasRetryAfter?: boolean}): void {
-		const text = JSON.stringify(told);
-		assert.equal(told.outcome, 'not-run', text);
-		assert.match(told.problem ?? '', kind, text);
-		assert.equal(told.begun, 0, `said "not run" of work that began: ${text}`);
-		assert.equal(told.retryAfter !== undefined, hasRetryAfter, `Retry-After: ${text}`);
+	function checkNotRun(report: CallReport, {kind, hasRetryAfter = true}: {kind: RegExp; hasRetryAfter?: boolean}): void {
+		const text = JSON.stringify(report);
+		assert.equal(report.outcome, 'not-run', text);
+		assert.match(report.problem ?? '', kind, text);
+		assert.equal(report.begun, 0, `the outcome is "not-run", but work began: ${text}`);
+		assert.equal(report.retryAfter !== undefined, hasRetryAfter, `Retry-After is missing or unexpected: ${text}`);
 	}
 
-	function checkWord(told: Told): void {
-		if (!told.isWhole) {
-			assert.ok(told.outcome !== undefined, `no word: ${JSON.stringify(told)}`);
-			assert.ok(told.outcome !== 'not-run' || told.begun === 0, `said "not run" of work that began: ${JSON.stringify(told)}`);
-			assert.ok(told.outcome !== 'not-run' || told.retryAfter !== undefined, `did not say when to come back: ${JSON.stringify(told)}`);
+	function checkOutcome(report: CallReport): void {
+		if (!report.isWhole) {
+			assert.ok(report.outcome !== undefined, `no outcome: ${JSON.stringify(report)}`);
+			assert.ok(report.outcome !== 'not-run' || report.begun === 0, `the outcome is "not-run", but work began: ${JSON.stringify(report)}`);
+			assert.ok(report.outcome !== 'not-run' || report.retryAfter !== undefined, `no Retry-After: ${JSON.stringify(report)}`);
 		}
 	}
 
-	it('is true when the queue is full, and said at once', async t => {
+	it('is true when the queue is full, and answered at once', async t => {
 		const calls = Array.from({length: 20}, (_, i) => start({prompt: `full ${i}`, maxTokens: 60}));
-		const told = await Promise.all(calls.map(async call => call.told));
-		const refused = told.filter(({isWhole}) => !isWhole);
-		t.diagnostic(`${refused.length} of ${told.length} refused, after ${Math.max(...refused.map(({tookMs}) => tookMs))} ms at most`);
+		const reports = await Promise.all(calls.map(async call => call.report));
+		const refused = reports.filter(({isWhole}) => !isWhole);
+		t.diagnostic(`${refused.length} of ${reports.length} refused, after ${Math.max(...refused.map(({tookMs}) => tookMs))} ms at most`);
 		assert.ok(refused.length > 0, 'the queue was never full');
 		for (const one of refused) {
 			checkNotRun(one, {kind: /queue-full$/v});
@@ -105,13 +106,13 @@
 
 	it('is true when the target would be missed', async t => {
 		const calls = Array.from({length: 12}, (_, i) => start({prompt: `late ${i} ${longText}`, maxTokens: 5, isQuick: true}));
-		const told = await Promise.all(calls.map(async call => call.told));
-		const missed = told.filter(({problem}) => problem?.endsWith('target-missed'));
-		const others = told.filter(one => !missed.includes(one)).map(({outcome, problem, isWhole}) => isWhole ? 'whole' : `${outcome} ${problem}`);
-		t.diagnostic(`${missed.length} of ${told.length} would miss it, told after ${missed.map(({tookMs}) => tookMs).join(', ')} ms; others: ${others.join(', ')}`);
-		assert.ok(missed.length > 0, 'none would miss its target');
-		for (const one of told) {
-			checkWord(one);
+		const reports = await Promise.all(calls.map(async call => call.report));
+		const missed = reports.filter(({problem}) => problem?.endsWith('target-missed'));
+		const others = reports.filter(one => !missed.includes(one)).map(({outcome, problem, isWhole}) => isWhole ? 'whole' : `${outcome} ${problem}`);
+		t.diagnostic(`${missed.length} of ${reports.length} would miss their target, refused after ${missed.map(({tookMs}) => tookMs).join(', ')} ms; others: ${others.join(', ')}`);
+		assert.ok(missed.length > 0, 'no request was refused with target-missed');
+		for (const one of reports) {
+			checkOutcome(one);
 		}
 
 		for (const one of missed) {
@@ -122,26 +123,26 @@
 	for (const role of ['prefill', 'decode'] as const) {
 		it(`is true when every ${role} engine is gone`, async t => {
 			await fleet.engine(`dvorana-a-${role}-1`).crash();
-			const first = await start({prompt: `gone ${role}`}).told;
-			checkWord(first);
+			const first = await start({prompt: `gone ${role}`}).report;
+			checkOutcome(first);
 			const later = await waitUntil(async () => {
-				const told = await start({prompt: `gone ${role}, later`}).told;
-				checkWord(told);
-				return told.problem?.endsWith('no-capacity') && told;
-			}, {deadlineMs, what: 'the word that there is no server', everyMs: 200});
+				const report = await start({prompt: `gone ${role}, later`}).report;
+				checkOutcome(report);
+				return report.problem?.endsWith('no-capacity') && report;
+			}, {deadlineMs, what: 'a refusal with no-capacity', everyMs: 200});
 			t.diagnostic(`the first: ${first.outcome} ${first.problem} after ${first.tookMs} ms; later ${later.problem} after ${later.tookMs} ms`);
 			checkNotRun(later, {kind: /no-capacity$/v});
 		});
 
-		it(`is true when every ${role} engine leaves`, async () => {
+		it(`is true when every ${role} engine is leaving`, async () => {
 			fleet.engine(`dvorana-a-${role}-1`).setState('leaving');
-			const told = await start({prompt: `leaves ${role}`}).told;
-			checkWord(told);
-			assert.equal(told.isWhole, false);
+			const report = await start({prompt: `leaves ${role}`}).report;
+			checkOutcome(report);
+			assert.equal(report.isWhole, false);
 		});
 	}
 
-	const minted = (offMs: number) => createKey({msecs: Date.now() + offMs});
+	const createKeyWithOffset = (offMs: number) => createKey({msecs: Date.now() + offMs});
 	const keys: ReadonlyArray<{name: string; toKey: () => string | undefined; kind: RegExp; outcome: string; hasRetryAfter: boolean}> = [
 		{
 			name: 'that is missing', toKey: () => undefined, kind: /key-required$/v, outcome: 'not-run', hasRetryAfter: false,
@@ -153,20 +154,20 @@
 			name: 'that bears no time', toKey: () => createRandomId(), kind: /key-invalid$/v, outcome: 'not-run', hasRetryAfter: false,
 		},
 		{
-			name: 'of an hour ago', toKey: () => minted(-hourMs), kind: /claim-unavailable$/v, outcome: 'may-have-run', hasRetryAfter: false,
+			name: 'of an hour ago', toKey: () => createKeyWithOffset(-hourMs), kind: /claim-unavailable$/v, outcome: 'may-have-run', hasRetryAfter: false,
 		},
 		{
-			name: 'of the next hour', toKey: () => minted(hourMs), kind: /claim-unavailable$/v, outcome: 'may-have-run', hasRetryAfter: true,
+			name: 'of the next hour', toKey: () => createKeyWithOffset(hourMs), kind: /claim-unavailable$/v, outcome: 'may-have-run', hasRetryAfter: true,
 		},
 	];
 	for (const {name, toKey, kind, outcome, hasRetryAfter} of keys) {
-		it(`is not said too much of a key ${name}`, async () => {
+		it(`is answered only if true for a request with a key ${name}`, async () => {
 			const key = toKey();
-			const told = await start({prompt: `a scene with a key ${name}`, isScene: true, ...(key !== undefined && {key})}).told;
-			assert.equal(told.outcome, outcome, JSON.stringify(told));
-			assert.match(told.problem ?? '', kind);
-			assert.equal(told.begun, 0, 'work of a key that was refused');
-			assert.equal(told.retryAfter !== undefined, hasRetryAfter, JSON.stringify(told));
+			const report = await start({prompt: `a scene with a key ${name}`, isScene: true, ...(key !== undefined && {key})}).report;
+			assert.equal(report.outcome, outcome, JSON.stringify(report));
+			assert.match(report.problem ?? '', kind);
+			assert.equal(report.begun, 0, 'work began although its key was refused');
+			assert.equal(report.retryAfter !== undefined, hasRetryAfter, JSON.stringify(report));
 			const atDesk = await startPlainCall(host.callerUrl, {path: '/desk/forwarding/17', ...(key !== undefined && {key})});
 			assert.equal(atDesk.outcome, outcome);
 			assert.match(atDesk.problem ?? '', kind);
@@ -174,42 +175,42 @@
 	}
 
 	const deskFaults = [
-		{name: 'drops it before the work', faults: {drop: 'before'}},
-		{name: 'drops it after the work', faults: {drop: 'after'}},
-		{name: 'breaks off midway', faults: {drop: 'midway'}},
+		{name: 'drops the call before the work', faults: {drop: 'before'}},
+		{name: 'drops the call after the work', faults: {drop: 'after'}},
+		{name: 'breaks its answer off midway', faults: {drop: 'midway'}},
 	] as const;
 	for (const {name, faults} of deskFaults) {
-		it(`is not said of a change when the desk ${name}`, async () => {
+		it(`is not answered to a change when the desk ${name}`, async () => {
 			const [plain] = fleet.plains;
 			plain!.setFaults({...faults, times: 1});
 			const key = createKey();
-			const told = await startPlainCall(host.callerUrl, {path: '/desk/forwarding/18', key});
-			assert.notEqual(told.outcome, 'not-run', JSON.stringify(told));
-			assert.ok(!told.isWhole);
+			const result = await startPlainCall(host.callerUrl, {path: '/desk/forwarding/18', key});
+			assert.notEqual(result.outcome, 'not-run', JSON.stringify(result));
+			assert.ok(!result.isWhole);
 			const again = await startPlainCall(host.callerUrl, {path: '/desk/forwarding/18', key});
 			assert.ok(plain!.countWork(key) <= 1, JSON.stringify(again));
 		});
 	}
 
-	it('is true when the host stops, of what still waits alone', async t => {
+	it('is true when the host stops, and answered only to requests that still wait', async t => {
 		const running = start({prompt: 'a long letter', maxTokens: 1000});
-		const early = await Promise.race([running.told, waitUntil(() => running.received().length > 0, {deadlineMs, what: 'the first token'})]);
+		const early = await Promise.race([running.report, waitUntil(() => running.received().length > 0, {deadlineMs, what: 'the first token'})]);
 		assert.equal(early, true, JSON.stringify(early));
 		const others = Array.from({length: 5}, (_, i) => start({prompt: `waits ${i}`, maxTokens: 1000}));
 		await sleep(300);
 		host.entry().signal('SIGTERM');
-		const [first, ...rest] = await Promise.all([running, ...others].map(async call => call.told));
-		const words = rest.map(({outcome, problem, begun}) => `${outcome} ${problem} (${begun} begun)`);
-		t.diagnostic(`the letter in progress: ${first!.outcome} ${first!.problem}; the others: ${words.join(', ')}`);
+		const [first, ...rest] = await Promise.all([running, ...others].map(async call => call.report));
+		const descriptions = rest.map(({outcome, problem, begun}) => `${outcome} ${problem} (${begun} begun)`);
+		t.diagnostic(`the letter in progress: ${first!.outcome} ${first!.problem}; the others: ${descriptions.join(', ')}`);
 		await host.entry().waitForExit(deadlineMs);
 		await host.startEntry();
 		await fleet.waitUntilReady();
 		assert.ok(first!.outcome === 'ran' || first!.outcome === 'may-have-run', JSON.stringify({...first, text: ''}));
 		for (const one of rest) {
-			checkWord(one);
+			checkOutcome(one);
 		}
 
-		assert.ok(rest.some(({outcome}) => outcome === 'not-run'), 'none was waiting');
+		assert.ok(rest.some(({outcome}) => outcome === 'not-run'), 'no waiting request was refused with not-run');
 	});
 
 	it('is true when no configuration is there yet, and when no server answers at the desk', async () => {
@@ -221,8 +222,8 @@
 		await host.kill();
 		fleet.platform.setFaults({down: true});
 		await host.start();
-		const told = await start({prompt: 'too early'}).told;
-		checkNotRun(told, {kind: /no-configuration$/v});
+		const report = await start({prompt: 'too early'}).report;
+		checkNotRun(report, {kind: /no-configuration$/v});
 		fleet.platform.setFaults({});
 		await fleet.waitUntilReady();
 	});
