--- a/test/storm/_lib/count-runs.ts
+++ b/test/storm/_lib/count-runs.ts
@@ -12,7 +12,7 @@
 	requestIds: readonly string[];
 };
 
-const none: Runs = {
+const noRuns: Runs = {
 	begun: 0, prefills: 0, runs: 0, requestIds: [],
 };
 
@@ -36,7 +36,7 @@
 		for (const [requestId, {prefillsStarted, decodesStarted}] of Object.entries(requests)) {
 			const id = owners.get(requestId);
 			if (id !== undefined) {
-				const {begun, prefills, runs, requestIds} = counted.get(id) ?? none;
+				const {begun, prefills, runs, requestIds} = counted.get(id) ?? noRuns;
 				counted.set(id, {
 					begun: begun + prefillsStarted + decodesStarted,
 					prefills: prefills + prefillsStarted,
@@ -54,13 +54,13 @@
 export function countRuns(fleet: Fleet, work: Work): Runs {
 	if (work.kind === 'desk change') {
 		const runs = fleet.plains.reduce((sum, plain) => sum + plain.countWork(work.key!), 0);
-		return {...none, begun: runs, runs};
+		return {...noRuns, begun: runs, runs};
 	}
 
 	if (work.kind === 'desk lookup') {
 		const runs = fleet.plains.reduce((sum, plain) => sum + plain.calls().filter(({path}) => path.endsWith(`/${work.id}`)).length, 0);
-		return {...none, begun: runs, runs};
+		return {...noRuns, begun: runs, runs};
 	}
 
-	return countModelRuns(fleet).get(work.id) ?? none;
+	return countModelRuns(fleet).get(work.id) ?? noRuns;
 }
--- a/test/storm/_lib/create-documents.ts
+++ b/test/storm/_lib/create-documents.ts
@@ -11,7 +11,7 @@
 }
 
 /** Each returns a text that no host may take. */
-const badForms: ReadonlyArray<(good: string, fleet: Fleet) => string> = [
+const badVariants: ReadonlyArray<(good: string, fleet: Fleet) => string> = [
 	good => good.slice(0, Math.floor(good.length * 0.6)),
 	good => good.slice(0, good.lastIndexOf('"end"')),
 	(_good, fleet) => fleet.toConfigText({rules: [{name: 'all to nowhere', then: {pool: 'summarise', class: 'batch', repeatable: true}}]}),
@@ -37,9 +37,9 @@
 		/** Publishes one that must be refused. */
 		publishBad(form: number): void {
 			badCount += 1;
-			fleet.platform.publish('config', badForms[form % badForms.length]!(good.at(-1)!, fleet));
+			fleet.platform.publish('config', badVariants[form % badVariants.length]!(good.at(-1)!, fleet));
 		},
-		badFormCount: badForms.length,
+		badFormCount: badVariants.length,
 		/** Position of a good edit by its digest; `undefined` for any other text. */
 		toPosition: (digest: string): number | undefined => order.get(digest),
 		newest: () => ({position: good.length - 1, digest: toDigest(good.at(-1)!)}),
--- a/test/storm/_lib/strike-faults.ts
+++ b/test/storm/_lib/inject-faults.ts
@@ -7,7 +7,7 @@
 import {type PlatformFaults} from '../../stand-ins/platform/index.js';
 import {createCuts} from './create-cuts.js';
 import {type Documents} from './create-documents.js';
-import {type FaultKind, type PlannedFault, type Struck} from './types.js';
+import {type FaultKind, type PlannedFault, type InjectedFault} from './types.js';
 
 const stopDeadlineMs = 90_000;
 const lostCancels = 5;
@@ -18,10 +18,10 @@
 const dropKinds = ['before', 'after', 'midway'] as const;
 
 /** Strikes, and returns what ends the fault. */
-type Strike = (fault: PlannedFault) => Promise<() => Promise<unknown> | void> | (() => Promise<unknown> | void);
+type Inject = (fault: PlannedFault) => Promise<() => Promise<unknown> | void> | (() => Promise<unknown> | void);
 
 /** Fields of a stand-in's switches, set for a while. */
-function switchOn<T extends object>(faults: T, fields: Partial<T>): () => void {
+function setFields<T extends object>(faults: T, fields: Partial<T>): () => void {
 	Object.assign(faults, fields);
 	return () => {
 		for (const name of Object.keys(fields)) {
@@ -30,7 +30,7 @@
 	};
 }
 
-function createHostStrikes(fleet: Fleet): Partial<Record<FaultKind, Strike>> {
+function createHostFaults(fleet: Fleet): Partial<Record<FaultKind, Inject>> {
 	const toHost = ({targets}: PlannedFault): FleetHost => fleet.host(targets[0]!);
 	return {
 		async 'kill entry'(fault) {
@@ -71,11 +71,11 @@
 }
 
 /** A second host under the name of one that runs on, as after a replacement that was thought dead. It takes calls too. */
-function createTwinStrike(fleet: Fleet, entryFlags: Flags): {twins: ReadonlySet<FleetHost>; strike: Strike} {
+function createTwinFault(fleet: Fleet, entryFlags: Flags): {twins: ReadonlySet<FleetHost>; inject: Inject} {
 	const twins = new Set<FleetHost>();
 	return {
 		twins,
-		async strike({targets}) {
+		async inject({targets}) {
 			const {id, zone} = fleet.host(targets[0]!);
 			const twin = await createHost({
 				id,
@@ -97,11 +97,11 @@
 	};
 }
 
-function createOtherStrikes(fleet: Fleet, documents: Documents): Partial<Record<FaultKind, Strike>> {
+function createOtherFaults(fleet: Fleet, documents: Documents): Partial<Record<FaultKind, Inject>> {
 	const cuts = createCuts(fleet.network);
 	const platform: PlatformFaults = {};
 	const setPlatform = (fields: PlatformFaults): (() => void) => {
-		const undo = switchOn(platform, fields);
+		const undo = setFields(platform, fields);
 		fleet.platform.setFaults({...platform});
 		return () => {
 			undo();
@@ -129,24 +129,24 @@
 			await fleet.engine(id!).crash();
 			return async () => fleet.engine(id!).revive();
 		},
-		'lose cancels': ({targets: [id]}) => switchOn<EngineFaults>(fleet.engine(id!).faults, {loseCancels: {times: lostCancels}}),
-		'break streams': ({targets: [id], form}) => switchOn<EngineFaults>(fleet.engine(id!).faults, {
+		'lose cancels': ({targets: [id]}) => setFields<EngineFaults>(fleet.engine(id!).faults, {loseCancels: {times: lostCancels}}),
+		'break streams': ({targets: [id], variant: form}) => setFields<EngineFaults>(fleet.engine(id!).faults, {
 			stream: {kind: streamKinds[form % streamKinds.length]!, atToken: form % 7, times: brokenStreams},
 		}),
 		'cross streams'() {
-			const ends = [...fleet.engines.values()].map(engine => switchOn<EngineFaults>(engine.faults, {stream: {kind: 'crossed'}}));
+			const ends = [...fleet.engines.values()].map(engine => setFields<EngineFaults>(engine.faults, {stream: {kind: 'crossed'}}));
 			return () => {
 				for (const end of ends) {
 					end();
 				}
 			};
 		},
-		'drop desk calls': ({targets: [id], form}) => switchOn<PlainFaults>(fleet.plains.find(plain => plain.id === id)!.faults, {
+		'drop desk calls': ({targets: [id], variant: form}) => setFields<PlainFaults>(fleet.plains.find(plain => plain.id === id)!.faults, {
 			drop: dropKinds[form % dropKinds.length]!, times: droppedCalls,
 		}),
-		'refuse work'({form}) {
+		'refuse work'({variant: form}) {
 			const on = [refusedSteps[form % refusedSteps.length]!];
-			const ends = [...fleet.engines.values()].map(engine => switchOn<EngineFaults>(engine.faults, {refuse: {reason: 'other', on}}));
+			const ends = [...fleet.engines.values()].map(engine => setFields<EngineFaults>(engine.faults, {refuse: {reason: 'other', on}}));
 			return () => {
 				for (const end of ends) {
 					end();
@@ -157,67 +157,67 @@
 			documents.publishGood();
 			return () => undefined;
 		},
-		'publish bad'({form}) {
+		'publish bad'({variant: form}) {
 			documents.publishBad(form);
 			return () => undefined;
 		},
 	};
 }
 
-export type Striker = {
+export type FaultInjector = {
 	/** Strikes and, after the fault's time, ends it. Faults of one target wait for one another. */
-	strike: (fault: PlannedFault) => Promise<void>;
+	inject: (fault: PlannedFault) => Promise<void>;
 	/** Ends the faults that last, and strikes no more. */
 	end: () => void;
-	struck: () => readonly Struck[];
+	injected: () => readonly InjectedFault[];
 	/** Hosts that run now beside those of the fleet, under the names of some of them. */
 	twins: () => readonly FleetHost[];
 };
 
 /** Creates the striker of a fleet; `entryFlags` are those of its hosts. */
-export function createStriker(fleet: Fleet, documents: Documents, entryFlags: Flags): Striker {
-	const twin = createTwinStrike(fleet, entryFlags);
-	const strikes = {...createHostStrikes(fleet), ...createOtherStrikes(fleet, documents), 'twin host': twin.strike};
-	const struck: Struck[] = [];
+export function createFaultInjector(fleet: Fleet, documents: Documents, entryFlags: Flags): FaultInjector {
+	const twin = createTwinFault(fleet, entryFlags);
+	const injectors = {...createHostFaults(fleet), ...createOtherFaults(fleet, documents), 'twin host': twin.inject};
+	const injected: InjectedFault[] = [];
 	const turns = new Map<string, Promise<void>>();
-	const over = new AbortController();
+	const ending = new AbortController();
 
-	const last = async (forMs: number): Promise<void> => {
+	const waitFor = async (forMs: number): Promise<void> => {
 		try {
-			await sleep(forMs, undefined, {signal: over.signal});
+			await sleep(forMs, undefined, {signal: ending.signal});
 		} catch {}
 	};
 
-	const strikeNow = async (fault: PlannedFault): Promise<void> => {
-		if (over.signal.aborted) {
+	const injectNow = async (fault: PlannedFault): Promise<void> => {
+		if (ending.signal.aborted) {
 			return;
 		}
 
-		const entry: Struck = {
+		const entry: InjectedFault = {
 			kind: fault.kind, targets: fault.targets, from: performance.now(), to: Infinity,
 		};
-		struck.push(entry);
-		const end = await strikes[fault.kind]!(fault);
-		await last(fault.forMs);
+		injected.push(entry);
+		const end = await injectors[fault.kind]!(fault);
+		await waitFor(fault.forMs);
 		await end();
 		entry.to = performance.now();
 	};
 
 	return {
-		async strike(fault) {
+		async inject(fault) {
 			const name = fault.kind.startsWith('cut') ? fault.kind + fault.targets.join(' ') : (fault.targets[0] ?? fault.kind);
 			const before = turns.get(name);
 			const turn = (async () => {
 				await before;
-				await strikeNow(fault);
+				await injectNow(fault);
 			})();
 			turns.set(name, turn);
 			await turn;
 		},
 		end() {
-			over.abort();
+			ending.abort();
 		},
-		struck: () => struck,
+		injected: () => injected,
 		twins: () => [...twin.twins],
 	};
 }
--- a/test/storm/_lib/judge-storm.test.ts
+++ b/test/storm/_lib/judge-storm.test.ts
@@ -7,7 +7,7 @@
 import {describe, it} from 'node:test';
 import {judgeStorm, type Evidence} from './judge-storm.js';
 import {
-	callKinds, type Answer, type CallKind, type Reversion, type Sent, type Struck, type Work,
+	callKinds, type Answer, type CallKind, type Reversion, type Sent, type InjectedFault, type Work,
 } from './types.js';
 
 const host = 'a-1';
@@ -36,14 +36,14 @@
 
 const kept: Evidence = {
 	sent: callKinds.map(kind => toCall(kind)),
-	struck: [],
+	injectedFaults: [],
 	runs: new Map(callKinds.map(kind => [toWork(kind).id, {
 		begun: 1, prefills: 1, runs: 1, requestIds: ['r'],
 	}])),
 	holds: [],
 	reversions: [],
-	strays: [],
-	looks: 100,
+	unexpectedDocuments: [],
+	observationCount: 100,
 	outdated: [],
 	asked: 4,
 	clockBoundMs,
@@ -60,7 +60,7 @@
 	return {runs: new Map([...kept.runs, [id, {...kept.runs.get(id)!, ...counts}]])};
 };
 
-const strike = (kind: Struck['kind'], targets: readonly string[], from = 1500, to = 1600): Struck => ({
+const strike = (kind: InjectedFault['kind'], targets: readonly string[], from = 1500, to = 1600): InjectedFault => ({
 	kind, targets, from, to,
 });
 
@@ -118,7 +118,7 @@
 		['memory that is still held', {holds: ['a stream']}, [held]],
 		['a host without the newest edit', {outdated: ['agent of a-1']}, [newest]],
 		['a process that goes back', {reversions: [reversion]}, [older]],
-		['a refused document in force', {strays: ['agent of a-1']}, [refused]],
+		['a refused document in force', {unexpectedDocuments: ['agent of a-1']}, [refused]],
 		['a kind of which nothing was whole', {sent: kept.sent.filter(({work}) => work.kind !== 'scene')}, [served]],
 	];
 	for (const [name, changes, violated] of faults) {
@@ -146,7 +146,7 @@
 const toScenes = (...calls: readonly Sent[]): Partial<Evidence> => ({...withCalls(...calls), ...threeHosts});
 const refusedScene = toCall('scene', claimRefused);
 
-const claimExcuses: ReadonlyArray<[string, Partial<Evidence>, Struck[], boolean]> = [
+const claimExcuses: ReadonlyArray<[string, Partial<Evidence>, InjectedFault[], boolean]> = [
 	['scenes that found no claim while a zone was cut off', toScenes(refusedScene), [strike('cut zone off', ['b'])], true],
 	['scenes that found no claim while a host was paused', toScenes(refusedScene), [strike('pause host', ['c-1'])], true],
 	['scenes that found no claim while a host had a twin', toScenes(refusedScene), [strike('twin host', ['c-1'])], true],
@@ -166,7 +166,7 @@
 	const brokenCall = withCalls(toCall('letter', broken), toCall('letter'));
 	const unanswered = withCalls(toCall('letter', {...broken, status: 0}), toCall('letter'));
 	const newLife = {reversions: [{...reversion, isSameLife: false}]};
-	const excuses: ReadonlyArray<[string, Partial<Evidence>, Struck[], boolean]> = [
+	const excuses: ReadonlyArray<[string, Partial<Evidence>, InjectedFault[], boolean]> = [
 		['an answer of a host that was killed', brokenCall, [strike('kill host', [host])], true],
 		['an answer of an entry that was killed', brokenCall, [strike('kill entry', [host])], true],
 		['an answer of a host whose agent alone was killed', brokenCall, [strike('kill agent', [host])], false],
@@ -193,7 +193,7 @@
 	];
 	for (const [name, changes, struck, isExcused] of [...excuses, ...claimExcuses]) {
 		it(`${isExcused ? 'excuses' : 'does not excuse'} ${name}`, () => {
-			const {violated, excused} = judge({...changes, struck});
+			const {violated, excused} = judge({...changes, injectedFaults: struck});
 			assert.deepEqual([violated.length, excused], isExcused ? [0, 1] : [1, 0]);
 		});
 	}
--- a/test/storm/_lib/judge-storm.ts
+++ b/test/storm/_lib/judge-storm.ts
@@ -1,7 +1,7 @@
 /** Holds what callers were told against what the stand-ins counted. Only safety is judged; how much was served is reported. */
 import {type Runs} from './count-runs.js';
 import {
-	callKinds, type CallKind, type FaultKind, type Reversion, type Sent, type Span, type Struck,
+	callKinds, type CallKind, type FaultKind, type Reversion, type Sent, type Span, type InjectedFault,
 } from './types.js';
 
 export type Verdict = {
@@ -15,14 +15,14 @@
 
 export type Evidence = {
 	sent: readonly Sent[];
-	struck: readonly Struck[];
+	injectedFaults: readonly InjectedFault[];
 	/** Counts of each piece of work, by its id. */
 	runs: ReadonlyMap<string, Runs>;
 	/** What was still held on engines a while after the end. */
 	holds: readonly string[];
 	reversions: readonly Reversion[];
-	strays: readonly string[];
-	looks: number;
+	unexpectedDocuments: readonly string[];
+	observationCount: number;
 	/** Programs that did not show the newest good configuration in the end. */
 	outdated: readonly string[];
 	/** Programs that were asked for it. */
@@ -36,15 +36,15 @@
 type Case = {what: string; isWrong: boolean; isExcused?: boolean};
 
 const killKinds: ReadonlySet<FaultKind> = new Set(['kill entry', 'kill host']);
-const lossKinds: ReadonlySet<FaultKind> = new Set([...killKinds, 'pause entry', 'pause host']);
+const hostLossKinds: ReadonlySet<FaultKind> = new Set([...killKinds, 'pause entry', 'pause host']);
 const pairCutKinds: ReadonlySet<FaultKind> = new Set(['cut zones apart', 'cut zones one way']);
 const oldPlatformKinds: ReadonlySet<FaultKind> = new Set(['stale platform', 'old platform']);
-const forgetKinds: ReadonlySet<FaultKind> = new Set([...killKinds, 'restart host', 'twin host']);
-const onceKinds: ReadonlySet<CallKind> = new Set(['scene', 'desk change']);
+const stateLossKinds: ReadonlySet<FaultKind> = new Set([...killKinds, 'restart host', 'twin host']);
+const nonRepeatableKinds: ReadonlySet<CallKind> = new Set(['scene', 'desk change']);
 const claimRefusals: ReadonlySet<string> = new Set(['claim-unavailable', 'no-configuration'].map(name => `urn:banyanport:problem:${name}`));
 
 /** Fleets of so many hosts at most need all of them for a claim. */
-const hostsThatAllClaim = 3;
+const maxHostsAllClaiming = 3;
 const shownViolations = 20;
 
 const isOverlapping = (a: Span, b: Span): boolean => a.from <= b.to && b.from <= a.to;
@@ -67,7 +67,7 @@
 }
 
 /** Whether a cut keeps a zone from some of the others. A zone that is cut off is missed by all. */
-function isCutFor(zone: string | undefined, {kind, targets}: Struck): boolean {
+function isZoneCut(zone: string | undefined, {kind, targets}: InjectedFault): boolean {
 	return kind === 'cut zone off' || (pairCutKinds.has(kind) && targets.includes(zone!));
 }
 
@@ -81,14 +81,14 @@
 	});
 }
 
-const runsOf = ({runs}: Evidence, [first]: readonly Sent[]): Runs => runs.get(first!.work.id) ?? {
+const getRuns = ({runs}: Evidence, [first]: readonly Sent[]): Runs => runs.get(first!.work.id) ?? {
 	begun: 0, prefills: 0, runs: 0, requestIds: [],
 };
 
-function judgeOnce(evidence: Evidence, works: ReadonlyArray<readonly Sent[]>): Verdict {
-	const once = works.filter(([first]) => onceKinds.has(first!.work.kind));
+function judgeNonRepeatable(evidence: Evidence, works: ReadonlyArray<readonly Sent[]>): Verdict {
+	const once = works.filter(([first]) => nonRepeatableKinds.has(first!.work.kind));
 	return toVerdict('work that may run once only ran at most once', once.map(calls => {
-		const runs = runsOf(evidence, calls);
+		const runs = getRuns(evidence, calls);
 		return {
 			isWrong: runs.runs > 1 || runs.prefills > 1 || runs.requestIds.length > 1,
 			what: `${JSON.stringify(runs)}: ${calls.map(call => describeCall(call)).join(', ')}`,
@@ -100,15 +100,15 @@
  * Repeatable work with a key is run again when its host is lost, and without
  * asking anybody while too few hosts can be asked.
  */
-function judgeJoined(evidence: Evidence, works: ReadonlyArray<readonly Sent[]>): Verdict {
+function judgeKeyedRepeatable(evidence: Evidence, works: ReadonlyArray<readonly Sent[]>): Verdict {
 	const keyed = works.filter(([first]) => first!.work.kind === 'letter' && first!.work.key !== undefined);
 	return toVerdict('a key of repeatable work was run once, but for lost hosts', keyed.map(calls => {
-		const runs = runsOf(evidence, calls);
+		const runs = getRuns(evidence, calls);
 		const span = toSpan(calls);
 		const asked = new Set(calls.map(({host}) => host));
-		const lost = evidence.struck.filter(({kind}) => lossKinds.has(kind) || kind === 'restart host');
+		const lost = evidence.injectedFaults.filter(({kind}) => hostLossKinds.has(kind) || kind === 'restart host');
 		const isOwnLost = lost.some(fault => asked.has(fault.targets[0]!) && isOverlapping(fault, span));
-		const isCut = evidence.struck.some(fault => isOverlapping(fault, span) && [...asked].some(host => isCutFor(evidence.zones.get(host), fault)));
+		const isCut = evidence.injectedFaults.some(fault => isOverlapping(fault, span) && [...asked].some(host => isZoneCut(evidence.zones.get(host), fault)));
 		const away = new Set(lost.filter(fault => isOverlapping({...fault, to: fault.to + evidence.clockBoundMs}, span)).map(({targets}) => targets[0]));
 		return {
 			isWrong: runs.requestIds.length > 1,
@@ -127,14 +127,14 @@
 }
 
 /** A part of an answer is judged too: it must be the beginning, without a token of anybody else's. */
-function judgeWhole(sent: readonly Sent[]): Verdict {
+function judgeCompleteness(sent: readonly Sent[]): Verdict {
 	const begun = sent.filter(({answer}) => answer.isClaimedWhole || answer.text !== '');
 	return toVerdict('an answer that says it is whole is the whole answer to its request', begun.map(call => ({
 		isWrong: !call.answer.isBeginning || (call.answer.isClaimedWhole && !call.answer.isExpected), what: describeCall(call),
 	})));
 }
 
-function judgeWord({sent, struck}: Evidence): Verdict {
+function judgeBrokenAnswers({sent, injectedFaults: struck}: Evidence): Verdict {
 	const stayed = sent.filter(({hasLeft}) => !hasLeft);
 	return toVerdict('no answer broke without a word, but for lost hosts', stayed.map(call => {
 		const own = struck.filter(({targets}) => targets[0] === call.host);
@@ -146,16 +146,16 @@
 }
 
 /** Whether no other call could have begun the work between the word and the count. */
-function isAlone(call: Sent, calls: readonly Sent[]): boolean {
+function isOnlyActiveCall(call: Sent, calls: readonly Sent[]): boolean {
 	return calls.every(other => other === call || (other.to < call.from && !other.answer.isBroken) || other.from > call.to);
 }
 
 function judgeNotRun(works: ReadonlyArray<readonly Sent[]>): Verdict {
 	const cases = works.flatMap(calls => calls.filter(({answer}) => answer.outcome === 'not-run').map((call): Case => {
-		const isRepeatable = !onceKinds.has(call.work.kind);
+		const isRepeatable = !nonRepeatableKinds.has(call.work.kind);
 		const isOwnRun = (call.begunAsRequest ?? 0) > 0;
 		// The word on work that may run once only is about its key; on other work, about this call.
-		const isKeyRun = !isRepeatable && (call.begunBefore > 0 || (isAlone(call, calls) && (call.begunAfter ?? 0) > 0));
+		const isKeyRun = !isRepeatable && (call.begunBefore > 0 || (isOnlyActiveCall(call, calls) && (call.begunAfter ?? 0) > 0));
 		const isOnlyRun = calls.length === 1 && (call.begunAfter ?? 0) > 0;
 		return {isWrong: isOwnRun || isKeyRun || isOnlyRun, what: describeCall(call)};
 	}));
@@ -168,19 +168,19 @@
 }
 
 /** Time in which a fault keeps a host from vouching for keys; one that has forgotten all vouches for none at first. */
-function toAwaySpan({kind, from, to}: Struck, clockBoundMs: number): Span | undefined {
-	if (forgetKinds.has(kind)) {
+function toUnavailableSpan({kind, from, to}: InjectedFault, clockBoundMs: number): Span | undefined {
+	if (stateLossKinds.has(kind)) {
 		return {from, to: to + clockBoundMs};
 	}
 
-	const isOutOfReach = lossKinds.has(kind) || pairCutKinds.has(kind) || kind === 'cut zone off';
+	const isOutOfReach = hostLossKinds.has(kind) || pairCutKinds.has(kind) || kind === 'cut zone off';
 	return isOutOfReach ? {from, to} : undefined;
 }
 
 /** Work that may run once only is claimed at all hosts of a small fleet, and refused while one of them is away. */
-function isClaimRefused(call: Sent, {struck, zones, clockBoundMs}: Evidence): boolean {
-	const away = struck.map(fault => toAwaySpan(fault, clockBoundMs)).filter(span => span !== undefined);
-	return zones.size <= hostsThatAllClaim && claimRefusals.has(call.answer.problem ?? '') && away.some(span => isOverlapping(span, call));
+function isClaimRefused(call: Sent, {injectedFaults: struck, zones, clockBoundMs}: Evidence): boolean {
+	const away = struck.map(fault => toUnavailableSpan(fault, clockBoundMs)).filter(span => span !== undefined);
+	return zones.size <= maxHostsAllClaiming && claimRefusals.has(call.answer.problem ?? '') && away.some(span => isOverlapping(span, call));
 }
 
 function judgeServed(kind: CallKind, evidence: Evidence): Case {
@@ -189,18 +189,18 @@
 	const stayed = calls.filter(({hasLeft}) => !hasLeft);
 	return {
 		isWrong: !calls.some(({answer}) => answer.isExpected),
-		isExcused: onceKinds.has(kind) && stayed.length > 0 && stayed.every(call => isClaimRefused(call, evidence)),
+		isExcused: nonRepeatableKinds.has(kind) && stayed.length > 0 && stayed.every(call => isClaimRefused(call, evidence)),
 		what: `no ${kind} was: ${calls.map(call => describeEnd(call, begunAt)).join(', ')}`,
 	};
 }
 
 /** A host that has forgotten all learns only from what it can reach. */
-function judgeReversions({reversions, struck, looks, zones}: Evidence): Verdict {
-	const isBlinded = ({host, at}: Reversion): boolean => struck.some(fault => isOverlapping(fault, {from: at, to: at})
-		&& (oldPlatformKinds.has(fault.kind) || isCutFor(zones.get(host), fault) || (fault.kind === 'cut zone from platform' && fault.targets[0] === zones.get(host))));
+function judgeReversions({reversions, injectedFaults: struck, observationCount: looks, zones}: Evidence): Verdict {
+	const hasLimitedView = ({host, at}: Reversion): boolean => struck.some(fault => isOverlapping(fault, {from: at, to: at})
+		&& (oldPlatformKinds.has(fault.kind) || isZoneCut(zones.get(host), fault) || (fault.kind === 'cut zone from platform' && fault.targets[0] === zones.get(host))));
 	const verdict = toVerdict('no host showed an older configuration after a newer one', reversions.map(reversion => ({
 		isWrong: true,
-		isExcused: !reversion.isSameLife && isBlinded(reversion),
+		isExcused: !reversion.isSameLife && hasLimitedView(reversion),
 		what: JSON.stringify(reversion),
 	})));
 	return {...verdict, checked: looks};
@@ -216,11 +216,11 @@
 	const {sent} = evidence;
 	const works = groupByWork(sent);
 	return [
-		judgeOnce(evidence, works),
-		judgeJoined(evidence, works),
+		judgeNonRepeatable(evidence, works),
+		judgeKeyedRepeatable(evidence, works),
 		judgeTexts(works),
-		judgeWhole(sent),
-		judgeWord(evidence),
+		judgeCompleteness(sent),
+		judgeBrokenAnswers(evidence),
 		toVerdict('no call was left hanging', sent.map(call => ({isWrong: call.isHung, what: describeCall(call)}))),
 		judgeNotRun(works),
 		{
@@ -231,7 +231,7 @@
 		},
 		judgeReversions(evidence),
 		{
-			promise: 'no refused document was ever in force', checked: evidence.looks, violations: evidence.strays, excused: 0,
+			promise: 'no refused document was ever in force', checked: evidence.observationCount, violations: evidence.unexpectedDocuments, excused: 0,
 		},
 		toVerdict('some work of each kind was answered whole', callKinds.map(kind => judgeServed(kind, evidence))),
 	];
--- a/test/storm/_lib/plan-faults.test.ts
+++ b/test/storm/_lib/plan-faults.test.ts
@@ -2,17 +2,17 @@
 import {describe, it} from 'node:test';
 import fc from 'fast-check';
 import {createRandom} from './create-random.js';
-import {planFaults, type Place} from './plan-faults.js';
+import {planFaults, type FaultTargets} from './plan-faults.js';
 import {type FaultKind, type PlannedFault} from './types.js';
 
 const durationMs = 25_000;
-const place: Place = {
+const place: FaultTargets = {
 	hosts: ['a-1', 'b-1', 'c-1'], zones: ['a', 'b', 'c'], engines: ['a-prefill-1', 'a-decode-1'], decodes: ['a-decode-1'], desks: ['a-desk-1'],
 };
 
 /** Tries a property on the plans of any seeds. */
 function assertAlways(isRight: (plan: readonly PlannedFault[], seed: number) => boolean): void {
-	fc.assert(fc.property(fc.nat(), seed => isRight(planFaults(place, {durationMs, everyMs: 800}, createRandom(seed)), seed)));
+	fc.assert(fc.property(fc.nat(), seed => isRight(planFaults(place, {durationMs, meanIntervalMs: 800}, createRandom(seed)), seed)));
 }
 
 describe('planFaults', () => {
@@ -34,6 +34,6 @@
 	});
 
 	it('draws the same faults from the same seed', () => {
-		assertAlways((plan, seed) => JSON.stringify(plan) === JSON.stringify(planFaults(place, {durationMs, everyMs: 800}, createRandom(seed))));
+		assertAlways((plan, seed) => JSON.stringify(plan) === JSON.stringify(planFaults(place, {durationMs, meanIntervalMs: 800}, createRandom(seed))));
 	});
 });
--- a/test/storm/_lib/plan-faults.ts
+++ b/test/storm/_lib/plan-faults.ts
@@ -2,7 +2,7 @@
 import {type Random} from './create-random.js';
 import {type FaultKind, type PlannedFault} from './types.js';
 
-export type Place = {
+export type FaultTargets = {
 	hosts: readonly string[];
 	zones: readonly string[];
 	/** Model engines, and those of them that stream answers. */
@@ -11,60 +11,60 @@
 	desks: readonly string[];
 };
 
-export type StormSpan = {
+export type PlanOptions = {
 	durationMs: number;
 	/** Mean time between two faults. */
-	everyMs: number;
+	meanIntervalMs: number;
 };
 
 type Draw = {
 	weight: number;
 	forMs: readonly [number, number];
-	toTargets: (place: Place, random: Random) => readonly string[];
+	toTargets: (place: FaultTargets, random: Random) => readonly string[];
 };
 
-const aHost: Draw['toTargets'] = ({hosts}, random) => [random.pick(hosts)];
-const aZone: Draw['toTargets'] = ({zones}, random) => [random.pick(zones)];
-const anEngine: Draw['toTargets'] = ({engines}, random) => [random.pick(engines)];
+const pickHost: Draw['toTargets'] = ({hosts}, random) => [random.pick(hosts)];
+const pickZone: Draw['toTargets'] = ({zones}, random) => [random.pick(zones)];
+const pickEngine: Draw['toTargets'] = ({engines}, random) => [random.pick(engines)];
 /** Its faults wait for one another, so that one does not hide another. */
-const thePlatform: Draw['toTargets'] = () => ['platform'];
-const nothing: Draw['toTargets'] = () => [];
+const toPlatform: Draw['toTargets'] = () => ['platform'];
+const toNoTargets: Draw['toTargets'] = () => [];
 
-function twoZones({zones}: Place, random: Random): readonly string[] {
+function pickTwoZones({zones}: FaultTargets, random: Random): readonly string[] {
 	const first = random.pick(zones);
 	return [first, random.pick(zones.filter(zone => zone !== first))];
 }
 
 /** Pauses and cuts last from far below to beyond the time after which a host is declared dead. */
 const draws: Readonly<Record<FaultKind, Draw>> = {
-	'kill entry': {weight: 4, forMs: [200, 4000], toTargets: aHost},
-	'kill agent': {weight: 3, forMs: [200, 4000], toTargets: aHost},
-	'kill host': {weight: 3, forMs: [500, 6000], toTargets: aHost},
-	'pause entry': {weight: 3, forMs: [300, 11_000], toTargets: aHost},
-	'pause agent': {weight: 2, forMs: [300, 11_000], toTargets: aHost},
-	'pause host': {weight: 2, forMs: [300, 11_000], toTargets: aHost},
-	'restart host': {weight: 2, forMs: [0, 1000], toTargets: aHost},
-	'twin host': {weight: 1, forMs: [1000, 8000], toTargets: aHost},
-	'cut zone off': {weight: 2, forMs: [500, 10_000], toTargets: aZone},
-	'cut zones apart': {weight: 2, forMs: [500, 10_000], toTargets: twoZones},
-	'cut zones one way': {weight: 2, forMs: [500, 10_000], toTargets: twoZones},
-	'cut zone from platform': {weight: 2, forMs: [500, 8000], toTargets: aZone},
-	'stale platform': {weight: 1, forMs: [500, 8000], toTargets: thePlatform},
-	'old platform': {weight: 1, forMs: [500, 6000], toTargets: thePlatform},
-	'platform down': {weight: 1, forMs: [500, 5000], toTargets: thePlatform},
-	'crash engine': {weight: 2, forMs: [200, 4000], toTargets: anEngine},
-	'lose cancels': {weight: 3, forMs: [500, 4000], toTargets: anEngine},
+	'kill entry': {weight: 4, forMs: [200, 4000], toTargets: pickHost},
+	'kill agent': {weight: 3, forMs: [200, 4000], toTargets: pickHost},
+	'kill host': {weight: 3, forMs: [500, 6000], toTargets: pickHost},
+	'pause entry': {weight: 3, forMs: [300, 11_000], toTargets: pickHost},
+	'pause agent': {weight: 2, forMs: [300, 11_000], toTargets: pickHost},
+	'pause host': {weight: 2, forMs: [300, 11_000], toTargets: pickHost},
+	'restart host': {weight: 2, forMs: [0, 1000], toTargets: pickHost},
+	'twin host': {weight: 1, forMs: [1000, 8000], toTargets: pickHost},
+	'cut zone off': {weight: 2, forMs: [500, 10_000], toTargets: pickZone},
+	'cut zones apart': {weight: 2, forMs: [500, 10_000], toTargets: pickTwoZones},
+	'cut zones one way': {weight: 2, forMs: [500, 10_000], toTargets: pickTwoZones},
+	'cut zone from platform': {weight: 2, forMs: [500, 8000], toTargets: pickZone},
+	'stale platform': {weight: 1, forMs: [500, 8000], toTargets: toPlatform},
+	'old platform': {weight: 1, forMs: [500, 6000], toTargets: toPlatform},
+	'platform down': {weight: 1, forMs: [500, 5000], toTargets: toPlatform},
+	'crash engine': {weight: 2, forMs: [200, 4000], toTargets: pickEngine},
+	'lose cancels': {weight: 3, forMs: [500, 4000], toTargets: pickEngine},
 	'break streams': {weight: 4, forMs: [500, 4000], toTargets: ({decodes}, random) => [random.pick(decodes)]},
-	'cross streams': {weight: 1, forMs: [500, 4000], toTargets: nothing},
+	'cross streams': {weight: 1, forMs: [500, 4000], toTargets: toNoTargets},
 	'drop desk calls': {weight: 2, forMs: [500, 3000], toTargets: ({desks}, random) => [random.pick(desks)]},
-	'refuse work': {weight: 3, forMs: [500, 2500], toTargets: nothing},
-	'publish good': {weight: 3, forMs: [0, 0], toTargets: nothing},
-	'publish bad': {weight: 3, forMs: [0, 0], toTargets: nothing},
+	'refuse work': {weight: 3, forMs: [500, 2500], toTargets: toNoTargets},
+	'publish good': {weight: 3, forMs: [0, 0], toTargets: toNoTargets},
+	'publish bad': {weight: 3, forMs: [0, 0], toTargets: toNoTargets},
 };
 
-const forms = 1000;
+const variantCount = 1000;
 /** Where in the storm its rolling restart of all hosts begins. */
-const rollingShare = 0.4;
+const rollingRestartStartShare = 0.4;
 
 /**
  * What every storm has, whatever is drawn, by its place in the storm and its
@@ -72,7 +72,7 @@
  * the fault it is for: an old document after a newer one, and tokens of one
  * answer on the connection of another. The rest are too rare by chance.
  */
-const certain: ReadonlyArray<{kind: FaultKind; at: number; lasts: number}> = [
+const scheduledFaults: ReadonlyArray<{kind: FaultKind; at: number; lasts: number}> = [
 	{kind: 'cross streams', at: 0.05, lasts: 0.2},
 	{kind: 'crash engine', at: 0.15, lasts: 0.1},
 	{kind: 'publish good', at: 0.2, lasts: 0},
@@ -99,10 +99,10 @@
 	return 'publish good';
 }
 
-function drawFault(kind: FaultKind, atMs: number, place: Place, random: Random): PlannedFault {
+function drawFault(kind: FaultKind, atMs: number, place: FaultTargets, random: Random): PlannedFault {
 	const {forMs, toTargets} = draws[kind];
 	return {
-		kind, atMs, forMs: random.between(...forMs), targets: toTargets(place, random), form: random.between(0, forms - 1),
+		kind, atMs, forMs: random.between(...forMs), targets: toTargets(place, random), variant: random.between(0, variantCount - 1),
 	};
 }
 
@@ -116,20 +116,20 @@
  * @param random - Seeded.
  * @returns Faults in order of time.
  */
-export function planFaults(place: Place, {durationMs, everyMs}: StormSpan, random: Random): readonly PlannedFault[] {
+export function planFaults(place: FaultTargets, {durationMs, meanIntervalMs: everyMs}: PlanOptions, random: Random): readonly PlannedFault[] {
 	const faults: PlannedFault[] = [];
 	for (let atMs = random.between(0, everyMs); atMs < durationMs; atMs += random.between(1, 2 * everyMs)) {
 		faults.push(drawFault(drawKind(random), atMs, place, random));
 	}
 
-	const rolling = place.hosts.map((host, i): PlannedFault => ({
-		kind: 'restart host', atMs: Math.round(durationMs * (rollingShare + ((1 - rollingShare) * i / place.hosts.length))), forMs: 0, targets: [host], form: 0,
+	const rollingRestarts = place.hosts.map((host, i): PlannedFault => ({
+		kind: 'restart host', atMs: Math.round(durationMs * (rollingRestartStartShare + ((1 - rollingRestartStartShare) * i / place.hosts.length))), forMs: 0, targets: [host], variant: 0,
 	}));
-	const always = certain.map(({kind, at, lasts}): PlannedFault => ({
-		kind, atMs: Math.round(durationMs * at), forMs: Math.round(durationMs * lasts), targets: draws[kind].toTargets(place, random), form: 0,
+	const scheduled = scheduledFaults.map(({kind, at, lasts}): PlannedFault => ({
+		kind, atMs: Math.round(durationMs * at), forMs: Math.round(durationMs * lasts), targets: draws[kind].toTargets(place, random), variant: 0,
 	}));
 	const lastEdit: PlannedFault = {
-		kind: 'publish good', atMs: durationMs, forMs: 0, targets: [], form: 0,
+		kind: 'publish good', atMs: durationMs, forMs: 0, targets: [], variant: 0,
 	};
-	return [...faults, ...always, ...rolling, lastEdit].sort((a, b) => a.atMs - b.atMs);
+	return [...faults, ...scheduled, ...rollingRestarts, lastEdit].sort((a, b) => a.atMs - b.atMs);
 }
--- a/test/storm/_lib/run-callers.ts
+++ b/test/storm/_lib/run-callers.ts
@@ -14,7 +14,7 @@
 	callers: number;
 	durationMs: number;
 	/** Hosts besides those of the fleet that take calls now. */
-	others: () => readonly FleetHost[];
+	listExtraHosts: () => readonly FleetHost[];
 	/** Hosts to which a balancer sends nothing new. */
 	isLeaving: (host: string) => boolean;
 };
@@ -25,14 +25,14 @@
 const leaveShare = 0.1;
 const leaveAfterMs = [1, 500] as const;
 const keyedShare = 0.7;
-const twinShare = 0.25;
-const twinAfterMs = [0, 300] as const;
-const againShare = 0.15;
-const againAfterRefusalShare = 0.5;
-const againAfterBreakShare = 0.7;
-const againAfterMs = [0, 500] as const;
+const duplicateShare = 0.25;
+const duplicateAfterMs = [0, 300] as const;
+const resendShare = 0.15;
+const resendAfterRefusalShare = 0.5;
+const resendAfterBreakShare = 0.7;
+const resendAfterMs = [0, 500] as const;
 /** A balancer learns late: some calls still go to a host that is stopping. */
-const lateShare = 0.1;
+const leavingHostShare = 0.1;
 const tokens = [4, 120] as const;
 
 function needsKey(kind: CallKind): boolean {
@@ -47,12 +47,12 @@
 	};
 }
 
-function isWorthAnother({answer, hasLeft}: Sent, random: Random): boolean {
+function shouldResend({answer, hasLeft}: Sent, random: Random): boolean {
 	if (answer.isBroken || hasLeft) {
-		return random.isHit(againAfterBreakShare);
+		return random.isHit(resendAfterBreakShare);
 	}
 
-	return random.isHit(answer.outcome === 'not-run' ? againAfterRefusalShare : againShare);
+	return random.isHit(answer.outcome === 'not-run' ? resendAfterRefusalShare : resendShare);
 }
 
 /**
@@ -62,7 +62,7 @@
  * @param options - How many, and from which seed.
  * @returns Every call that was made.
  */
-export async function runCallers(fleet: Fleet, {seed, callers, durationMs, others, isLeaving}: CallersOptions): Promise<readonly Sent[]> {
+export async function runCallers(fleet: Fleet, {seed, callers, durationMs, listExtraHosts: others, isLeaving}: CallersOptions): Promise<readonly Sent[]> {
 	const until = performance.now() + durationMs;
 	const sent: Sent[] = [];
 
@@ -88,7 +88,7 @@
 	};
 
 	const pickHost = (random: Random, other?: FleetHost): FleetHost => {
-		const hosts = [...fleet.hosts, ...others()].filter(host => host !== other && (!isLeaving(host.id) || random.isHit(lateShare)));
+		const hosts = [...fleet.hosts, ...others()].filter(host => host !== other && (!isLeaving(host.id) || random.isHit(leavingHostShare)));
 		return hosts.length > 0 ? random.pick(hosts) : random.pick(fleet.hosts);
 	};
 
@@ -100,13 +100,13 @@
 			return;
 		}
 
-		if (random.isHit(twinShare)) {
-			await sleep(random.between(...twinAfterMs));
+		if (random.isHit(duplicateShare)) {
+			await sleep(random.between(...duplicateAfterMs));
 			await send(work, pickHost(random, host), random, false);
 		}
 
-		if (isWorthAnother(await first, random)) {
-			await sleep(random.between(...againAfterMs));
+		if (shouldResend(await first, random)) {
+			await sleep(random.between(...resendAfterMs));
 			await send(work, pickHost(random, host), random, false);
 		}
 	};
--- a/test/storm/_lib/send-work.ts
+++ b/test/storm/_lib/send-work.ts
@@ -17,7 +17,7 @@
 };
 
 /** Beyond the longest target of any kind of work. */
-const longestMs = 120_000;
+const hungAfterMs = 120_000;
 
 /** Beginning of a prompt by which the engines' judges know the work. */
 export function toPrompt({id, kind}: Work): string {
@@ -127,7 +127,7 @@
 	const control = new AbortController();
 	const timer = setTimeout(() => {
 		control.abort();
-	}, leaveAfterMs ?? longestMs);
+	}, leaveAfterMs ?? hungAfterMs);
 	const send = work.kind.startsWith('desk') ? sendDeskCall : sendModelCall;
 	const answer = await send(host.callerUrl, work, control.signal);
 	clearTimeout(timer);
--- a/test/storm/_lib/to-report.ts
+++ b/test/storm/_lib/to-report.ts
@@ -2,7 +2,7 @@
 import {type Runs} from './count-runs.js';
 import {type Verdict} from './judge-storm.js';
 import {
-	callKinds, type CallKind, type FaultKind, type Sent, type Struck,
+	callKinds, type CallKind, type FaultKind, type Sent, type InjectedFault,
 } from './types.js';
 
 export type KindReport = {
@@ -99,7 +99,7 @@
 }
 
 /** Reports on the calls of all kinds. */
-export function toCallsReport(sent: readonly Sent[], struck: readonly Struck[], runs: ReadonlyMap<string, Runs>): Pick<StormReport, 'kinds' | 'faults' | 'refusals' | 'breaks'> {
+export function toCallsReport(sent: readonly Sent[], struck: readonly InjectedFault[], runs: ReadonlyMap<string, Runs>): Pick<StormReport, 'kinds' | 'faults' | 'refusals' | 'breaks'> {
 	const refused = sent.filter(({answer}) => answer.outcome !== undefined);
 	return {
 		kinds: callKinds.map(kind => toKindReport(kind, sent, runs)),
--- a/test/storm/_lib/types.ts
+++ b/test/storm/_lib/types.ts
@@ -92,11 +92,11 @@
 	/** Host, zone or server; two zones for a cut between them. */
 	targets: readonly string[];
 	/** Chooses among the forms of a fault. */
-	form: number;
+	variant: number;
 };
 
 /** A fault as it struck. */
-export type Struck = Span & Pick<PlannedFault, 'kind' | 'targets'>;
+export type InjectedFault = Span & Pick<PlannedFault, 'kind' | 'targets'>;
 
 /** A configuration that a program showed after a newer one. */
 export type Reversion = {
--- a/test/storm/_lib/watch-versions.ts
+++ b/test/storm/_lib/watch-versions.ts
@@ -4,48 +4,48 @@
 import {type Documents} from './create-documents.js';
 import {type Reversion} from './types.js';
 
-type Shown = {digest: string; revision: number};
+type ShownVersion = {digest: string; revision: number};
 type ProgramName = Reversion['program'];
-type Sighting = {pid: number; position: number; shown: Shown};
+type Observation = {pid: number; position: number; shown: ShownVersion};
 
 export type VersionWatch = {
 	reversions: () => readonly Reversion[];
 	/** Programs that showed a document that is none of the good ones. */
-	strays: () => readonly string[];
-	looks: () => number;
+	unexpectedDocuments: () => readonly string[];
+	observationCount: () => number;
 	/** Highest position that any program showed. */
 	highest: () => number;
 	end: () => Promise<void>;
 };
 
-const everyMs = 100;
-const patienceMs = 1500;
+const pollIntervalMs = 100;
+const requestTimeoutMs = 1500;
 
 /** Asks a program which configuration is in force; `undefined` when it does not say. */
-export async function askVersion(host: FleetHost, program: ProgramName): Promise<Shown | undefined> {
+export async function fetchVersion(host: FleetHost, program: ProgramName): Promise<ShownVersion | undefined> {
 	try {
 		const url = program === 'agent' ? host.agentOperatorUrl : host.entryOperatorUrl;
-		const res = await fetch(`${url}/status`, {signal: AbortSignal.timeout(patienceMs)});
-		const body = await res.json() as {config?: Shown; configuration?: Shown};
+		const res = await fetch(`${url}/status`, {signal: AbortSignal.timeout(requestTimeoutMs)});
+		const body = await res.json() as {config?: ShownVersion; configuration?: ShownVersion};
 		return program === 'agent' ? body.config : body.configuration;
 	} catch {
 		return undefined;
 	}
 }
 
-function toText({digest, revision}: Shown, position: number): string {
+function toText({digest, revision}: ShownVersion, position: number): string {
 	return `edit ${position} (revision ${revision}, ${digest.slice(0, 12)})`;
 }
 
 /** Starts looking. */
 export function watchVersions(fleet: Fleet, documents: Documents): VersionWatch {
 	const reversions: Reversion[] = [];
-	const strays: string[] = [];
-	let looks = 0;
+	const unexpectedDocuments: string[] = [];
+	let observationCount = 0;
 	let highest = 0;
 	const ending = new AbortController();
 
-	const compare = (host: FleetHost, program: ProgramName, before: Sighting | undefined, now: Sighting): void => {
+	const compare = (host: FleetHost, program: ProgramName, before: Observation | undefined, now: Observation): void => {
 		if (before !== undefined && now.position < before.position) {
 			reversions.push({
 				host: host.id,
@@ -59,16 +59,16 @@
 	};
 
 	const watch = async (host: FleetHost, program: ProgramName): Promise<void> => {
-		let last: Sighting | undefined;
+		let last: Observation | undefined;
 		while (!ending.signal.aborted) {
 			const {pid} = host[program]();
-			const shown = await askVersion(host, program);
+			const shown = await fetchVersion(host, program);
 			// A process that was replaced meanwhile may have answered in either life.
 			if (shown !== undefined && host[program]().pid === pid) {
 				const position = documents.toPosition(shown.digest);
-				looks += 1;
+				observationCount += 1;
 				if (position === undefined) {
-					strays.push(`${program} of ${host.id}: ${JSON.stringify(shown)}`);
+					unexpectedDocuments.push(`${program} of ${host.id}: ${JSON.stringify(shown)}`);
 				} else {
 					const now = {pid, position, shown};
 					compare(host, program, last, now);
@@ -77,15 +77,15 @@
 				}
 			}
 
-			await sleep(everyMs);
+			await sleep(pollIntervalMs);
 		}
 	};
 
 	const done = Promise.all(fleet.hosts.flatMap(host => [watch(host, 'agent'), watch(host, 'entry')]));
 	return {
 		reversions: () => reversions,
-		strays: () => strays,
-		looks: () => looks,
+		unexpectedDocuments: () => unexpectedDocuments,
+		observationCount: () => observationCount,
 		highest: () => highest,
 		async end() {
 			ending.abort();
--- a/test/storm/index.ts
+++ b/test/storm/index.ts
@@ -13,10 +13,10 @@
 import {judgeStorm} from './_lib/judge-storm.js';
 import {planFaults} from './_lib/plan-faults.js';
 import {runCallers} from './_lib/run-callers.js';
-import {createStriker, type Striker} from './_lib/strike-faults.js';
+import {createFaultInjector, type FaultInjector} from './_lib/inject-faults.js';
 import {toCallsReport, type StormReport} from './_lib/to-report.js';
 import {type PlannedFault, type Sent} from './_lib/types.js';
-import {askVersion, watchVersions} from './_lib/watch-versions.js';
+import {fetchVersion, watchVersions} from './_lib/watch-versions.js';
 
 export {toReportText, type StormReport} from './_lib/to-report.js';
 export {type Verdict} from './_lib/judge-storm.js';
@@ -28,7 +28,7 @@
 	/** Mean time between two faults. */
 	faultEveryMs?: number;
 	/** Told as the storm goes on. */
-	tell?: (text: string) => void;
+	onProgress?: (text: string) => void;
 };
 
 const zones = ['dvorana-a', 'dvorana-b', 'dvorana-c'];
@@ -73,12 +73,12 @@
 	return fleet;
 }
 
-async function strikeAll(plan: readonly PlannedFault[], striker: Striker): Promise<void> {
+async function injectAll(plan: readonly PlannedFault[], striker: FaultInjector): Promise<void> {
 	const start = performance.now();
 	const strikes: Array<Promise<void>> = [];
 	for (const fault of plan) {
 		await sleep(Math.max(0, start + fault.atMs - performance.now()));
-		strikes.push(striker.strike(fault));
+		strikes.push(striker.inject(fault));
 	}
 
 	striker.end();
@@ -89,12 +89,12 @@
 async function findOutdated(fleet: Fleet, documents: Documents): Promise<string[]> {
 	const {digest, position} = documents.newest();
 	const programs = fleet.hosts.flatMap(host => [{host, program: 'agent' as const}, {host, program: 'entry' as const}]);
-	const shown = await Promise.all(programs.map(async ({host, program}) => ({name: `${program} of ${host.id}`, version: await askVersion(host, program)})));
+	const shown = await Promise.all(programs.map(async ({host, program}) => ({name: `${program} of ${host.id}`, version: await fetchVersion(host, program)})));
 	return shown.filter(({version}) => version?.digest !== digest).map(({name, version}) => `${name} shows ${JSON.stringify(version)}, not edit ${position}`);
 }
 
 /** Waits until a list is empty; gives what is left when the deadline passes. */
-async function settle(find: () => Promise<readonly string[]>, deadlineMs = settleDeadlineMs): Promise<{left: readonly string[]; afterMs: number}> {
+async function waitUntilEmpty(find: () => Promise<readonly string[]>, deadlineMs = settleDeadlineMs): Promise<{left: readonly string[]; afterMs: number}> {
 	const start = performance.now();
 	let left: readonly string[] = [];
 	try {
@@ -147,21 +147,21 @@
 	return sum;
 }
 
-async function blow(fleet: Fleet, random: Random, {seed, durationMs, callers = 16, faultEveryMs = 800, tell = () => undefined}: StormOptions): Promise<StormReport> {
+async function runStormOn(fleet: Fleet, random: Random, {seed, durationMs, callers = 16, faultEveryMs = 800, onProgress: tell = () => undefined}: StormOptions): Promise<StormReport> {
 	const documents = createDocuments(fleet);
-	const striker = createStriker(fleet, documents, entryFlags);
+	const striker = createFaultInjector(fleet, documents, entryFlags);
 	const engines = [...fleet.engines.keys()];
 	const plan = planFaults({
 		hosts: fleet.hosts.map(({id}) => id), zones, engines, decodes: engines.filter(id => id.includes('-decode-')), desks: fleet.plains.map(({id}) => id),
-	}, {durationMs, everyMs: faultEveryMs}, random);
+	}, {durationMs, meanIntervalMs: faultEveryMs}, random);
 	tell(`${plan.length} faults are planned for ${fleet.hosts.length} hosts`);
 	const watch = watchVersions(fleet, documents);
-	const isLeaving = (host: string): boolean => striker.struck().some(({kind, targets, to}) => kind === 'restart host' && targets[0] === host && to === Infinity);
+	const isLeaving = (host: string): boolean => striker.injected().some(({kind, targets, to}) => kind === 'restart host' && targets[0] === host && to === Infinity);
 	const [sent] = await Promise.all([
 		runCallers(fleet, {
-			seed, callers, durationMs, others: striker.twins, isLeaving,
+			seed, callers, durationMs, listExtraHosts: striker.twins, isLeaving,
 		}),
-		strikeAll(plan, striker),
+		injectAll(plan, striker),
 	]);
 	tell('the storm is over');
 	fleet.network.heal();
@@ -173,20 +173,20 @@
 			return false;
 		}
 	}, {deadlineMs: readyDeadlineMs, what: 'all hosts to serve again'});
-	const inForce = await settle(async () => findOutdated(fleet, documents));
-	const released = await settle(async () => fleet.holds().map(hold => JSON.stringify(hold)), releaseDeadlineMs);
+	const inForce = await waitUntilEmpty(async () => findOutdated(fleet, documents));
+	const released = await waitUntilEmpty(async () => fleet.holds().map(hold => JSON.stringify(hold)), releaseDeadlineMs);
 	await tryBadEdits(fleet, documents);
 	const outdated = await findOutdated(fleet, documents);
 	await watch.end();
 	const runs = countAllRuns(fleet, sent);
 	const verdicts = judgeStorm({
 		sent,
-		struck: striker.struck(),
+		injectedFaults: striker.injected(),
 		runs,
 		holds: released.left,
 		reversions: watch.reversions(),
-		strays: watch.strays(),
-		looks: watch.looks(),
+		unexpectedDocuments: watch.unexpectedDocuments(),
+		observationCount: watch.observationCount(),
 		outdated: [...inForce.left, ...outdated],
 		asked: 2 * fleet.hosts.length,
 		clockBoundMs,
@@ -196,7 +196,7 @@
 		seed,
 		durationMs,
 		hosts: fleet.hosts.length,
-		...toCallsReport(sent, striker.struck(), runs),
+		...toCallsReport(sent, striker.injected(), runs),
 		edits: documents.counts(),
 		wastedPrefills: sumWaste(fleet),
 		heldBytes: fleet.holds().reduce((sum, {bytes}) => sum + bytes, 0),
@@ -218,7 +218,7 @@
 	const random = createRandom(options.seed);
 	const fleet = await startStormFleet(random);
 	try {
-		return await blow(fleet, random, options);
+		return await runStormOn(fleet, random, options);
 	} finally {
 		await fleet.stop();
 	}
--- a/test/storm/main.ts
+++ b/test/storm/main.ts
@@ -27,7 +27,7 @@
 const {seconds, seed, json, ...options} = command.opts<Options>();
 console.log(`seed ${seed}`);
 const report = await runStorm({
-	...options, seed, durationMs: seconds * 1000, tell: console.log,
+	...options, seed, durationMs: seconds * 1000, onProgress: console.log,
 });
 console.log(toReportText(report));
 if (json === undefined) {
