--- a/test/storm/_lib/create-documents.ts
+++ b/test/storm/_lib/create-documents.ts
@@ -35,11 +35,11 @@
 			fleet.platform.publish('config', text);
 		},
 		/** Publishes one that must be refused. */
-		publishBad(form: number): void {
+		publishBad(variant: number): void {
 			badCount += 1;
-			fleet.platform.publish('config', badVariants[form % badVariants.length]!(good.at(-1)!, fleet));
+			fleet.platform.publish('config', badVariants[variant % badVariants.length]!(good.at(-1)!, fleet));
 		},
-		badFormCount: badVariants.length,
+		badVariantCount: badVariants.length,
 		/** Position of a good edit by its digest; `undefined` for any other text. */
 		toPosition: (digest: string): number | undefined => order.get(digest),
 		newest: () => ({position: good.length - 1, digest: toDigest(good.at(-1)!)}),
--- a/test/storm/_lib/inject-faults.ts
+++ b/test/storm/_lib/inject-faults.ts
@@ -130,8 +130,8 @@
 			return async () => fleet.engine(id!).revive();
 		},
 		'lose cancels': ({targets: [id]}) => setFields<EngineFaults>(fleet.engine(id!).faults, {loseCancels: {times: lostCancels}}),
-		'break streams': ({targets: [id], variant: form}) => setFields<EngineFaults>(fleet.engine(id!).faults, {
-			stream: {kind: streamKinds[form % streamKinds.length]!, atToken: form % 7, times: brokenStreams},
+		'break streams': ({targets: [id], variant}) => setFields<EngineFaults>(fleet.engine(id!).faults, {
+			stream: {kind: streamKinds[variant % streamKinds.length]!, atToken: variant % 7, times: brokenStreams},
 		}),
 		'cross streams'() {
 			const ends = [...fleet.engines.values()].map(engine => setFields<EngineFaults>(engine.faults, {stream: {kind: 'crossed'}}));
@@ -141,11 +141,11 @@
 				}
 			};
 		},
-		'drop desk calls': ({targets: [id], variant: form}) => setFields<PlainFaults>(fleet.plains.find(plain => plain.id === id)!.faults, {
-			drop: dropKinds[form % dropKinds.length]!, times: droppedCalls,
+		'drop desk calls': ({targets: [id], variant}) => setFields<PlainFaults>(fleet.plains.find(plain => plain.id === id)!.faults, {
+			drop: dropKinds[variant % dropKinds.length]!, times: droppedCalls,
 		}),
-		'refuse work'({variant: form}) {
-			const on = [refusedSteps[form % refusedSteps.length]!];
+		'refuse work'({variant}) {
+			const on = [refusedSteps[variant % refusedSteps.length]!];
 			const ends = [...fleet.engines.values()].map(engine => setFields<EngineFaults>(engine.faults, {refuse: {reason: 'other', on}}));
 			return () => {
 				for (const end of ends) {
@@ -157,8 +157,8 @@
 			documents.publishGood();
 			return () => undefined;
 		},
-		'publish bad'({variant: form}) {
-			documents.publishBad(form);
+		'publish bad'({variant}) {
+			documents.publishBad(variant);
 			return () => undefined;
 		},
 	};
--- a/test/storm/_lib/judge-storm.test.ts
+++ b/test/storm/_lib/judge-storm.test.ts
@@ -34,7 +34,7 @@
 	work: toWork(kind), host, from: 1000, to: 2000, hasLeft: false, isHung: false, answer: {...whole, ...answer}, begunBefore: 0, begunAfter: undefined, begunAsRequest: undefined, ...rest,
 });
 
-const kept: Evidence = {
+const passing: Evidence = {
 	sent: callKinds.map(kind => toCall(kind)),
 	injectedFaults: [],
 	runs: new Map(callKinds.map(kind => [toWork(kind).id, {
@@ -50,34 +50,34 @@
 	zones,
 };
 
-const withCalls = (...calls: readonly Sent[]): Partial<Evidence> => ({sent: [...kept.sent.filter(({work}) => calls.every(call => call.work.id !== work.id)), ...calls]});
+const withCalls = (...calls: readonly Sent[]): Partial<Evidence> => ({sent: [...passing.sent.filter(({work}) => calls.every(call => call.work.id !== work.id)), ...calls]});
 
 /** Another piece of work of the same kind, so that the kind is served. */
 const another = (kind: CallKind): Sent => ({...toCall(kind), work: {...toWork(kind), id: `another ${kind}`}});
 
 const withRuns = (kind: CallKind, counts: {begun?: number; prefills?: number; runs?: number; requestIds?: readonly string[]}): Partial<Evidence> => {
 	const {id} = toWork(kind);
-	return {runs: new Map([...kept.runs, [id, {...kept.runs.get(id)!, ...counts}]])};
+	return {runs: new Map([...passing.runs, [id, {...passing.runs.get(id)!, ...counts}]])};
 };
 
-const strike = (kind: InjectedFault['kind'], targets: readonly string[], from = 1500, to = 1600): InjectedFault => ({
+const createFault = (kind: InjectedFault['kind'], targets: readonly string[], from = 1500, to = 1600): InjectedFault => ({
 	kind, targets, from, to,
 });
 
 /** Promises with violations, and the number of excused cases. */
 function judge(changes: Partial<Evidence>): {violated: string[]; excused: number} {
-	const verdicts = judgeStorm({...kept, ...changes});
+	const verdicts = judgeStorm({...passing, ...changes});
 	return {
 		violated: verdicts.filter(({violations}) => violations.length > 0).map(({promise}) => promise),
 		excused: verdicts.reduce((sum, {excused}) => sum + excused, 0),
 	};
 }
 
-const once = 'work that may run once only ran at most once';
-const joined = 'a key of repeatable work was run once, but for lost hosts';
+const nonRepeatable = 'work that may run once only ran at most once';
+const keyedRepeatable = 'a key of repeatable work was run once, but for lost hosts';
 const texts = 'no key was answered whole with two texts';
-const wholes = 'an answer that says it is whole is the whole answer to its request';
-const word = 'no answer broke without a word, but for lost hosts';
+const completeness = 'an answer that says it is whole is the whole answer to its request';
+const brokenAnswers = 'no answer broke without a word, but for lost hosts';
 const hanging = 'no call was left hanging';
 const notRuns = 'what was told as not run was not run';
 const held = 'nothing was held on any engine in the end';
@@ -97,19 +97,19 @@
 	});
 
 	const faults: ReadonlyArray<[string, Partial<Evidence>, readonly string[]]> = [
-		['a scene with two streams', withRuns('scene', {runs: 2}), [once]],
-		['a scene with two prefills', withRuns('scene', {prefills: 2}), [once]],
-		['a scene under two requests', withRuns('scene', {requestIds: ['r', 's']}), [once]],
-		['a desk change that was made twice', withRuns('desk change', {runs: 2}), [once]],
-		['a keyed letter under two requests', ranTwice, [joined]],
+		['a scene with two streams', withRuns('scene', {runs: 2}), [nonRepeatable]],
+		['a scene with two prefills', withRuns('scene', {prefills: 2}), [nonRepeatable]],
+		['a scene under two requests', withRuns('scene', {requestIds: ['r', 's']}), [nonRepeatable]],
+		['a desk change that was made twice', withRuns('desk change', {runs: 2}), [nonRepeatable]],
+		['a keyed letter under two requests', ranTwice, [keyedRepeatable]],
 		['two whole texts for one key', withCalls(toCall('letter'), toCall('letter', {text: 'other'})), [texts]],
-		['a part that passes for whole', withCalls(toCall('question', {isExpected: false, text: 'ans'}), toCall('question')), [wholes]],
+		['a part that passes for whole', withCalls(toCall('question', {isExpected: false, text: 'ans'}), toCall('question')), [completeness]],
 		['tokens of another answer in a broken one', withCalls(toCall('letter', {
 			...broken, isBeginning: false, outcome: 'ran', isBroken: false,
-		}), toCall('letter')), [wholes]],
-		['tokens of another answer before the caller left', withCalls(toCall('letter', {...broken, isBeginning: false}, {hasLeft: true}), toCall('letter')), [wholes]],
-		['an answer that broke without a word', withCalls(toCall('letter', broken), toCall('letter')), [word]],
-		['an answer in one piece that broke when its key was sent again', withCalls(toCall('desk change', broken), toCall('desk change', {}, {host: otherHost})), [word]],
+		}), toCall('letter')), [completeness]],
+		['tokens of another answer before the caller left', withCalls(toCall('letter', {...broken, isBeginning: false}, {hasLeft: true}), toCall('letter')), [completeness]],
+		['an answer that broke without a word', withCalls(toCall('letter', broken), toCall('letter')), [brokenAnswers]],
+		['an answer in one piece that broke when its key was sent again', withCalls(toCall('desk change', broken), toCall('desk change', {}, {host: otherHost})), [brokenAnswers]],
 		['a call that nothing ended', withCalls(toCall('letter', broken, {isHung: true}), toCall('letter')), [hanging]],
 		['"not run" of a question that was begun', withCalls(toCall('question', notRun, {begunAfter: 1, begunAsRequest: 1}), another('question')), [notRuns]],
 		['"not run" of a lookup that the desk got', withCalls(toCall('desk lookup', notRun, {begunAfter: 1}), another('desk lookup')), [notRuns]],
@@ -119,7 +119,7 @@
 		['a host without the newest edit', {outdated: ['agent of a-1']}, [newest]],
 		['a process that goes back', {reversions: [reversion]}, [older]],
 		['a refused document in force', {unexpectedDocuments: ['agent of a-1']}, [refused]],
-		['a kind of which nothing was whole', {sent: kept.sent.filter(({work}) => work.kind !== 'scene')}, [served]],
+		['a kind of which nothing was whole', {sent: passing.sent.filter(({work}) => work.kind !== 'scene')}, [served]],
 	];
 	for (const [name, changes, violated] of faults) {
 		it(`reports ${name}`, () => {
@@ -129,13 +129,13 @@
 
 	it('has a fault here for each of its verdicts', () => {
 		assert.deepEqual(
-			judgeStorm(kept).map(({promise}) => promise).sort(),
+			judgeStorm(passing).map(({promise}) => promise).sort(),
 			[...new Set(faults.flatMap(fault => fault[2]))].sort(),
 		);
 	});
 
 	it('counts what it looked at', () => {
-		assert.ok(judgeStorm({...kept, ...withCalls(toCall('scene', {}), toCall('question', notRun, {begunAfter: 0}))}).every(({checked}) => checked > 0));
+		assert.ok(judgeStorm({...passing, ...withCalls(toCall('scene', {}), toCall('question', notRun, {begunAfter: 0}))}).every(({checked}) => checked > 0));
 	});
 });
 
@@ -147,19 +147,19 @@
 const refusedScene = toCall('scene', claimRefused);
 
 const claimExcuses: ReadonlyArray<[string, Partial<Evidence>, InjectedFault[], boolean]> = [
-	['scenes that found no claim while a zone was cut off', toScenes(refusedScene), [strike('cut zone off', ['b'])], true],
-	['scenes that found no claim while a host was paused', toScenes(refusedScene), [strike('pause host', ['c-1'])], true],
-	['scenes that found no claim while a host had a twin', toScenes(refusedScene), [strike('twin host', ['c-1'])], true],
+	['scenes that found no claim while a zone was cut off', toScenes(refusedScene), [createFault('cut zone off', ['b'])], true],
+	['scenes that found no claim while a host was paused', toScenes(refusedScene), [createFault('pause host', ['c-1'])], true],
+	['scenes that found no claim while a host had a twin', toScenes(refusedScene), [createFault('twin host', ['c-1'])], true],
 	['scenes that found no claim with all hosts there', toScenes(refusedScene), [], false],
-	['scenes that found no claim before a zone was cut off', toScenes(refusedScene), [strike('cut zone off', ['b'], 2100, 2200)], false],
-	['scenes that found no claim after a cut had healed', toScenes(refusedScene), [strike('cut zone off', ['b'], 0, 900)], false],
-	['scenes that found no claim soon after a host was killed', toScenes(refusedScene), [strike('kill host', ['b-1'], 0, 900)], true],
-	['scenes that found no claim while an engine crashed', toScenes(refusedScene), [strike('crash engine', ['a-decode-1'])], false],
-	['scenes of which one found no claim with all hosts there', toScenes(refusedScene, toCall('scene', claimRefused, {from: 9000, to: 9500})), [strike('cut zone off', ['b'])], false],
-	['scenes that were refused otherwise while a zone was cut off', toScenes(toCall('scene', notRun)), [strike('cut zone off', ['b'])], false],
-	['scenes whose callers all left while a zone was cut off', toScenes(toCall('scene', claimRefused, {hasLeft: true})), [strike('cut zone off', ['b'])], false],
-	['scenes that found no claim in a larger fleet while a zone was cut off', withCalls(refusedScene), [strike('cut zone off', ['b'])], false],
-	['questions that found no claim while a zone was cut off', toScenes(toCall('question', claimRefused)), [strike('cut zone off', ['b'])], false],
+	['scenes that found no claim before a zone was cut off', toScenes(refusedScene), [createFault('cut zone off', ['b'], 2100, 2200)], false],
+	['scenes that found no claim after a cut had healed', toScenes(refusedScene), [createFault('cut zone off', ['b'], 0, 900)], false],
+	['scenes that found no claim soon after a host was killed', toScenes(refusedScene), [createFault('kill host', ['b-1'], 0, 900)], true],
+	['scenes that found no claim while an engine crashed', toScenes(refusedScene), [createFault('crash engine', ['a-decode-1'])], false],
+	['scenes of which one found no claim with all hosts there', toScenes(refusedScene, toCall('scene', claimRefused, {from: 9000, to: 9500})), [createFault('cut zone off', ['b'])], false],
+	['scenes that were refused otherwise while a zone was cut off', toScenes(toCall('scene', notRun)), [createFault('cut zone off', ['b'])], false],
+	['scenes whose callers all left while a zone was cut off', toScenes(toCall('scene', claimRefused, {hasLeft: true})), [createFault('cut zone off', ['b'])], false],
+	['scenes that found no claim in a larger fleet while a zone was cut off', withCalls(refusedScene), [createFault('cut zone off', ['b'])], false],
+	['questions that found no claim while a zone was cut off', toScenes(toCall('question', claimRefused)), [createFault('cut zone off', ['b'])], false],
 ];
 
 describe('judgeStorm: excuses', () => {
@@ -167,33 +167,33 @@
 	const unanswered = withCalls(toCall('letter', {...broken, status: 0}), toCall('letter'));
 	const newLife = {reversions: [{...reversion, isSameLife: false}]};
 	const excuses: ReadonlyArray<[string, Partial<Evidence>, InjectedFault[], boolean]> = [
-		['an answer of a host that was killed', brokenCall, [strike('kill host', [host])], true],
-		['an answer of an entry that was killed', brokenCall, [strike('kill entry', [host])], true],
-		['an answer of a host whose agent alone was killed', brokenCall, [strike('kill agent', [host])], false],
-		['an answer of a host that was only paused', brokenCall, [strike('pause host', [host])], false],
-		['an answer while another host was killed', brokenCall, [strike('kill host', [otherHost])], false],
-		['an answer after its host was killed', brokenCall, [strike('kill host', [host], 0, 900)], false],
-		['an answer while its engine crashed', brokenCall, [strike('crash engine', ['a-decode-1'])], false],
-		['an answer while its streams broke', brokenCall, [strike('break streams', ['a-decode-1'])], false],
-		['an answer that began at a host that was stopping', brokenCall, [strike('restart host', [host], 900, 5000)], false],
-		['a call to the closed door of a host that was stopping', unanswered, [strike('restart host', [host], 900, 5000)], true],
-		['a call that came before its host was stopped', unanswered, [strike('restart host', [host], 1100, 5000)], false],
-		['a key that ran twice when its host was paused', ranTwice, [strike('pause host', [host])], true],
-		['a key that ran twice when one other host was killed', ranTwice, [strike('kill host', ['c-1'])], false],
-		['a key that ran twice when two other hosts were away', ranTwice, [strike('kill host', ['c-1']), strike('kill entry', ['b-2'], 0, 900)], true],
-		['a key that ran twice when its zone was cut from another', ranTwice, [strike('cut zones one way', ['b', 'a'])], true],
-		['a key that ran twice when other zones were cut apart', ranTwice, [strike('cut zones apart', ['b', 'c'])], false],
-		['a key that ran twice when its zone was cut from the platform', ranTwice, [strike('cut zone from platform', ['a'])], false],
-		['an older edit in a new life while the platform served one', newLife, [strike('old platform', ['platform'])], true],
-		['an older edit in the same life while the platform served one', {reversions: [reversion]}, [strike('old platform', ['platform'])], false],
-		['an older edit in a new life with all in reach', newLife, [strike('old platform', ['platform'], 0, 1400)], false],
-		['an older edit in a new life while the platform was down', newLife, [strike('platform down', ['platform'])], false],
-		['an older edit in a new life in a zone without the platform', newLife, [strike('cut zone from platform', ['a'])], true],
-		['an older edit in a new life while other zones were cut apart', newLife, [strike('cut zones apart', ['b', 'c'])], false],
+		['an answer of a host that was killed', brokenCall, [createFault('kill host', [host])], true],
+		['an answer of an entry that was killed', brokenCall, [createFault('kill entry', [host])], true],
+		['an answer of a host whose agent alone was killed', brokenCall, [createFault('kill agent', [host])], false],
+		['an answer of a host that was only paused', brokenCall, [createFault('pause host', [host])], false],
+		['an answer while another host was killed', brokenCall, [createFault('kill host', [otherHost])], false],
+		['an answer after its host was killed', brokenCall, [createFault('kill host', [host], 0, 900)], false],
+		['an answer while its engine crashed', brokenCall, [createFault('crash engine', ['a-decode-1'])], false],
+		['an answer while its streams broke', brokenCall, [createFault('break streams', ['a-decode-1'])], false],
+		['an answer that began at a host that was stopping', brokenCall, [createFault('restart host', [host], 900, 5000)], false],
+		['a call to the closed door of a host that was stopping', unanswered, [createFault('restart host', [host], 900, 5000)], true],
+		['a call that came before its host was stopped', unanswered, [createFault('restart host', [host], 1100, 5000)], false],
+		['a key that ran twice when its host was paused', ranTwice, [createFault('pause host', [host])], true],
+		['a key that ran twice when one other host was killed', ranTwice, [createFault('kill host', ['c-1'])], false],
+		['a key that ran twice when two other hosts were away', ranTwice, [createFault('kill host', ['c-1']), createFault('kill entry', ['b-2'], 0, 900)], true],
+		['a key that ran twice when its zone was cut from another', ranTwice, [createFault('cut zones one way', ['b', 'a'])], true],
+		['a key that ran twice when other zones were cut apart', ranTwice, [createFault('cut zones apart', ['b', 'c'])], false],
+		['a key that ran twice when its zone was cut from the platform', ranTwice, [createFault('cut zone from platform', ['a'])], false],
+		['an older edit in a new life while the platform served one', newLife, [createFault('old platform', ['platform'])], true],
+		['an older edit in the same life while the platform served one', {reversions: [reversion]}, [createFault('old platform', ['platform'])], false],
+		['an older edit in a new life with all in reach', newLife, [createFault('old platform', ['platform'], 0, 1400)], false],
+		['an older edit in a new life while the platform was down', newLife, [createFault('platform down', ['platform'])], false],
+		['an older edit in a new life in a zone without the platform', newLife, [createFault('cut zone from platform', ['a'])], true],
+		['an older edit in a new life while other zones were cut apart', newLife, [createFault('cut zones apart', ['b', 'c'])], false],
 	];
-	for (const [name, changes, struck, isExcused] of [...excuses, ...claimExcuses]) {
+	for (const [name, changes, injectedFaults, isExcused] of [...excuses, ...claimExcuses]) {
 		it(`${isExcused ? 'excuses' : 'does not excuse'} ${name}`, () => {
-			const {violated, excused} = judge({...changes, injectedFaults: struck});
+			const {violated, excused} = judge({...changes, injectedFaults});
 			assert.deepEqual([violated.length, excused], isExcused ? [0, 1] : [1, 0]);
 		});
 	}
--- a/test/storm/_lib/judge-storm.ts
+++ b/test/storm/_lib/judge-storm.ts
@@ -134,14 +134,14 @@
 	})));
 }
 
-function judgeBrokenAnswers({sent, injectedFaults: struck}: Evidence): Verdict {
+function judgeBrokenAnswers({sent, injectedFaults}: Evidence): Verdict {
 	const stayed = sent.filter(({hasLeft}) => !hasLeft);
 	return toVerdict('no answer broke without a word, but for lost hosts', stayed.map(call => {
-		const own = struck.filter(({targets}) => targets[0] === call.host);
+		const own = injectedFaults.filter(({targets}) => targets[0] === call.host);
 		const isHostLost = own.some(fault => killKinds.has(fault.kind) && isOverlapping(fault, call));
 		// A balancer sends nothing to a host that is stopping; what comes all the same finds a closed door.
-		const isDoorClosed = call.answer.status === 0 && own.some(fault => fault.kind === 'restart host' && fault.from <= call.from && call.from <= fault.to);
-		return {isWrong: call.answer.isBroken && !call.isHung, isExcused: isHostLost || isDoorClosed, what: describeCall(call)};
+		const isPortClosed = call.answer.status === 0 && own.some(fault => fault.kind === 'restart host' && fault.from <= call.from && call.from <= fault.to);
+		return {isWrong: call.answer.isBroken && !call.isHung, isExcused: isHostLost || isPortClosed, what: describeCall(call)};
 	}));
 }
 
@@ -178,8 +178,8 @@
 }
 
 /** Work that may run once only is claimed at all hosts of a small fleet, and refused while one of them is away. */
-function isClaimRefused(call: Sent, {injectedFaults: struck, zones, clockBoundMs}: Evidence): boolean {
-	const away = struck.map(fault => toUnavailableSpan(fault, clockBoundMs)).filter(span => span !== undefined);
+function isClaimRefused(call: Sent, {injectedFaults, zones, clockBoundMs}: Evidence): boolean {
+	const away = injectedFaults.map(fault => toUnavailableSpan(fault, clockBoundMs)).filter(span => span !== undefined);
 	return zones.size <= maxHostsAllClaiming && claimRefusals.has(call.answer.problem ?? '') && away.some(span => isOverlapping(span, call));
 }
 
@@ -195,15 +195,15 @@
 }
 
 /** A host that has forgotten all learns only from what it can reach. */
-function judgeReversions({reversions, injectedFaults: struck, observationCount: looks, zones}: Evidence): Verdict {
-	const hasLimitedView = ({host, at}: Reversion): boolean => struck.some(fault => isOverlapping(fault, {from: at, to: at})
+function judgeReversions({reversions, injectedFaults, observationCount, zones}: Evidence): Verdict {
+	const hasLimitedView = ({host, at}: Reversion): boolean => injectedFaults.some(fault => isOverlapping(fault, {from: at, to: at})
 		&& (oldPlatformKinds.has(fault.kind) || isZoneCut(zones.get(host), fault) || (fault.kind === 'cut zone from platform' && fault.targets[0] === zones.get(host))));
 	const verdict = toVerdict('no host showed an older configuration after a newer one', reversions.map(reversion => ({
 		isWrong: true,
 		isExcused: !reversion.isSameLife && hasLimitedView(reversion),
 		what: JSON.stringify(reversion),
 	})));
-	return {...verdict, checked: looks};
+	return {...verdict, checked: observationCount};
 }
 
 /**
--- a/test/storm/_lib/plan-faults.ts
+++ b/test/storm/_lib/plan-faults.ts
@@ -111,22 +111,22 @@
  * after the other, and the faults that verdicts are for strike at set times; the last edit is a good one, so that it is known which must
  * be in force in the end.
  *
- * @param place - What can be struck.
+ * @param targets - What can be struck.
  * @param span - How long and how densely.
  * @param random - Seeded.
  * @returns Faults in order of time.
  */
-export function planFaults(place: FaultTargets, {durationMs, meanIntervalMs: everyMs}: PlanOptions, random: Random): readonly PlannedFault[] {
+export function planFaults(targets: FaultTargets, {durationMs, meanIntervalMs: everyMs}: PlanOptions, random: Random): readonly PlannedFault[] {
 	const faults: PlannedFault[] = [];
 	for (let atMs = random.between(0, everyMs); atMs < durationMs; atMs += random.between(1, 2 * everyMs)) {
-		faults.push(drawFault(drawKind(random), atMs, place, random));
+		faults.push(drawFault(drawKind(random), atMs, targets, random));
 	}
 
-	const rollingRestarts = place.hosts.map((host, i): PlannedFault => ({
-		kind: 'restart host', atMs: Math.round(durationMs * (rollingRestartStartShare + ((1 - rollingRestartStartShare) * i / place.hosts.length))), forMs: 0, targets: [host], variant: 0,
+	const rollingRestarts = targets.hosts.map((host, i): PlannedFault => ({
+		kind: 'restart host', atMs: Math.round(durationMs * (rollingRestartStartShare + ((1 - rollingRestartStartShare) * i / targets.hosts.length))), forMs: 0, targets: [host], variant: 0,
 	}));
 	const scheduled = scheduledFaults.map(({kind, at, lasts}): PlannedFault => ({
-		kind, atMs: Math.round(durationMs * at), forMs: Math.round(durationMs * lasts), targets: draws[kind].toTargets(place, random), variant: 0,
+		kind, atMs: Math.round(durationMs * at), forMs: Math.round(durationMs * lasts), targets: draws[kind].toTargets(targets, random), variant: 0,
 	}));
 	const lastEdit: PlannedFault = {
 		kind: 'publish good', atMs: durationMs, forMs: 0, targets: [], variant: 0,
--- a/test/storm/_lib/run-callers.ts
+++ b/test/storm/_lib/run-callers.ts
@@ -62,7 +62,7 @@
  * @param options - How many, and from which seed.
  * @returns Every call that was made.
  */
-export async function runCallers(fleet: Fleet, {seed, callers, durationMs, listExtraHosts: others, isLeaving}: CallersOptions): Promise<readonly Sent[]> {
+export async function runCallers(fleet: Fleet, {seed, callers, durationMs, listExtraHosts, isLeaving}: CallersOptions): Promise<readonly Sent[]> {
 	const until = performance.now() + durationMs;
 	const sent: Sent[] = [];
 
@@ -88,7 +88,7 @@
 	};
 
 	const pickHost = (random: Random, other?: FleetHost): FleetHost => {
-		const hosts = [...fleet.hosts, ...others()].filter(host => host !== other && (!isLeaving(host.id) || random.isHit(leavingHostShare)));
+		const hosts = [...fleet.hosts, ...listExtraHosts()].filter(host => host !== other && (!isLeaving(host.id) || random.isHit(leavingHostShare)));
 		return hosts.length > 0 ? random.pick(hosts) : random.pick(fleet.hosts);
 	};
 
--- a/test/storm/_lib/to-report.ts
+++ b/test/storm/_lib/to-report.ts
@@ -99,11 +99,11 @@
 }
 
 /** Reports on the calls of all kinds. */
-export function toCallsReport(sent: readonly Sent[], struck: readonly InjectedFault[], runs: ReadonlyMap<string, Runs>): Pick<StormReport, 'kinds' | 'faults' | 'refusals' | 'breaks'> {
+export function toCallsReport(sent: readonly Sent[], injectedFaults: readonly InjectedFault[], runs: ReadonlyMap<string, Runs>): Pick<StormReport, 'kinds' | 'faults' | 'refusals' | 'breaks'> {
 	const refused = sent.filter(({answer}) => answer.outcome !== undefined);
 	return {
 		kinds: callKinds.map(kind => toKindReport(kind, sent, runs)),
-		faults: countBy(struck, ({kind}) => kind),
+		faults: countBy(injectedFaults, ({kind}) => kind),
 		refusals: countBy(refused, ({work, answer}) => `${work.kind}: ${answer.problem ?? 'no name'} (${answer.outcome})`),
 		breaks: countBy(sent.filter(({answer, hasLeft}) => answer.isBroken && !hasLeft), ({answer}) => answer.errorCode ?? 'ended early'),
 	};
--- a/test/storm/index.ts
+++ b/test/storm/index.ts
@@ -73,16 +73,16 @@
 	return fleet;
 }
 
-async function injectAll(plan: readonly PlannedFault[], striker: FaultInjector): Promise<void> {
+async function injectAll(plan: readonly PlannedFault[], faultInjector: FaultInjector): Promise<void> {
 	const start = performance.now();
-	const strikes: Array<Promise<void>> = [];
+	const injections: Array<Promise<void>> = [];
 	for (const fault of plan) {
 		await sleep(Math.max(0, start + fault.atMs - performance.now()));
-		strikes.push(striker.inject(fault));
+		injections.push(faultInjector.inject(fault));
 	}
 
-	striker.end();
-	await Promise.all(strikes);
+	faultInjector.end();
+	await Promise.all(injections);
 }
 
 /** Programs that do not show the newest good document. */
@@ -109,8 +109,8 @@
 
 /** Bad edits after the last good one must change nothing; each host has had time to read them when it shows that it refused one. */
 async function tryBadEdits(fleet: Fleet, documents: Documents): Promise<void> {
-	for (let form = 0; form < documents.badFormCount; form++) {
-		documents.publishBad(form);
+	for (let variant = 0; variant < documents.badVariantCount; variant++) {
+		documents.publishBad(variant);
 		await sleep(300);
 	}
 
@@ -147,23 +147,23 @@
 	return sum;
 }
 
-async function runStormOn(fleet: Fleet, random: Random, {seed, durationMs, callers = 16, faultEveryMs = 800, onProgress: tell = () => undefined}: StormOptions): Promise<StormReport> {
+async function runStormOn(fleet: Fleet, random: Random, {seed, durationMs, callers = 16, faultEveryMs = 800, onProgress = () => undefined}: StormOptions): Promise<StormReport> {
 	const documents = createDocuments(fleet);
-	const striker = createFaultInjector(fleet, documents, entryFlags);
+	const faultInjector = createFaultInjector(fleet, documents, entryFlags);
 	const engines = [...fleet.engines.keys()];
 	const plan = planFaults({
 		hosts: fleet.hosts.map(({id}) => id), zones, engines, decodes: engines.filter(id => id.includes('-decode-')), desks: fleet.plains.map(({id}) => id),
 	}, {durationMs, meanIntervalMs: faultEveryMs}, random);
-	tell(`${plan.length} faults are planned for ${fleet.hosts.length} hosts`);
+	onProgress(`${plan.length} faults are planned for ${fleet.hosts.length} hosts`);
 	const watch = watchVersions(fleet, documents);
-	const isLeaving = (host: string): boolean => striker.injected().some(({kind, targets, to}) => kind === 'restart host' && targets[0] === host && to === Infinity);
+	const isLeaving = (host: string): boolean => faultInjector.injected().some(({kind, targets, to}) => kind === 'restart host' && targets[0] === host && to === Infinity);
 	const [sent] = await Promise.all([
 		runCallers(fleet, {
-			seed, callers, durationMs, listExtraHosts: striker.twins, isLeaving,
+			seed, callers, durationMs, listExtraHosts: faultInjector.twins, isLeaving,
 		}),
-		injectAll(plan, striker),
+		injectAll(plan, faultInjector),
 	]);
-	tell('the storm is over');
+	onProgress('the storm is over');
 	fleet.network.heal();
 	await waitUntil(async () => {
 		try {
@@ -181,7 +181,7 @@
 	const runs = countAllRuns(fleet, sent);
 	const verdicts = judgeStorm({
 		sent,
-		injectedFaults: striker.injected(),
+		injectedFaults: faultInjector.injected(),
 		runs,
 		holds: released.left,
 		reversions: watch.reversions(),
@@ -196,7 +196,7 @@
 		seed,
 		durationMs,
 		hosts: fleet.hosts.length,
-		...toCallsReport(sent, striker.injected(), runs),
+		...toCallsReport(sent, faultInjector.injected(), runs),
 		edits: documents.counts(),
 		wastedPrefills: sumWaste(fleet),
 		heldBytes: fleet.holds().reduce((sum, {bytes}) => sum + bytes, 0),
