--- a/test/storm/_lib/count-runs.ts
+++ b/test/storm/_lib/count-runs.ts
@@ -1,14 +1,14 @@
-/** What the stand-ins counted for each piece of work; the code under test has no part in it. */
+/** Reads what the stand-ins counted for each piece of work. The counts don't depend on the code under test. */
 import {type Fleet} from '../../_lib/start-fleet/index.js';
 import {type Work} from './types.js';
 
 export type Runs = {
-	/** Prefills, streams and desk calls that were started. */
+	/** Prefills, streams and desk calls started. */
 	begun: number;
 	prefills: number;
-	/** Times that an answer was begun: streams, or changes made at the desk. */
+	/** Answers begun: streams, or changes made at the desk service. */
 	runs: number;
-	/** Requests of ours that began an answer, by their ids. */
+	/** Ids of the router's requests that began an answer. */
 	requestIds: readonly string[];
 };
 
@@ -17,10 +17,10 @@
 };
 
 /**
- * Counts all work.
+ * Counts the runs of all model work.
  *
- * @param fleet - Its engines and desks are asked.
- * @returns Counts by the work's id.
+ * @param fleet - Fleet whose engines are read.
+ * @returns Counts by id of the work.
  */
 export function countModelRuns(fleet: Fleet): ReadonlyMap<string, Runs> {
 	const counted = new Map<string, Runs>();
@@ -50,7 +50,7 @@
 	return counted;
 }
 
-/** Counts one piece of work. */
+/** Counts the runs of one piece of work. */
 export function countRuns(fleet: Fleet, work: Work): Runs {
 	if (work.kind === 'desk change') {
 		const runs = fleet.plains.reduce((sum, plain) => sum + plain.countWork(work.key!), 0);
--- a/test/storm/_lib/create-cuts.ts
+++ b/test/storm/_lib/create-cuts.ts
@@ -1,8 +1,8 @@
-/** Cuts that overlap: the network heals all at once, so those that still last are made again. */
+/** Manages cuts that overlap. The network can only heal all cuts at once, so those still active are made again. */
 import {type Network} from '../../_lib/start-fleet/_lib/network.js';
 
 export type Cuts = {
-	/** Makes a cut; what it returns ends it. */
+	/** Makes a cut and returns a function that ends it. */
 	add: (cut: (network: Network) => void) => () => void;
 };
 
--- a/test/storm/_lib/create-documents.ts
+++ b/test/storm/_lib/create-documents.ts
@@ -1,4 +1,4 @@
-/** The edits of a storm: good ones, in the order of their publication, and bad ones of several kinds. */
+/** The configuration edits of a storm: valid ones in order of publication, and several variants that hosts must refuse. */
 import {createHash} from 'node:crypto';
 import {type Fleet} from '../../_lib/start-fleet/index.js';
 
@@ -10,7 +10,7 @@
 	return createHash('sha256').update(text, 'utf8').digest('hex');
 }
 
-/** Each returns a text that no host may take. */
+/** Each returns a text that every host must refuse. */
 const badVariants: ReadonlyArray<(good: string, fleet: Fleet) => string> = [
 	good => good.slice(0, Math.floor(good.length * 0.6)),
 	good => good.slice(0, good.lastIndexOf('"end"')),
@@ -20,27 +20,27 @@
 	() => '',
 ];
 
-/** Creates the edits of a fleet; its first document counts as published. */
+/** Creates the edits of a fleet. The document with which the fleet started has position 0. */
 export function createDocuments(fleet: Fleet) {
 	const good = [fleet.configText];
 	const order = new Map([[toDigest(fleet.configText), 0]]);
 	let badCount = 0;
 
 	return {
-		/** Publishes an edit that is whole and valid. */
+		/** Publishes a complete and valid edit. */
 		publishGood(): void {
 			const text = fleet.toConfigText({weightStoreBytesPerSecond: `${firstRateMegabytes + good.length}MB`});
 			order.set(toDigest(text), good.length);
 			good.push(text);
 			fleet.platform.publish('config', text);
 		},
-		/** Publishes one that must be refused. */
+		/** Publishes an edit that hosts must refuse. */
 		publishBad(variant: number): void {
 			badCount += 1;
 			fleet.platform.publish('config', badVariants[variant % badVariants.length]!(good.at(-1)!, fleet));
 		},
 		badVariantCount: badVariants.length,
-		/** Position of a good edit by its digest; `undefined` for any other text. */
+		/** Position of the good edit with this digest; `undefined` when there is none. */
 		toPosition: (digest: string): number | undefined => order.get(digest),
 		newest: () => ({position: good.length - 1, digest: toDigest(good.at(-1)!)}),
 		counts: () => ({good: good.length, bad: badCount}),
--- a/test/storm/_lib/create-random.ts
+++ b/test/storm/_lib/create-random.ts
@@ -1,11 +1,11 @@
-/** A small seeded generator (mulberry32), so that a printed seed gives the same storm again. */
+/** A small seeded generator (mulberry32), so that a printed seed reproduces a storm. */
 
 const twoTo32 = 0x1_00_00_00_00;
 
 export type Random = {
-	/** A number of at least 0 and below 1. */
+	/** Returns a number of at least 0 and below 1. */
 	next: () => number;
-	/** A whole number from `from` to `to`, both included. */
+	/** Returns a whole number from `from` to `to`, both included. */
 	between: (from: number, to: number) => number;
 	isHit: (share: number) => boolean;
 	pick: <T>(items: readonly T[]) => T;
@@ -27,7 +27,7 @@
  * Creates a generator.
  *
  * @param seed - A whole number.
- * @returns Draws, in the same order for the same seed.
+ * @returns A generator that yields the same sequence for the same seed.
  */
 export function createRandom(seed: number): Random {
 	const next = createMulberry(seed);
--- a/test/storm/_lib/inject-faults.ts
+++ b/test/storm/_lib/inject-faults.ts
@@ -1,4 +1,4 @@
-/** Brings planned faults about, and notes when each began and ended. */
+/** Injects planned faults and records when each began and ended. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {type Fleet, type FleetHost} from '../../_lib/start-fleet/index.js';
 import {createHost, type Flags} from '../../_lib/start-fleet/_lib/create-host.js';
@@ -17,10 +17,10 @@
 const refusedSteps = ['reservations', 'prefills', 'imports', 'streams'] as const;
 const dropKinds = ['before', 'after', 'midway'] as const;
 
-/** Strikes, and returns what ends the fault. */
+/** Injects a fault and returns a function that ends it. */
 type Inject = (fault: PlannedFault) => Promise<() => Promise<unknown> | void> | (() => Promise<unknown> | void);
 
-/** Fields of a stand-in's switches, set for a while. */
+/** Sets fault switches of a stand-in and returns a function that removes them. */
 function setFields<T extends object>(faults: T, fields: Partial<T>): () => void {
 	Object.assign(faults, fields);
 	return () => {
@@ -70,7 +70,7 @@
 	};
 }
 
-/** A second host under the name of one that runs on, as after a replacement that was thought dead. It takes calls too. */
+/** Starts a second host under the name of a running one, as when a host is replaced because it was wrongly thought dead. Callers send requests to both. */
 function createTwinFault(fleet: Fleet, entryFlags: Flags): {twins: ReadonlySet<FleetHost>; inject: Inject} {
 	const twins = new Set<FleetHost>();
 	return {
@@ -165,16 +165,16 @@
 }
 
 export type FaultInjector = {
-	/** Strikes and, after the fault's time, ends it. Faults of one target wait for one another. */
+	/** Injects a fault and ends it after its duration. Faults of the same target run one after another. */
 	inject: (fault: PlannedFault) => Promise<void>;
-	/** Ends the faults that last, and strikes no more. */
+	/** Ends all active faults; no fault begins after this call. */
 	end: () => void;
 	injected: () => readonly InjectedFault[];
-	/** Hosts that run now beside those of the fleet, under the names of some of them. */
+	/** Running hosts that are not part of the fleet and use the name of one of its hosts. */
 	twins: () => readonly FleetHost[];
 };
 
-/** Creates the striker of a fleet; `entryFlags` are those of its hosts. */
+/** Creates the fault injector of a fleet; `entryFlags` are the flags of its entries. */
 export function createFaultInjector(fleet: Fleet, documents: Documents, entryFlags: Flags): FaultInjector {
 	const twin = createTwinFault(fleet, entryFlags);
 	const injectors = {...createHostFaults(fleet), ...createOtherFaults(fleet, documents), 'twin host': twin.inject};
--- a/test/storm/_lib/judge-storm.test.ts
+++ b/test/storm/_lib/judge-storm.test.ts
@@ -1,7 +1,7 @@
 /*
- * A judge that never says no proves nothing. Each verdict is shown a storm that
- * was kept and one with the fault it is for, and each excuse once where it is
- * true and once beside it.
+ * Guards against a judge that reports no violation whatever happens. Each verdict
+ * is given evidence without a violation and evidence with the violation that it
+ * exists for. Each excuse is given one case that it covers and one that it doesn't.
  */
 import assert from 'node:assert/strict';
 import {describe, it} from 'node:test';
@@ -29,7 +29,7 @@
 	id: `work of ${kind}`, kind, workspace: 'w', key: kind === 'question' || kind === 'desk lookup' ? undefined : `key of ${kind}`, maxTokens: 4, isStreamed: true,
 });
 
-/** A call from 1000 to 2000 ms. */
+/** Creates a call that lasts from 1000 to 2000 ms. */
 const toCall = (kind: CallKind, answer: Partial<Answer> = {}, rest: Partial<Sent> = {}): Sent => ({
 	work: toWork(kind), host, from: 1000, to: 2000, hasLeft: false, isHung: false, answer: {...whole, ...answer}, begunBefore: 0, begunAfter: undefined, begunAsRequest: undefined, ...rest,
 });
@@ -52,7 +52,7 @@
 
 const withCalls = (...calls: readonly Sent[]): Partial<Evidence> => ({sent: [...passing.sent.filter(({work}) => calls.every(call => call.work.id !== work.id)), ...calls]});
 
-/** Another piece of work of the same kind, so that the kind is served. */
+/** Creates another piece of work of the same kind, so that at least one of the kind was served. */
 const another = (kind: CallKind): Sent => ({...toCall(kind), work: {...toWork(kind), id: `another ${kind}`}});
 
 const withRuns = (kind: CallKind, counts: {begun?: number; prefills?: number; runs?: number; requestIds?: readonly string[]}): Partial<Evidence> => {
@@ -64,7 +64,7 @@
 	kind, targets, from, to,
 });
 
-/** Promises with violations, and the number of excused cases. */
+/** Returns the promises with violations and the number of excused cases. */
 function judge(changes: Partial<Evidence>): {violated: string[]; excused: number} {
 	const verdicts = judgeStorm({...passing, ...changes});
 	return {
@@ -92,7 +92,7 @@
 const ranTwice = withRuns('letter', {requestIds: ['r', 's']});
 
 describe('judgeStorm', () => {
-	it('finds nothing in a storm in which all was kept', () => {
+	it('finds no violation in evidence without one', () => {
 		assert.deepEqual(judge({}), {violated: [], excused: 0});
 	});
 
@@ -103,23 +103,23 @@
 		['a desk change that was made twice', withRuns('desk change', {runs: 2}), [nonRepeatable]],
 		['a keyed letter under two requests', ranTwice, [keyedRepeatable]],
 		['two whole texts for one key', withCalls(toCall('letter'), toCall('letter', {text: 'other'})), [texts]],
-		['a part that passes for whole', withCalls(toCall('question', {isExpected: false, text: 'ans'}), toCall('question')), [completeness]],
+		['a partial answer that claims to be complete', withCalls(toCall('question', {isExpected: false, text: 'ans'}), toCall('question')), [completeness]],
 		['tokens of another answer in a broken one', withCalls(toCall('letter', {
 			...broken, isBeginning: false, outcome: 'ran', isBroken: false,
 		}), toCall('letter')), [completeness]],
 		['tokens of another answer before the caller left', withCalls(toCall('letter', {...broken, isBeginning: false}, {hasLeft: true}), toCall('letter')), [completeness]],
-		['an answer that broke without a word', withCalls(toCall('letter', broken), toCall('letter')), [brokenAnswers]],
+		['an answer that broke off without an outcome', withCalls(toCall('letter', broken), toCall('letter')), [brokenAnswers]],
 		['an answer in one piece that broke when its key was sent again', withCalls(toCall('desk change', broken), toCall('desk change', {}, {host: otherHost})), [brokenAnswers]],
-		['a call that nothing ended', withCalls(toCall('letter', broken, {isHung: true}), toCall('letter')), [hanging]],
+		['a call that was left open', withCalls(toCall('letter', broken, {isHung: true}), toCall('letter')), [hanging]],
 		['"not run" of a question that was begun', withCalls(toCall('question', notRun, {begunAfter: 1, begunAsRequest: 1}), another('question')), [notRuns]],
 		['"not run" of a lookup that the desk got', withCalls(toCall('desk lookup', notRun, {begunAfter: 1}), another('desk lookup')), [notRuns]],
 		['"not run" of a scene that ran before', withCalls(toCall('scene', {}, {from: 0, to: 500}), toCall('scene', notRun, {begunBefore: 1, begunAfter: 1, begunAsRequest: 0})), [notRuns]],
 		['"not run" of a scene that ran for this call alone', withCalls(toCall('scene', notRun, {begunAfter: 1, begunAsRequest: 0}), toCall('scene', {}, {from: 3000, to: 4000})), [notRuns]],
 		['memory that is still held', {holds: ['a stream']}, [held]],
 		['a host without the newest edit', {outdated: ['agent of a-1']}, [newest]],
-		['a process that goes back', {reversions: [reversion]}, [older]],
+		['a process that returns to an older edit', {reversions: [reversion]}, [older]],
 		['a refused document in force', {unexpectedDocuments: ['agent of a-1']}, [refused]],
-		['a kind of which nothing was whole', {sent: passing.sent.filter(({work}) => work.kind !== 'scene')}, [served]],
+		['a kind of which no call was answered whole', {sent: passing.sent.filter(({work}) => work.kind !== 'scene')}, [served]],
 	];
 	for (const [name, changes, violated] of faults) {
 		it(`reports ${name}`, () => {
@@ -127,14 +127,14 @@
 		});
 	}
 
-	it('has a fault here for each of its verdicts', () => {
+	it('is tested with a violation of each of its verdicts', () => {
 		assert.deepEqual(
 			judgeStorm(passing).map(({promise}) => promise).sort(),
 			[...new Set(faults.flatMap(fault => fault[2]))].sort(),
 		);
 	});
 
-	it('counts what it looked at', () => {
+	it('counts the cases that it examined', () => {
 		assert.ok(judgeStorm({...passing, ...withCalls(toCall('scene', {}), toCall('question', notRun, {begunAfter: 0}))}).every(({checked}) => checked > 0));
 	});
 });
@@ -142,7 +142,7 @@
 const claimRefused: Partial<Answer> = {...notRun, outcome: 'may-have-run', problem: 'urn:banyanport:problem:claim-unavailable'};
 const threeHosts = {zones: new Map([[host, 'a'], [otherHost, 'b'], ['c-1', 'c']])};
 
-/** Scenes of three hosts, none of which was whole. */
+/** Evidence of a fleet of three hosts in which no scene was answered whole. */
 const toScenes = (...calls: readonly Sent[]): Partial<Evidence> => ({...withCalls(...calls), ...threeHosts});
 const refusedScene = toCall('scene', claimRefused);
 
@@ -176,7 +176,7 @@
 		['an answer while its engine crashed', brokenCall, [createFault('crash engine', ['a-decode-1'])], false],
 		['an answer while its streams broke', brokenCall, [createFault('break streams', ['a-decode-1'])], false],
 		['an answer that began at a host that was stopping', brokenCall, [createFault('restart host', [host], 900, 5000)], false],
-		['a call to the closed door of a host that was stopping', unanswered, [createFault('restart host', [host], 900, 5000)], true],
+		['a call to the closed port of a host that was stopping', unanswered, [createFault('restart host', [host], 900, 5000)], true],
 		['a call that came before its host was stopped', unanswered, [createFault('restart host', [host], 1100, 5000)], false],
 		['a key that ran twice when its host was paused', ranTwice, [createFault('pause host', [host])], true],
 		['a key that ran twice when one other host was killed', ranTwice, [createFault('kill host', ['c-1'])], false],
@@ -184,12 +184,12 @@
 		['a key that ran twice when its zone was cut from another', ranTwice, [createFault('cut zones one way', ['b', 'a'])], true],
 		['a key that ran twice when other zones were cut apart', ranTwice, [createFault('cut zones apart', ['b', 'c'])], false],
 		['a key that ran twice when its zone was cut from the platform', ranTwice, [createFault('cut zone from platform', ['a'])], false],
-		['an older edit in a new life while the platform served one', newLife, [createFault('old platform', ['platform'])], true],
-		['an older edit in the same life while the platform served one', {reversions: [reversion]}, [createFault('old platform', ['platform'])], false],
-		['an older edit in a new life with all in reach', newLife, [createFault('old platform', ['platform'], 0, 1400)], false],
-		['an older edit in a new life while the platform was down', newLife, [createFault('platform down', ['platform'])], false],
-		['an older edit in a new life in a zone without the platform', newLife, [createFault('cut zone from platform', ['a'])], true],
-		['an older edit in a new life while other zones were cut apart', newLife, [createFault('cut zones apart', ['b', 'c'])], false],
+		['an older edit in a new process while the platform served one', newLife, [createFault('old platform', ['platform'])], true],
+		['an older edit in the same process while the platform served one', {reversions: [reversion]}, [createFault('old platform', ['platform'])], false],
+		['an older edit in a new process with all in reach', newLife, [createFault('old platform', ['platform'], 0, 1400)], false],
+		['an older edit in a new process while the platform was down', newLife, [createFault('platform down', ['platform'])], false],
+		['an older edit in a new process in a zone without the platform', newLife, [createFault('cut zone from platform', ['a'])], true],
+		['an older edit in a new process while other zones were cut apart', newLife, [createFault('cut zones apart', ['b', 'c'])], false],
 	];
 	for (const [name, changes, injectedFaults, isExcused] of [...excuses, ...claimExcuses]) {
 		it(`${isExcused ? 'excuses' : 'does not excuse'} ${name}`, () => {
--- a/test/storm/_lib/judge-storm.ts
+++ b/test/storm/_lib/judge-storm.ts
@@ -1,4 +1,4 @@
-/** Holds what callers were told against what the stand-ins counted. Only safety is judged; how much was served is reported. */
+/** Compares what callers were told with what the stand-ins counted. Only safety is judged; the report states how much was served. */
 import {type Runs} from './count-runs.js';
 import {
 	callKinds, type CallKind, type FaultKind, type Reversion, type Sent, type Span, type InjectedFault,
@@ -6,10 +6,10 @@
 
 export type Verdict = {
 	promise: string;
-	/** Cases that were looked at. */
+	/** Number of cases examined. */
 	checked: number;
 	violations: readonly string[];
-	/** Cases that would be violations but for a fault that allows them. */
+	/** Number of cases that a fault permits and that would be violations without it. */
 	excused: number;
 };
 
@@ -18,16 +18,16 @@
 	injectedFaults: readonly InjectedFault[];
 	/** Counts of each piece of work, by its id. */
 	runs: ReadonlyMap<string, Runs>;
-	/** What was still held on engines a while after the end. */
+	/** What engines still held when the deadline for release had passed. */
 	holds: readonly string[];
 	reversions: readonly Reversion[];
 	unexpectedDocuments: readonly string[];
 	observationCount: number;
 	/** Programs that did not show the newest good configuration in the end. */
 	outdated: readonly string[];
-	/** Programs that were asked for it. */
+	/** Number of programs asked for their configuration. */
 	asked: number;
-	/** Time for which a killed host vouches for no key. */
+	/** Time after its restart for which a killed host vouches for no key. */
 	clockBoundMs: number;
 	/** The zone of each host. */
 	zones: ReadonlyMap<string, string>;
@@ -43,7 +43,7 @@
 const nonRepeatableKinds: ReadonlySet<CallKind> = new Set(['scene', 'desk change']);
 const claimRefusals: ReadonlySet<string> = new Set(['claim-unavailable', 'no-configuration'].map(name => `urn:banyanport:problem:${name}`));
 
-/** Fleets of so many hosts at most need all of them for a claim. */
+/** In a fleet of at most this many hosts, a claim needs all of them. */
 const maxHostsAllClaiming = 3;
 const shownViolations = 20;
 
@@ -66,7 +66,7 @@
 	return [...groups.values()];
 }
 
-/** Whether a cut keeps a zone from some of the others. A zone that is cut off is missed by all. */
+/** Whether a fault separates a zone from at least one other zone. A zone cut off is out of reach for all others. */
 function isZoneCut(zone: string | undefined, {kind, targets}: InjectedFault): boolean {
 	return kind === 'cut zone off' || (pairCutKinds.has(kind) && targets.includes(zone!));
 }
@@ -97,8 +97,8 @@
 }
 
 /**
- * Repeatable work with a key is run again when its host is lost, and without
- * asking anybody while too few hosts can be asked.
+ * Repeatable work with a key is run again when its host is lost. While too few
+ * hosts are in reach, a host runs the work without asking the others.
  */
 function judgeKeyedRepeatable(evidence: Evidence, works: ReadonlyArray<readonly Sent[]>): Verdict {
 	const keyed = works.filter(([first]) => first!.work.kind === 'letter' && first!.work.key !== undefined);
@@ -126,7 +126,7 @@
 	}));
 }
 
-/** A part of an answer is judged too: it must be the beginning, without a token of anybody else's. */
+/** An incomplete answer is judged too: its text must be a prefix of the answer, without tokens of another request. */
 function judgeCompleteness(sent: readonly Sent[]): Verdict {
 	const begun = sent.filter(({answer}) => answer.isClaimedWhole || answer.text !== '');
 	return toVerdict('an answer that says it is whole is the whole answer to its request', begun.map(call => ({
@@ -139,13 +139,13 @@
 	return toVerdict('no answer broke without a word, but for lost hosts', stayed.map(call => {
 		const own = injectedFaults.filter(({targets}) => targets[0] === call.host);
 		const isHostLost = own.some(fault => killKinds.has(fault.kind) && isOverlapping(fault, call));
-		// A balancer sends nothing to a host that is stopping; what comes all the same finds a closed door.
+		// A load balancer sends no calls to a stopping host; a call that arrives there anyway finds the port closed.
 		const isPortClosed = call.answer.status === 0 && own.some(fault => fault.kind === 'restart host' && fault.from <= call.from && call.from <= fault.to);
 		return {isWrong: call.answer.isBroken && !call.isHung, isExcused: isHostLost || isPortClosed, what: describeCall(call)};
 	}));
 }
 
-/** Whether no other call could have begun the work between the word and the count. */
+/** Whether no other call could have started the work between the `not-run` answer and the count. */
 function isOnlyActiveCall(call: Sent, calls: readonly Sent[]): boolean {
 	return calls.every(other => other === call || (other.to < call.from && !other.answer.isBroken) || other.from > call.to);
 }
@@ -154,7 +154,7 @@
 	const cases = works.flatMap(calls => calls.filter(({answer}) => answer.outcome === 'not-run').map((call): Case => {
 		const isRepeatable = !nonRepeatableKinds.has(call.work.kind);
 		const isOwnRun = (call.begunAsRequest ?? 0) > 0;
-		// The word on work that may run once only is about its key; on other work, about this call.
+		// For work that may run only once, `not-run` refers to its key; for other work, to this call.
 		const isKeyRun = !isRepeatable && (call.begunBefore > 0 || (isOnlyActiveCall(call, calls) && (call.begunAfter ?? 0) > 0));
 		const isOnlyRun = calls.length === 1 && (call.begunAfter ?? 0) > 0;
 		return {isWrong: isOwnRun || isKeyRun || isOnlyRun, what: describeCall(call)};
@@ -167,7 +167,7 @@
 	return `${host} ${Math.round(from - begunAt)} to ${Math.round(to - begunAt)} ms: ${end}`;
 }
 
-/** Time in which a fault keeps a host from vouching for keys; one that has forgotten all vouches for none at first. */
+/** Time span in which a fault keeps a host from vouching for keys. A host that has lost its state vouches for none until the clock bound has passed. */
 function toUnavailableSpan({kind, from, to}: InjectedFault, clockBoundMs: number): Span | undefined {
 	if (stateLossKinds.has(kind)) {
 		return {from, to: to + clockBoundMs};
@@ -177,7 +177,7 @@
 	return isOutOfReach ? {from, to} : undefined;
 }
 
-/** Work that may run once only is claimed at all hosts of a small fleet, and refused while one of them is away. */
+/** In a small fleet, work that may run only once is claimed at all hosts, and refused while one of them is unavailable. */
 function isClaimRefused(call: Sent, {injectedFaults, zones, clockBoundMs}: Evidence): boolean {
 	const away = injectedFaults.map(fault => toUnavailableSpan(fault, clockBoundMs)).filter(span => span !== undefined);
 	return zones.size <= maxHostsAllClaiming && claimRefusals.has(call.answer.problem ?? '') && away.some(span => isOverlapping(span, call));
@@ -194,7 +194,7 @@
 	};
 }
 
-/** A host that has forgotten all learns only from what it can reach. */
+/** A restarted host has lost its state and learns only from the peers and the platform that it can reach. */
 function judgeReversions({reversions, injectedFaults, observationCount, zones}: Evidence): Verdict {
 	const hasLimitedView = ({host, at}: Reversion): boolean => injectedFaults.some(fault => isOverlapping(fault, {from: at, to: at})
 		&& (oldPlatformKinds.has(fault.kind) || isZoneCut(zones.get(host), fault) || (fault.kind === 'cut zone from platform' && fault.targets[0] === zones.get(host))));
@@ -207,9 +207,9 @@
 }
 
 /**
- * Judges a storm that has ended and healed.
+ * Judges a storm that has ended and whose faults have been removed.
  *
- * @param evidence - What callers were told, what struck, and what the stand-ins counted.
+ * @param evidence - What callers were told, which faults were injected, and what the stand-ins counted.
  * @returns One verdict for each promise.
  */
 export function judgeStorm(evidence: Evidence): readonly Verdict[] {
--- a/test/storm/_lib/plan-faults.test.ts
+++ b/test/storm/_lib/plan-faults.test.ts
@@ -10,26 +10,26 @@
 	hosts: ['a-1', 'b-1', 'c-1'], zones: ['a', 'b', 'c'], engines: ['a-prefill-1', 'a-decode-1'], decodes: ['a-decode-1'], desks: ['a-desk-1'],
 };
 
-/** Tries a property on the plans of any seeds. */
+/** Checks a property on the plans of arbitrary seeds. */
 function assertAlways(isRight: (plan: readonly PlannedFault[], seed: number) => boolean): void {
 	fc.assert(fc.property(fc.nat(), seed => isRight(planFaults(place, {durationMs, meanIntervalMs: 800}, createRandom(seed)), seed)));
 }
 
 describe('planFaults', () => {
 	for (const kind of ['cross streams', 'old platform', 'crash engine', 'twin host', 'cut zones one way', 'restart host'] satisfies FaultKind[]) {
-		it(`has "${kind}" in every storm, early enough to last`, () => {
+		it(`includes "${kind}" in every storm, before its last fifth`, () => {
 			assertAlways(plan => plan.some(fault => fault.kind === kind && fault.atMs < 0.8 * durationMs));
 		});
 	}
 
-	it('lets the platform go back after an edit', () => {
+	it('serves an old document from the platform after a good edit', () => {
 		assertAlways(plan => {
 			const kinds = plan.map(({kind}) => kind);
 			return kinds.indexOf('publish good') < kinds.lastIndexOf('old platform');
 		});
 	});
 
-	it('ends with a good edit, in order of time', () => {
+	it('orders faults by time and ends with a good edit', () => {
 		assertAlways(plan => plan.at(-1)!.kind === 'publish good' && plan.every(({atMs}, i) => i === 0 || plan[i - 1]!.atMs <= atMs));
 	});
 
--- a/test/storm/_lib/plan-faults.ts
+++ b/test/storm/_lib/plan-faults.ts
@@ -1,12 +1,13 @@
-/** Draws all faults of a storm before it begins. */
+/** Draws the schedule of faults before a storm begins. */
 import {type Random} from './create-random.js';
 import {type FaultKind, type PlannedFault} from './types.js';
 
 export type FaultTargets = {
 	hosts: readonly string[];
 	zones: readonly string[];
-	/** Model engines, and those of them that stream answers. */
+	/** All model engines. */
 	engines: readonly string[];
+	/** Model engines with the decode role. */
 	decodes: readonly string[];
 	desks: readonly string[];
 };
@@ -26,7 +27,7 @@
 const pickHost: Draw['toTargets'] = ({hosts}, random) => [random.pick(hosts)];
 const pickZone: Draw['toTargets'] = ({zones}, random) => [random.pick(zones)];
 const pickEngine: Draw['toTargets'] = ({engines}, random) => [random.pick(engines)];
-/** Its faults wait for one another, so that one does not hide another. */
+/** Faults of the platform share one target, so they run one after another and none hides another. */
 const toPlatform: Draw['toTargets'] = () => ['platform'];
 const toNoTargets: Draw['toTargets'] = () => [];
 
@@ -35,7 +36,7 @@
 	return [first, random.pick(zones.filter(zone => zone !== first))];
 }
 
-/** Pauses and cuts last from far below to beyond the time after which a host is declared dead. */
+/** Pauses and cuts last from far less to more than the time after which a host is declared dead. */
 const draws: Readonly<Record<FaultKind, Draw>> = {
 	'kill entry': {weight: 4, forMs: [200, 4000], toTargets: pickHost},
 	'kill agent': {weight: 3, forMs: [200, 4000], toTargets: pickHost},
@@ -63,14 +64,15 @@
 };
 
 const variantCount = 1000;
-/** Where in the storm its rolling restart of all hosts begins. */
+/** Share of the storm's duration after which the rolling restart of all hosts begins. */
 const rollingRestartStartShare = 0.4;
 
 /**
- * What every storm has, whatever is drawn, by its place in the storm and its
- * length as shares of the storm's. A verdict proves nothing in a storm without
- * the fault it is for: an old document after a newer one, and tokens of one
- * answer on the connection of another. The rest are too rare by chance.
+ * Faults that every storm contains in addition to those drawn at random. `at`
+ * and `lasts` are shares of the storm's duration. A verdict proves nothing in a
+ * storm without the fault that it guards against: an old document after a newer
+ * one, and tokens of one answer on the connection of another. The other faults
+ * are listed because random draws yield them too rarely.
  */
 const scheduledFaults: ReadonlyArray<{kind: FaultKind; at: number; lasts: number}> = [
 	{kind: 'cross streams', at: 0.05, lasts: 0.2},
@@ -107,13 +109,13 @@
 }
 
 /**
- * Draws the schedule of a storm. One planned restart goes over all hosts, one
- * after the other, and the faults that verdicts are for strike at set times; the last edit is a good one, so that it is known which must
- * be in force in the end.
+ * Draws the schedule of a storm. The schedule also contains a rolling restart of
+ * all hosts and the faults of {@link scheduledFaults} at fixed times. The last
+ * edit is a good one, so that the configuration expected at the end is known.
  *
- * @param targets - What can be struck.
- * @param span - How long and how densely.
- * @param random - Seeded.
+ * @param targets - Hosts, zones and servers that faults can affect.
+ * @param options - Duration of the storm and mean time between two faults.
+ * @param random - Seeded generator.
  * @returns Faults in order of time.
  */
 export function planFaults(targets: FaultTargets, {durationMs, meanIntervalMs: everyMs}: PlanOptions, random: Random): readonly PlannedFault[] {
--- a/test/storm/_lib/run-callers.ts
+++ b/test/storm/_lib/run-callers.ts
@@ -1,4 +1,4 @@
-/** The load of a storm: callers that ask, leave, and send the same key again. */
+/** The load of a storm: callers that send work, disconnect early, and send the same key again. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {v7 as createKey} from 'uuid';
 import {type Fleet, type FleetHost} from '../../_lib/start-fleet/index.js';
@@ -13,9 +13,9 @@
 	seed: number;
 	callers: number;
 	durationMs: number;
-	/** Hosts besides those of the fleet that take calls now. */
+	/** Lists hosts outside the fleet that accept calls at the moment. */
 	listExtraHosts: () => readonly FleetHost[];
-	/** Hosts to which a balancer sends nothing new. */
+	/** Whether a load balancer would send no new calls to the host because it is stopping. */
 	isLeaving: (host: string) => boolean;
 };
 
@@ -31,7 +31,7 @@
 const resendAfterRefusalShare = 0.5;
 const resendAfterBreakShare = 0.7;
 const resendAfterMs = [0, 500] as const;
-/** A balancer learns late: some calls still go to a host that is stopping. */
+/** Share of calls that still go to a stopping host, because a load balancer learns of the stop late. */
 const leavingHostShare = 0.1;
 const tokens = [4, 120] as const;
 
@@ -56,10 +56,10 @@
 }
 
 /**
- * Runs the callers for the time of the storm, and until their last answers.
+ * Runs the callers for the duration of the storm and waits for their last answers.
  *
- * @param fleet - All its hosts are asked.
- * @param options - How many, and from which seed.
+ * @param fleet - Fleet whose hosts receive the calls.
+ * @param options - Number of callers, seed and duration.
  * @returns Every call that was made.
  */
 export async function runCallers(fleet: Fleet, {seed, callers, durationMs, listExtraHosts, isLeaving}: CallersOptions): Promise<readonly Sent[]> {
--- a/test/storm/_lib/send-work.ts
+++ b/test/storm/_lib/send-work.ts
@@ -1,4 +1,4 @@
-/** Sends one piece of work to a host, and goes away if it is told to. */
+/** Sends one piece of work to a host and optionally disconnects before the answer is complete. */
 import {Agent, request} from 'undici';
 import {type FleetHost} from '../../_lib/start-fleet/index.js';
 import {expectedAnswer} from '../../stand-ins/engine/index.js';
@@ -6,7 +6,7 @@
 import {type Answer, type Work} from './types.js';
 
 export type SendOptions = {
-	/** Time after which the caller leaves; absent when it stays. */
+	/** Time after which the caller disconnects; absent when it stays. */
 	leaveAfterMs?: number;
 };
 
@@ -16,15 +16,15 @@
 	isHung: boolean;
 };
 
-/** Beyond the longest target of any kind of work. */
+/** Time after which an open call counts as hung: longer than the longest target of any kind of work. */
 const hungAfterMs = 120_000;
 
-/** Beginning of a prompt by which the engines' judges know the work. */
+/** Returns the prompt of a piece of work. The judges of the engines find the work by the beginning of its prompt. */
 export function toPrompt({id, kind}: Work): string {
 	return `${id} is a ${kind} of the storm`;
 }
 
-/** The text that is the whole answer to a piece of work. */
+/** Returns the text of the complete answer to a piece of work. */
 export function toExpected(work: Work): string {
 	if (work.kind === 'desk lookup') {
 		return '';
@@ -86,7 +86,7 @@
 		const text = await res.body.text();
 		const {outcome, type: problem} = status === 200 ? {} : toProblem(text);
 		const isClaimedWhole = status === 200;
-		// The answer to a lookup has no text; the desk names the path that was asked for.
+		// The answer to a lookup has no text; the desk service echoes the requested path in a header.
 		const isOwn = isChange || res.headers['x-echo-path'] === path;
 		return {
 			status,
@@ -121,7 +121,7 @@
 /**
  * Sends work on a connection of its own.
  *
- * @returns What came back; never rejects. A call that nothing ends is ended after two minutes and marked as hung.
+ * @returns The answer; never rejects. A call that is still open after two minutes is aborted and marked as hung.
  */
 export async function sendWork(host: FleetHost, work: Work, {leaveAfterMs}: SendOptions): Promise<SentAnswer> {
 	const control = new AbortController();
--- a/test/storm/_lib/to-report.ts
+++ b/test/storm/_lib/to-report.ts
@@ -1,4 +1,4 @@
-/** The report of a storm, for people and as JSON. */
+/** The report of a storm, as text and as JSON. */
 import {type Runs} from './count-runs.js';
 import {type Verdict} from './judge-storm.js';
 import {
@@ -9,22 +9,23 @@
 	kind: CallKind;
 	works: number;
 	calls: number;
-	/** Calls that were answered whole, and those of them that were within the target of the kind. */
+	/** Calls that were answered whole. */
 	whole: number;
+	/** Calls that were answered whole within the target of their kind. */
 	inTarget: number;
-	/** Share of the calls whose callers stayed. */
+	/** `inTarget` as a share of the calls whose callers stayed. */
 	goodput: number;
 	medianMs: number;
 	p95Ms: number;
 	left: number;
 	refused: number;
 	broken: number;
-	/** Work whose caller stayed and got neither an answer nor a word. */
+	/** Work whose caller stayed and received neither an answer nor an outcome. */
 	lost: number;
-	/** Answers that said that they were whole and were only the beginning of it. */
+	/** Answers that claimed to be complete and were not. */
 	truncated: number;
 	runs: number;
-	/** Work that was run by more than one request. */
+	/** Work that more than one request ran. */
 	duplicates: number;
 };
 
@@ -36,25 +37,26 @@
 	faults: Partial<Record<FaultKind, number>>;
 	/** Refusals by kind of call, problem and outcome. */
 	refusals: Readonly<Record<string, number>>;
-	/** Answers that broke, by error. */
+	/** Broken answers by error code. */
 	breaks: Readonly<Record<string, number>>;
 	edits: {good: number; bad: number};
-	/** Prefills whose result was not used, by cause. */
+	/** Prefills whose results were not used, by cause. */
 	wastedPrefills: Readonly<Record<string, number>>;
 	heldBytes: number;
-	/** From the end of the storm until nothing was held, and until the configuration was in force. */
+	/** Time until engines held nothing, measured from when the newest configuration was in force. */
 	releasedAfterMs: number;
+	/** Time until the newest configuration was in force on all hosts, measured from when they were ready again. */
 	inForceAfterMs: number;
 	verdicts: readonly Verdict[];
 	isKept: boolean;
 };
 
-/** Targets for the whole answer, as in the fleet's document. */
+/** Targets for complete answers, as in the configuration of the fleet. */
 const targetMs: Readonly<Record<CallKind, number>> = {
 	question: 30_000, letter: 60_000, scene: 60_000, 'desk lookup': 10_000, 'desk change': 10_000,
 };
 
-/** Counts what a list names. */
+/** Counts items by name. */
 export function countBy<T>(items: readonly T[], toName: (item: T) => string): Record<string, number> {
 	const counts: Record<string, number> = {};
 	for (const item of items) {
@@ -123,7 +125,7 @@
 	return [promise, String(checked), String(violations.length), String(excused)];
 }
 
-/** Writes the report for people. */
+/** Formats the report as text. */
 export function toReportText(report: StormReport): string {
 	const columns = ['works', 'calls', 'whole', 'inTarget', 'goodput', 'medianMs', 'p95Ms', 'left', 'refused', 'broken', 'lost', 'truncated', 'runs', 'duplicates'] as const;
 	return [
--- a/test/storm/_lib/types.ts
+++ b/test/storm/_lib/types.ts
@@ -1,4 +1,4 @@
-/** What the parts of a storm tell one another. */
+/** Types that the modules of the storm share. */
 
 export const callKinds = ['question', 'letter', 'scene', 'desk lookup', 'desk change'] as const;
 export type CallKind = (typeof callKinds)[number];
@@ -6,13 +6,13 @@
 /** Times are monotonic milliseconds throughout. */
 export type Span = {
 	from: number;
-	/** Infinite while it lasts. */
+	/** `Infinity` while the span has not ended. */
 	to: number;
 };
 
-/** One piece of work of a caller; it may be sent more than once. */
+/** One piece of work of a caller, which may send it more than once. */
 export type Work = {
-	/** Begins its prompt or ends its path, by which the engines' and the desk's counts are found. */
+	/** First word of the prompt, or last segment of the path; the counts of the stand-ins are found by it. */
 	id: string;
 	kind: CallKind;
 	workspace: string;
@@ -21,39 +21,39 @@
 	isStreamed: boolean;
 };
 
-/** What came back of one call. */
+/** What the caller received for one call. */
 export type Answer = {
-	/** 0 when no answer began. */
+	/** HTTP status; 0 when no answer began. */
 	status: number;
 	requestId: string;
 	text: string;
-	/** The answer says of itself that it is complete. */
+	/** Whether the answer claims to be complete. */
 	isClaimedWhole: boolean;
-	/** It is the whole answer to its own request. */
+	/** Whether the answer is the complete answer to its own request. */
 	isExpected: boolean;
-	/** What came of it, be it whole or not, is the beginning of the answer to its own request. */
+	/** Whether the text received, complete or not, is a prefix of the answer to its own request. */
 	isBeginning: boolean;
 	outcome: string | undefined;
 	problem: string | undefined;
-	/** It ended without saying how. */
+	/** Whether the answer ended without an outcome. */
 	isBroken: boolean;
-	/** Error code of a connection that broke. */
+	/** Error code of a broken connection. */
 	errorCode: string | undefined;
 };
 
-/** One call, as its caller saw it, with the count of its work at that moment. */
+/** One call as its caller saw it, with the counts that the stand-ins had for its work. */
 export type Sent = Span & {
 	work: Work;
 	host: string;
 	hasLeft: boolean;
-	/** Nothing ended it within a time beyond all targets. */
+	/** Whether the call was still open after a time that exceeds all targets. */
 	isHung: boolean;
 	answer: Answer;
-	/** Starts of this work that had been counted when the call was sent. */
+	/** Starts of this work counted before the call was sent. */
 	begunBefore: number;
-	/** The same when "not run" had been told; `undefined` for any other answer. */
+	/** Starts of this work counted after an answer with outcome `not-run`; `undefined` for any other answer. */
 	begunAfter: number | undefined;
-	/** Starts under this call's own request id at that moment. */
+	/** Starts under the request id of this call, counted at the same moment as `begunAfter`. */
 	begunAsRequest: number | undefined;
 };
 
@@ -86,23 +86,23 @@
 
 export type PlannedFault = {
 	kind: FaultKind;
-	/** After the storm's start. */
+	/** Milliseconds after the start of the storm. */
 	atMs: number;
 	forMs: number;
-	/** Host, zone or server; two zones for a cut between them. */
+	/** A host, a zone or a server; two zones for a cut between zones. */
 	targets: readonly string[];
-	/** Chooses among the forms of a fault. */
+	/** Selects one of the variants of a fault. */
 	variant: number;
 };
 
-/** A fault as it struck. */
+/** A fault with the time span in which it was in effect. */
 export type InjectedFault = Span & Pick<PlannedFault, 'kind' | 'targets'>;
 
-/** A configuration that a program showed after a newer one. */
+/** A case in which a program showed an older configuration after a newer one. */
 export type Reversion = {
 	host: string;
 	program: 'entry' | 'agent';
-	/** Whether one and the same process showed both. */
+	/** Whether the same process showed both. */
 	isSameLife: boolean;
 	from: string;
 	to: string;
--- a/test/storm/_lib/watch-versions.ts
+++ b/test/storm/_lib/watch-versions.ts
@@ -1,4 +1,4 @@
-/** Looks at the configuration that each program shows, again and again. */
+/** Polls the configuration that each program shows. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {type Fleet, type FleetHost} from '../../_lib/start-fleet/index.js';
 import {type Documents} from './create-documents.js';
@@ -10,10 +10,10 @@
 
 export type VersionWatch = {
 	reversions: () => readonly Reversion[];
-	/** Programs that showed a document that is none of the good ones. */
+	/** Programs that showed a document that is not one of the good edits, with that document. */
 	unexpectedDocuments: () => readonly string[];
 	observationCount: () => number;
-	/** Highest position that any program showed. */
+	/** Highest position of a good edit that any program showed. */
 	highest: () => number;
 	end: () => Promise<void>;
 };
@@ -21,7 +21,7 @@
 const pollIntervalMs = 100;
 const requestTimeoutMs = 1500;
 
-/** Asks a program which configuration is in force; `undefined` when it does not say. */
+/** Asks a program which configuration is in force; `undefined` when it doesn't answer or shows none. */
 export async function fetchVersion(host: FleetHost, program: ProgramName): Promise<ShownVersion | undefined> {
 	try {
 		const url = program === 'agent' ? host.agentOperatorUrl : host.entryOperatorUrl;
@@ -37,7 +37,7 @@
 	return `edit ${position} (revision ${revision}, ${digest.slice(0, 12)})`;
 }
 
-/** Starts looking. */
+/** Starts to poll all programs of a fleet. */
 export function watchVersions(fleet: Fleet, documents: Documents): VersionWatch {
 	const reversions: Reversion[] = [];
 	const unexpectedDocuments: string[] = [];
@@ -63,7 +63,7 @@
 		while (!ending.signal.aborted) {
 			const {pid} = host[program]();
 			const shown = await fetchVersion(host, program);
-			// A process that was replaced meanwhile may have answered in either life.
+			// If the process was replaced during the request, either process may have answered.
 			if (shown !== undefined && host[program]().pid === pid) {
 				const position = documents.toPosition(shown.digest);
 				observationCount += 1;
--- a/test/storm/index.ts
+++ b/test/storm/index.ts
@@ -1,8 +1,8 @@
 /**
  * A storm: load from several callers against a whole fleet while processes are
  * killed, paused and restarted, zones are cut, streams break and edits are
- * published. When it has ended and all is healed, every promise is judged by
- * what callers were told and what the stand-ins counted.
+ * published. After the storm, when all faults have been removed, every promise is
+ * judged by what callers were told and what the stand-ins counted.
  */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {startFleet, type Fleet} from '../_lib/start-fleet/index.js';
@@ -27,18 +27,18 @@
 	callers?: number;
 	/** Mean time between two faults. */
 	faultEveryMs?: number;
-	/** Told as the storm goes on. */
+	/** Called with progress messages. */
 	onProgress?: (text: string) => void;
 };
 
 const zones = ['dvorana-a', 'dvorana-b', 'dvorana-c'];
 const clockBoundMs = 3000;
-/** How far the clock of an entry is off at most, either way. */
+/** Largest error of an entry's clock, ahead or behind. */
 const maxClockErrorMs = 1000;
 const settleDeadlineMs = 60_000;
 const readyDeadlineMs = 60_000;
 
-/** The engines' own expiry, so late that it hides nothing that was left behind. */
+/** Expiry on the engines themselves, so long that it can't hide a reservation or answer that a host failed to release. */
 const longExpiryMs = 60_000;
 const releaseDeadlineMs = 30_000;
 const entryFlags = {
@@ -68,7 +68,7 @@
 		throw error;
 	}
 
-	// Until then no host vouches for a new key.
+	// No host vouches for a new key until this time has passed.
 	await sleep(clockBoundMs + maxClockErrorMs);
 	return fleet;
 }
@@ -85,7 +85,7 @@
 	await Promise.all(injections);
 }
 
-/** Programs that do not show the newest good document. */
+/** Lists programs that do not show the newest good document. */
 async function findOutdated(fleet: Fleet, documents: Documents): Promise<string[]> {
 	const {digest, position} = documents.newest();
 	const programs = fleet.hosts.flatMap(host => [{host, program: 'agent' as const}, {host, program: 'entry' as const}]);
@@ -93,7 +93,7 @@
 	return shown.filter(({version}) => version?.digest !== digest).map(({name, version}) => `${name} shows ${JSON.stringify(version)}, not edit ${position}`);
 }
 
-/** Waits until a list is empty; gives what is left when the deadline passes. */
+/** Waits until a list is empty; returns the remaining items when the deadline passes first. */
 async function waitUntilEmpty(find: () => Promise<readonly string[]>, deadlineMs = settleDeadlineMs): Promise<{left: readonly string[]; afterMs: number}> {
 	const start = performance.now();
 	let left: readonly string[] = [];
@@ -107,7 +107,7 @@
 	return {left, afterMs: Math.round(performance.now() - start)};
 }
 
-/** Bad edits after the last good one must change nothing; each host has had time to read them when it shows that it refused one. */
+/** Publishes bad edits after the last good one, which must change nothing, and waits until a host shows a refused one and the others have had time to read it. */
 async function tryBadEdits(fleet: Fleet, documents: Documents): Promise<void> {
 	for (let variant = 0; variant < documents.badVariantCount; variant++) {
 		documents.publishBad(variant);
@@ -212,7 +212,7 @@
  *
  * @param options - Seed and length. Faults are drawn from the seed before the storm begins.
  * @returns The report; `isKept` says whether every promise was kept.
- * @throws When a part of the harness fails, for example a program that does not start again.
+ * @throws When a part of the harness fails, for example when a program does not restart.
  */
 export async function runStorm(options: StormOptions): Promise<StormReport> {
 	const random = createRandom(options.seed);
--- a/test/storm/main.ts
+++ b/test/storm/main.ts
@@ -1,4 +1,4 @@
-/** The storm by command: `npm run storm -- --seconds 120 --seed 7 --json out/storm.json`. */
+/** Command line of the storm: `npm run storm -- --seconds 120 --seed 7 --json out/storm.json`. */
 import {writeFileSync} from 'node:fs';
 import process from 'node:process';
 import {Command, InvalidArgumentError} from 'commander';
@@ -19,7 +19,7 @@
 
 const command = new Command('storm')
 	.option('--seconds <number>', 'length of the load', parseCount, 120)
-	.option('--seed <number>', 'where all chance comes from', parseCount, 1 + Math.floor(Math.random() * maxSeed))
+	.option('--seed <number>', 'seed of all random draws', parseCount, 1 + Math.floor(Math.random() * maxSeed))
 	.option('--callers <number>', 'callers at once', parseCount, 16)
 	.option('--fault-every-ms <number>', 'mean time between two faults', parseCount, 800)
 	.option('--json <file>', 'also write the report as JSON')
