--- a/test/stand-ins/engine/_lib/create-engine.ts
+++ b/test/stand-ins/engine/_lib/create-engine.ts
@@ -14,8 +14,8 @@
 import {createPrefixCache} from './create-prefix-cache.js';
 import {createStreams} from './create-streams.js';
 import {refuse} from './refuse.js';
-import {isHit} from './take-fault.js';
-import {giveKv, pullKv} from './transfer-kv.js';
+import {takeFault} from './take-fault.js';
+import {serveKv, pullKv} from './transfer-kv.js';
 import {type EngineFaults, type EngineSettings, type JudgeReport} from './types.js';
 
 export type WorkCall = 'reservations' | 'prefills' | 'imports' | 'streams' | 'orders';
@@ -48,7 +48,7 @@
 
 	const onChange = (): void => {
 		peakSlotsUsed = Math.max(peakSlotsUsed, streams.countSlots());
-		loadLog.note();
+		loadLog.record();
 	};
 
 	const orders = createOrders({settings, judge, onChange});
@@ -72,10 +72,10 @@
 	const loadLog = createLoadLog(settings.loadLagMs, readNumbers);
 
 	const checkStart = (key: AttemptKey, call: WorkCall): void => {
-		const {refuse: switched} = faults;
-		const isMeant = switched !== undefined && (switched.on === undefined ? call !== 'orders' : switched.on.includes(call));
-		if (isMeant && isHit(switched)) {
-			throw refuse(switched.reason, 'refused by a fault switch', switched.retryAfterMs);
+		const {refuse: fault} = faults;
+		const isAffected = fault !== undefined && (fault.on === undefined ? call !== 'orders' : fault.on.includes(call));
+		if (isAffected && takeFault(fault)) {
+			throw refuse(fault.reason, 'refused by a fault switch', fault.retryAfterMs);
 		}
 
 		if (cancelled.has(`${key.requestId}/${key.attempt}`)) {
@@ -83,7 +83,7 @@
 		}
 	};
 
-	const noteAccepted = (): void => {
+	const recordAcceptance = (): void => {
 		lastAcceptedAtMs = performance.now();
 	};
 
@@ -95,21 +95,21 @@
 		},
 		reserve(body: JsonBody) {
 			const key = toKey(body);
-			judge.noteOffer(key);
+			judge.countOffer(key);
 			checkStart(key, 'reservations');
 			orders.check({}, 'decode');
 			const tokens = toNumber(body, 'promptTokens') + toNumber(body, 'maxTokens');
 			const reservation = streams.reserve(key, tokens, toNumber(body, 'ttlMs'));
-			noteAccepted();
+			recordAcceptance();
 			return reservation;
 		},
 		async prefill(body: JsonBody) {
 			const key = toKey(body);
-			judge.noteOffer(key);
-			judge.notePrompt(key, toText(body, 'prompt'));
+			judge.countOffer(key);
+			judge.recordPrompt(key, toText(body, 'prompt'));
 			checkStart(key, 'prefills');
 			orders.check({model: toText(body, 'model'), version: body.version ?? undefined, adapter: body.adapter ?? undefined}, 'prefill');
-			noteAccepted();
+			recordAcceptance();
 			return prefills.run({
 				key,
 				prompt: toText(body, 'prompt'),
@@ -127,8 +127,8 @@
 				fromUrl: network?.toUrl(fromUrl) ?? fromUrl, kvId, link, signal, dispatcher,
 			}));
 		},
-		async giveKv(kvId: string, res: ServerResponse) {
-			await giveKv({
+		async serveKv(kvId: string, res: ServerResponse) {
+			await serveKv({
 				prefills, kvId, res, link, faults,
 			});
 		},
@@ -150,13 +150,13 @@
 				cancelled.delete([...cancelled][0] ?? '');
 			}
 
-			judge.note(key, 'cancels');
+			judge.count(key, 'cancels');
 			return {released: prefills.cancel(key) + streams.cancel(key)};
 		},
 		holds: () => [...prefills.holds(), ...streams.holds()],
 		load: (): LoadReport => ({
 			...readNumbers(),
-			...loadLog.lagged(),
+			...loadLog.readLagged(),
 			server: settings.id,
 			ageMs: settings.loadLagMs,
 			slotsTotal: served.role === 'prefill' ? settings.prefillConcurrency : settings.slots,
@@ -173,7 +173,7 @@
 				fence: toNumber(body, 'fence'),
 			};
 			checkStart({requestId: '', attempt: 0, owner: {host: '', incarnation: 0}}, 'orders');
-			orders.take(order);
+			orders.accept(order);
 		},
 		cacheEvents: cache.eventsSince,
 		judgeReport(): JudgeReport {
--- a/test/stand-ins/engine/_lib/create-judge.ts
+++ b/test/stand-ins/engine/_lib/create-judge.ts
@@ -31,7 +31,7 @@
 	const offers = new Map<string, number>();
 	const prompts: Record<string, string> = {};
 
-	const requestOf = (key: AttemptKey): JudgedRequest => {
+	const getRequest = (key: AttemptKey): JudgedRequest => {
 		const request = requests.get(key.requestId) ?? createRequest();
 		requests.set(key.requestId, request);
 		if (!request.attempts.includes(key.attempt)) {
@@ -42,24 +42,24 @@
 	};
 
 	return {
-		note(key: AttemptKey, what: Counted, amount = 1) {
-			requestOf(key)[what] += amount;
+		count(key: AttemptKey, what: Counted, amount = 1) {
+			getRequest(key)[what] += amount;
 		},
 		/** Keeps how the prompt of a request begins, by which a test finds the runs of one caller's work. */
-		notePrompt(key: AttemptKey, prompt: string) {
+		recordPrompt(key: AttemptKey, prompt: string) {
 			prompts[key.requestId] = prompt.slice(0, promptBeginning);
 		},
-		noteWaste(key: AttemptKey, cause: WasteCause) {
+		recordWaste(key: AttemptKey, cause: WasteCause) {
 			wasted[cause] = (wasted[cause] ?? 0) + 1;
 			wastedRequests.push({requestId: key.requestId, attempt: key.attempt, cause});
 		},
-		noteOrder(order: EngineOrder, isTaken: boolean) {
+		recordOrder(order: EngineOrder, isTaken: boolean) {
 			(isTaken ? orders : refusedOrders).push({...order, atMs: performance.now()});
 		},
-		noteOffer({requestId}: AttemptKey) {
+		countOffer({requestId}: AttemptKey) {
 			offers.set(requestId, (offers.get(requestId) ?? 0) + 1);
 		},
-		noteCall(name: string) {
+		countCall(name: string) {
 			calls[name] = (calls[name] ?? 0) + 1;
 		},
 		request: (requestId: string): JudgedRequest => requests.get(requestId) ?? createRequest(),
--- a/test/stand-ins/engine/_lib/create-load-log.ts
+++ b/test/stand-ins/engine/_lib/create-load-log.ts
@@ -10,13 +10,13 @@
 	};
 
 	return {
-		note() {
+		record() {
 			const now = performance.now();
 			trim(now);
 			log.push({at: now, numbers: read()});
 		},
 		/** The numbers that were right `lagMs` ago. */
-		lagged(): T {
+		readLagged(): T {
 			const until = performance.now() - lagMs;
 			const entry = log.findLast(({at}) => at <= until) ?? log[0];
 			return entry?.numbers ?? read();
--- a/test/stand-ins/engine/_lib/create-orders.ts
+++ b/test/stand-ins/engine/_lib/create-orders.ts
@@ -16,7 +16,7 @@
 	const served = createServed();
 	const timers = new Set<NodeJS.Timeout>();
 
-	const after = (ms: number, change: () => void): void => {
+	const schedule = (ms: number, change: () => void): void => {
 		const timer = setTimeout(() => {
 			timers.delete(timer);
 			change();
@@ -25,12 +25,12 @@
 		timers.add(timer);
 	};
 
-	const load = (change: () => void): void => {
+	const startLoading = (change: () => void): void => {
 		if (served.state === 'serving') {
 			served.state = 'loading';
 		}
 
-		after(settings.loadVersionMs, () => {
+		schedule(settings.loadVersionMs, () => {
 			change();
 			if (served.state === 'loading') {
 				served.state = 'serving';
@@ -38,11 +38,11 @@
 		});
 	};
 
-	const carryOut = (order: EngineOrder): void => {
+	const execute = (order: EngineOrder): void => {
 		switch (order.kind) {
 			case 'load-version': {
 				if (order.version !== served.version || order.model !== served.model) {
-					load(() => {
+					startLoading(() => {
 						served.model = order.model;
 						served.version = order.version ?? served.version;
 					});
@@ -54,7 +54,7 @@
 			case 'set-role': {
 				if (order.role !== undefined && order.role !== served.role) {
 					const {role} = order;
-					load(() => {
+					startLoading(() => {
 						served.role = role;
 					});
 				}
@@ -63,7 +63,7 @@
 			}
 
 			case 'load-adapter': {
-				after(settings.loadVersionMs / 10, () => {
+				schedule(settings.loadVersionMs / 10, () => {
 					served.adapters.add(order.adapter ?? '');
 				});
 				break;
@@ -78,15 +78,15 @@
 
 	return {
 		served,
-		take(order: EngineOrder): void {
+		accept(order: EngineOrder): void {
 			if (settings.checksFence && order.fence < served.fence) {
-				judge.noteOrder(order, false);
+				judge.recordOrder(order, false);
 				throw refuse('old-fence', `fence ${order.fence} is older than ${served.fence}`);
 			}
 
 			served.fence = order.fence;
-			judge.noteOrder(order, true);
-			carryOut(order);
+			judge.recordOrder(order, true);
+			execute(order);
 			onChange();
 		},
 		/** Throws unless new work of this kind is served now. */
--- a/test/stand-ins/engine/_lib/create-prefills.ts
+++ b/test/stand-ins/engine/_lib/create-prefills.ts
@@ -47,9 +47,9 @@
 
 type Options = {settings: EngineSettings; judge: Judge; cache: PrefixCache; onChange: () => void};
 
-const isSame = (a: AttemptKey, b: AttemptKey): boolean => a.requestId === b.requestId && a.attempt === b.attempt;
+const isSameAttempt = (a: AttemptKey, b: AttemptKey): boolean => a.requestId === b.requestId && a.attempt === b.attempt;
 
-const isBeginning = (answered: readonly string[], prompt: string): boolean => {
+const isAnswerPrefix = (answered: readonly string[], prompt: string): boolean => {
 	const right = expectedAnswer(prompt, answered.length);
 	return answered.every((token, offset) => token === right[offset]);
 };
@@ -69,13 +69,13 @@
 		}
 
 		if (cause !== undefined) {
-			judge.noteWaste(kv.key, cause);
+			judge.recordWaste(kv.key, cause);
 		}
 
 		onChange();
 	};
 
-	const isPast = (kv: HeldKv): boolean => performance.now() - kv.since >= settings.kvTtlMs;
+	const isExpired = (kv: HeldKv): boolean => performance.now() - kv.since >= settings.kvTtlMs;
 
 	const expireKv = (kv: HeldKv): void => {
 		if (kv.transfers.size === 0) {
@@ -92,7 +92,7 @@
 	const finish = (job: Job, cachedTokens: number): void => {
 		running.delete(job);
 		cache.store(job.prompt);
-		judge.note(job.key, 'prefillsFinished');
+		judge.count(job.key, 'prefillsFinished');
 		const kv: HeldKv = {
 			kvId: job.id,
 			key: job.key,
@@ -118,9 +118,9 @@
 	const start = (job: Job): void => {
 		job.state = 'prefill';
 		running.add(job);
-		judge.note(job.key, 'prefillsStarted');
-		if (!isBeginning(job.answered, job.prompt)) {
-			judge.note(job.key, 'wrongContinuations');
+		judge.count(job.key, 'prefillsStarted');
+		if (!isAnswerPrefix(job.answered, job.prompt)) {
+			judge.count(job.key, 'wrongContinuations');
 		}
 
 		const cachedTokens = Math.min(job.tokens, cache.countCached(job.prompt));
@@ -162,7 +162,7 @@
 			clearTimeout(job.timer);
 			running.delete(job);
 			freeAt = Math.min(freeAt, performance.now());
-			judge.noteWaste(job.key, 'cancelled-in-prefill');
+			judge.recordWaste(job.key, 'cancelled-in-prefill');
 		} else {
 			queue.splice(queue.indexOf(job), 1);
 		}
@@ -172,7 +172,7 @@
 
 	return {
 		async run(call: PrefillCall): Promise<PrefillResult> {
-			if ([...queue, ...running, ...held.values()].some(other => isSame(other.key, call.key))) {
+			if ([...queue, ...running, ...held.values()].some(other => isSameAttempt(other.key, call.key))) {
 				throw refuse('duplicate', 'this attempt already has a prefill here');
 			}
 
@@ -187,10 +187,10 @@
 			});
 		},
 		/** Lends a cache to a transfer; `done` says whether all of it went over. */
-		lend(kvId: string): {kv: KvCache; signal: AbortSignal; done: (isWhole: boolean) => void} | undefined {
+		beginTransfer(kvId: string): {kv: KvCache; signal: AbortSignal; done: (isWhole: boolean) => void} | undefined {
 			const kv = held.get(kvId);
 			// Past its life a cache is kept for transfers under way alone.
-			if (kv === undefined || isPast(kv)) {
+			if (kv === undefined || isExpired(kv)) {
 				return undefined;
 			}
 
@@ -209,15 +209,15 @@
 
 					if (isWhole) {
 						dropKv(kv, undefined);
-					} else if (isPast(kv) && transfers.size === 0) {
+					} else if (isExpired(kv) && transfers.size === 0) {
 						dropKv(kv, 'transfer-failed');
 					}
 				},
 			};
 		},
 		cancel(key: AttemptKey): number {
-			const jobs = [...queue, ...running].filter(job => isSame(job.key, key));
-			const kvs = [...held.values()].filter(kv => isSame(kv.key, key));
+			const jobs = [...queue, ...running].filter(job => isSameAttempt(job.key, key));
+			const kvs = [...held.values()].filter(kv => isSameAttempt(kv.key, key));
 			for (const job of jobs) {
 				cancelJob(job);
 			}
@@ -252,7 +252,7 @@
 			}
 
 			for (const job of running) {
-				judge.noteWaste(job.key, 'server-lost');
+				judge.recordWaste(job.key, 'server-lost');
 			}
 
 			queue.length = 0;
--- a/test/stand-ins/engine/_lib/create-prefix-cache.ts
+++ b/test/stand-ins/engine/_lib/create-prefix-cache.ts
@@ -11,7 +11,7 @@
 	const events: Array<CacheEvent & {at: number}> = [];
 	let seq = 0;
 
-	const note = (kind: CacheEvent['kind'], block: string): void => {
+	const recordEvent = (kind: CacheEvent['kind'], block: string): void => {
 		seq += 1;
 		events.push({
 			seq, kind, block, at: performance.now(),
@@ -21,14 +21,14 @@
 		}
 	};
 
-	const evictOver = (): void => {
+	const evictExcess = (): void => {
 		for (const oldest of cached) {
 			if (cached.size <= capacity) {
 				return;
 			}
 
 			cached.delete(oldest);
-			note('evicted', oldest);
+			recordEvent('evicted', oldest);
 		}
 	};
 
@@ -42,13 +42,13 @@
 		store(prompt: string): void {
 			for (const block of toBlocks(prompt).slice(0, capacity)) {
 				if (!cached.delete(block)) {
-					note('stored', block);
+					recordEvent('stored', block);
 				}
 
 				cached.add(block);
 			}
 
-			evictOver();
+			evictExcess();
 		},
 		/** Forgets all blocks without a word, as a restart does. */
 		clear() {
--- a/test/stand-ins/engine/_lib/create-streams.ts
+++ b/test/stand-ins/engine/_lib/create-streams.ts
@@ -12,7 +12,7 @@
 import {writeTokens, type Reader} from './write-tokens.js';
 import {type EngineFaults, type EngineSettings, type WasteCause} from './types.js';
 
-type Held = {
+type Reservation = {
 	key: AttemptKey;
 	reservationId: string;
 	since: number;
@@ -38,12 +38,12 @@
 
 type Options = {settings: EngineSettings; faults: EngineFaults; judge: Judge; onChange: () => void};
 
-const idOf = (key: AttemptKey): string => `${key.requestId}/${key.attempt}`;
+const toAttemptId = (key: AttemptKey): string => `${key.requestId}/${key.attempt}`;
 
 const isGenerated = (stream: Stream): boolean => stream.progress >= stream.maxTokens;
 
 export const createStreams = ({settings, faults, judge, onChange}: Options) => {
-	const reservations = new Map<string, Held>();
+	const reservations = new Map<string, Reservation>();
 	const streams = new Map<string, Stream>();
 	let count = 0;
 	let ticker: NodeJS.Timeout | undefined;
@@ -51,12 +51,12 @@
 
 	const countSlots = (): number => reservations.size + [...streams.values()].filter(stream => !isGenerated(stream)).length;
 
-	const dropReservation = (held: Held, waste: WasteCause | undefined): void => {
+	const dropReservation = (held: Reservation, waste: WasteCause | undefined): void => {
 		clearTimeout(held.timer);
-		reservations.delete(idOf(held.key));
+		reservations.delete(toAttemptId(held.key));
 		held.importing?.abort(waste);
 		if (waste !== undefined && held.kv !== undefined) {
-			judge.noteWaste(held.key, waste);
+			judge.recordWaste(held.key, waste);
 		}
 
 		onChange();
@@ -64,7 +64,7 @@
 
 	const dropStream = (stream: Stream): void => {
 		clearTimeout(stream.timer);
-		streams.delete(idOf(stream.key));
+		streams.delete(toAttemptId(stream.key));
 		for (const reader of stream.readers) {
 			reader.res.destroy();
 		}
@@ -72,8 +72,8 @@
 		onChange();
 	};
 
-	const noteGenerated = (stream: Stream): void => {
-		judge.note(stream.key, 'decodesFinished');
+	const finishGeneration = (stream: Stream): void => {
+		judge.count(stream.key, 'decodesFinished');
 		stream.timer = setTimeout(() => {
 			dropStream(stream);
 		}, settings.keepAnswerMs);
@@ -86,9 +86,9 @@
 		for (const stream of running) {
 			const before = Math.floor(stream.progress);
 			stream.progress = Math.min(stream.maxTokens, stream.progress + (elapsedMs / 1000 * rate));
-			judge.note(stream.key, 'tokens', Math.floor(stream.progress) - before);
+			judge.count(stream.key, 'tokens', Math.floor(stream.progress) - before);
 			if (isGenerated(stream)) {
-				noteGenerated(stream);
+				finishGeneration(stream);
 			}
 		}
 	};
@@ -109,15 +109,15 @@
 		ticker = isBusy ? setTimeout(tick, settings.stepMs) : undefined;
 	};
 
-	const wake = (): void => {
+	const startTicker = (): void => {
 		if (ticker === undefined) {
 			lastTickAt = performance.now();
 			ticker = setTimeout(tick, settings.stepMs);
 		}
 	};
 
-	const findReservation = (key: AttemptKey, reservationId: string): Held => {
-		const held = reservations.get(idOf(key));
+	const findReservation = (key: AttemptKey, reservationId: string): Reservation => {
+		const held = reservations.get(toAttemptId(key));
 		if (held?.reservationId !== reservationId) {
 			throw refuse('expired', 'no such reservation');
 		}
@@ -141,13 +141,13 @@
 		res.once('close', () => {
 			stream.readers.delete(reader);
 		});
-		wake();
+		startTicker();
 	};
 
 	return {
 		countSlots,
 		reserve(key: AttemptKey, tokens: number, ttlMs: number): {reservationId: string; expiresInMs: number} {
-			if (reservations.has(idOf(key)) || streams.has(idOf(key))) {
+			if (reservations.has(toAttemptId(key)) || streams.has(toAttemptId(key))) {
 				throw refuse('duplicate', 'this attempt is already here');
 			}
 
@@ -157,7 +157,7 @@
 
 			count += 1;
 			const now = performance.now();
-			const held: Held = {
+			const held: Reservation = {
 				key,
 				reservationId: `${settings.id}-r-${count}`,
 				since: now,
@@ -170,8 +170,8 @@
 			held.timer = setTimeout(() => {
 				dropReservation(held, 'expired-before-decode');
 			}, ttlMs);
-			reservations.set(idOf(key), held);
-			judge.note(key, 'reservations');
+			reservations.set(toAttemptId(key), held);
+			judge.count(key, 'reservations');
 			onChange();
 			return {reservationId: held.reservationId, expiresInMs: ttlMs};
 		},
@@ -186,7 +186,7 @@
 			try {
 				const kv = await pull(held.importing.signal);
 				if (held.importing.signal.aborted) {
-					judge.noteWaste(key, held.importing.signal.reason as WasteCause);
+					judge.recordWaste(key, held.importing.signal.reason as WasteCause);
 					throw refuse('expired', 'the reservation ended during the import');
 				}
 
@@ -203,7 +203,7 @@
 			}
 		},
 		start({key, reservationId, maxTokens, answerOffset}: {key: AttemptKey; reservationId: string; maxTokens: number; answerOffset: number}, res: ServerResponse): void {
-			if (streams.has(idOf(key))) {
+			if (streams.has(toAttemptId(key))) {
 				throw refuse('duplicate', 'this attempt already has a stream');
 			}
 
@@ -228,10 +228,10 @@
 				readers: new Set(),
 				timer: undefined,
 			};
-			streams.set(idOf(key), stream);
-			judge.note(key, 'decodesStarted');
+			streams.set(toAttemptId(key), stream);
+			judge.count(key, 'decodesStarted');
 			if (isGenerated(stream)) {
-				noteGenerated(stream);
+				finishGeneration(stream);
 			}
 
 			addReader(stream, answerOffset, res);
@@ -250,8 +250,8 @@
 			addReader(stream, offset, res);
 		},
 		cancel(key: AttemptKey): number {
-			const held = reservations.get(idOf(key));
-			const stream = streams.get(idOf(key));
+			const held = reservations.get(toAttemptId(key));
+			const stream = streams.get(toAttemptId(key));
 			if (held !== undefined) {
 				dropReservation(held, 'cancelled-before-decode');
 			}
--- a/test/stand-ins/engine/_lib/route.ts
+++ b/test/stand-ins/engine/_lib/route.ts
@@ -3,13 +3,13 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {RequestFault, readJson, sendJson} from '../../_lib/http-server.js';
 import {type ImitatedEngine} from './create-engine.js';
-import {isHit, replaceFaults} from './take-fault.js';
+import {takeFault, replaceFaults} from './take-fault.js';
 import {type EngineFaults} from './types.js';
 
 type Route = {engine: ImitatedEngine; faults: EngineFaults; req: IncomingMessage; res: ServerResponse; url: URL};
 
 const answer = ({faults, res}: Route, call: 'reservations' | 'prefills' | 'imports', status: number, body: unknown): void => {
-	if (faults.loseAnswers?.on.includes(call) && isHit(faults.loseAnswers)) {
+	if (faults.loseAnswers?.on.includes(call) && takeFault(faults.loseAnswers)) {
 		res.destroy();
 		return;
 	}
@@ -37,7 +37,7 @@
 
 		case 'POST /engine/streams': {
 			engine.decode(await readJson(req), res);
-			if (faults.loseAnswers?.on.includes('streams') && isHit(faults.loseAnswers)) {
+			if (faults.loseAnswers?.on.includes('streams') && takeFault(faults.loseAnswers)) {
 				res.destroy();
 			}
 
@@ -46,7 +46,7 @@
 
 		case 'POST /engine/cancels': {
 			const body = await readJson(req);
-			if (isHit(faults.loseCancels)) {
+			if (takeFault(faults.loseCancels)) {
 				res.destroy();
 				return true;
 			}
@@ -90,7 +90,7 @@
 		}
 
 		default: {if (call.startsWith('GET /engine/kv/')) {
-			await engine.giveKv(parts[3] ?? '', res);
+			await engine.serveKv(parts[3] ?? '', res);
 		} else if (call.startsWith('GET /engine/streams/')) {
 			engine.resume(parts[3] ?? '', Number(parts[4]), Number(url.searchParams.get('offset') ?? 0), res);
 		} else {
@@ -136,12 +136,12 @@
 		return;
 	}
 
-	engine.judge.noteCall(`${req.method} ${url.pathname.split('/').slice(1, 3).join('/')}`);
+	engine.judge.countCall(`${req.method} ${url.pathname.split('/').slice(1, 3).join('/')}`);
 	if (faults.lateMs !== undefined) {
 		await sleep(faults.lateMs);
 	}
 
-	if (isHit(faults.garbageAnswers)) {
+	if (takeFault(faults.garbageAnswers)) {
 		res.writeHead(200, {'content-type': 'application/json'});
 		res.end('<html>not the protocol</html>');
 		return;
--- a/test/stand-ins/engine/_lib/take-fault.ts
+++ b/test/stand-ins/engine/_lib/take-fault.ts
@@ -1,5 +1,5 @@
 /** Says whether a counted fault hits this call, and counts it down. */
-export const isHit = (fault: {times?: number} | undefined): boolean => {
+export const takeFault = (fault: {times?: number} | undefined): boolean => {
 	if (fault === undefined || fault.times === 0) {
 		return false;
 	}
--- a/test/stand-ins/engine/_lib/transfer-kv.ts
+++ b/test/stand-ins/engine/_lib/transfer-kv.ts
@@ -10,18 +10,18 @@
 import {type Link} from './create-link.js';
 import {type KvCache, type Prefills} from './create-prefills.js';
 import {refuse} from './refuse.js';
-import {isHit} from './take-fault.js';
+import {takeFault} from './take-fault.js';
 import {type EngineFaults} from './types.js';
 
-const pieces = 16;
+const pieceCount = 16;
 const stallMs = 60_000;
 
-type Give = {prefills: Prefills; kvId: string; res: ServerResponse; link: Link; faults: EngineFaults};
+type ServeOptions = {prefills: Prefills; kvId: string; res: ServerResponse; link: Link; faults: EngineFaults};
 
-const givePieces = async ({res, link, faults}: Give, kv: KvCache, signal: AbortSignal): Promise<void> => {
-	const fault = isHit(faults.transfer) ? faults.transfer : undefined;
-	const faultAt = Math.floor(pieces * (fault?.atShare ?? 0.5));
-	for (let piece = 0; piece < pieces; piece++) {
+const servePieces = async ({res, link, faults}: ServeOptions, kv: KvCache, signal: AbortSignal): Promise<void> => {
+	const fault = takeFault(faults.transfer) ? faults.transfer : undefined;
+	const faultAt = Math.floor(pieceCount * (fault?.atShare ?? 0.5));
+	for (let piece = 0; piece < pieceCount; piece++) {
 		if (fault !== undefined && piece === faultAt) {
 			if (fault.kind === 'reset') {
 				res.socket?.resetAndDestroy();
@@ -31,42 +31,42 @@
 			await sleep(stallMs, undefined, {signal});
 		}
 
-		await link.pass(kv.bytes / pieces, signal);
+		await link.pass(kv.bytes / pieceCount, signal);
 		res.write('.\n');
 	}
 };
 
 /** Answers another engine's pull. */
-export const giveKv = async (give: Give): Promise<void> => {
-	const lent = give.prefills.lend(give.kvId);
-	if (lent === undefined) {
+export const serveKv = async (options: ServeOptions): Promise<void> => {
+	const transfer = options.prefills.beginTransfer(options.kvId);
+	if (transfer === undefined) {
 		throw new RequestFault(410, {error: {reason: 'expired', message: 'no such cache'}});
 	}
 
-	const {res} = give;
+	const {res} = options;
 	const closed = new AbortController();
 	res.once('close', () => {
 		closed.abort();
 	});
-	const signal = AbortSignal.any([closed.signal, lent.signal]);
+	const signal = AbortSignal.any([closed.signal, transfer.signal]);
 	try {
 		res.writeHead(200, {'content-type': 'application/octet-stream'});
-		res.write(JSON.stringify(lent.kv) + '\n');
-		await givePieces(give, lent.kv, signal);
+		res.write(JSON.stringify(transfer.kv) + '\n');
+		await servePieces(options, transfer.kv, signal);
 		res.end();
-		lent.done(true);
+		transfer.done(true);
 	} catch {
-		lent.done(false);
+		transfer.done(false);
 		res.destroy();
 	}
 };
 
-type Pull = {fromUrl: string; kvId: string; link: Link; signal: AbortSignal; dispatcher: Dispatcher};
+type PullOptions = {fromUrl: string; kvId: string; link: Link; signal: AbortSignal; dispatcher: Dispatcher};
 
-const readPieces = async (body: AsyncIterable<Buffer>, {link, signal}: Pull): Promise<KvCache> => {
+const readPieces = async (body: AsyncIterable<Buffer>, {link, signal}: PullOptions): Promise<KvCache> => {
 	let text = '';
 	let kv: KvCache | undefined;
-	let taken = 0;
+	let receivedCount = 0;
 	for await (const part of body) {
 		text += part.toString('utf8');
 		const lines = text.split('\n');
@@ -77,12 +77,12 @@
 				continue;
 			}
 
-			taken += 1;
-			await link.pass(kv.bytes / pieces, signal);
+			receivedCount += 1;
+			await link.pass(kv.bytes / pieceCount, signal);
 		}
 	}
 
-	if (kv === undefined || taken < pieces) {
+	if (kv === undefined || receivedCount < pieceCount) {
 		throw new Error('the transfer ended early');
 	}
 
@@ -90,8 +90,8 @@
 };
 
 /** Pulls a cache from the engine that computed it. */
-export const pullKv = async (pull: Pull): Promise<KvCache> => {
-	const {fromUrl, kvId, signal, dispatcher} = pull;
+export const pullKv = async (options: PullOptions): Promise<KvCache> => {
+	const {fromUrl, kvId, signal, dispatcher} = options;
 	try {
 		const answer = await request(`${fromUrl}/engine/kv/${encodeURIComponent(kvId)}`, {signal, dispatcher});
 		if (answer.statusCode === 410) {
@@ -99,7 +99,7 @@
 			throw new RequestFault(410, {error: {reason: 'expired', message: 'the cache has expired'}});
 		}
 
-		return await readPieces(answer.body as AsyncIterable<Buffer>, pull);
+		return await readPieces(answer.body as AsyncIterable<Buffer>, options);
 	} catch (error) {
 		if (error instanceof RequestFault) {
 			throw error;
--- a/test/stand-ins/engine/_lib/write-tokens.ts
+++ b/test/stand-ins/engine/_lib/write-tokens.ts
@@ -1,6 +1,6 @@
 /** Writes what a reader of a stream has not had yet, right or as a fault switch says. */
 import {type ServerResponse} from 'node:http';
-import {isHit} from './take-fault.js';
+import {takeFault} from './take-fault.js';
 import {type EngineFaults, type StreamFaultKind} from './types.js';
 import {type Stream} from './create-streams.js';
 
@@ -29,7 +29,7 @@
 	}) + '\n';
 };
 
-const writeRight = ({stream, reader}: Write, end: number): void => {
+const writeCorrect = ({stream, reader}: Write, end: number): void => {
 	reader.res.write(toLine(stream, reader.sent, end));
 	reader.sent = end;
 	if (end >= stream.maxTokens) {
@@ -46,10 +46,10 @@
 		}
 	}
 
-	writeRight(write, end);
+	writeCorrect(write, end);
 };
 
-const writeWrong = (write: Write, kind: StreamFaultKind, end: number): void => {
+const writeFaulty = (write: Write, kind: StreamFaultKind, end: number): void => {
 	const {stream, reader} = write;
 	switch (kind) {
 		case 'short': {
@@ -86,19 +86,19 @@
 
 		case 'duplicated': {
 			reader.res.write(toLine(stream, reader.sent, end));
-			writeRight(write, end);
+			writeCorrect(write, end);
 			break;
 		}
 
 		case 'skipped': {
 			reader.sent += 1;
-			writeRight(write, Math.max(end, reader.sent));
+			writeCorrect(write, Math.max(end, reader.sent));
 			break;
 		}
 
 		case 'wrong-attempt': {
 			reader.res.write(toLine(stream, reader.sent, end, {attempt: stream.key.attempt + 1}));
-			writeRight(write, end);
+			writeCorrect(write, end);
 			break;
 		}
 	}
@@ -123,20 +123,20 @@
 	// Without a token behind it, a fault would count as struck and send nothing wrong.
 	const isBeforeFault = ready <= atToken && ready < stream.maxTokens;
 	if (fault === undefined || isBeforeFault) {
-		writeRight(write, ready);
+		writeCorrect(write, ready);
 		return;
 	}
 
 	// What comes before the fault goes out first.
 	if (reader.sent < atToken) {
-		writeRight(write, Math.min(atToken, ready));
+		writeCorrect(write, Math.min(atToken, ready));
 	}
 
 	if (!res.writableEnded) {
-		if (isHit(fault)) {
-			writeWrong(write, fault.kind, ready);
+		if (takeFault(fault)) {
+			writeFaulty(write, fault.kind, ready);
 		} else {
-			writeRight(write, ready);
+			writeCorrect(write, ready);
 		}
 	}
 };
--- a/test/stand-ins/link/index.ts
+++ b/test/stand-ins/link/index.ts
@@ -53,10 +53,10 @@
 /** Starts a relay on loopback. */
 export const startLinkStandIn = async (options: LinkStandInOptions): Promise<LinkStandIn> => {
 	const pairs = new Set<Pair>();
-	const passed = {toTarget: 0, fromTarget: 0};
+	const byteCounts = {toTarget: 0, fromTarget: 0};
 	const state: {cut: LinkCut; delayMs: number; target: string} = {cut: 'none', delayMs: options.delayMs ?? 0, target: options.target};
 	/** Connections accepted during a cut: the connecting side hears nothing. */
-	const silent = new Set<Socket>();
+	const unansweredSockets = new Set<Socket>();
 
 	const isCut = (source: string, direction: LinkDirection): boolean => state.cut === 'both' || state.cut === direction
 		|| (options.isCutFor?.(source, direction) ?? false);
@@ -88,7 +88,7 @@
 		};
 
 		from.on('data', bytes => {
-			passed[direction === 'to-target' ? 'toTarget' : 'fromTarget'] += bytes.length;
+			byteCounts[direction === 'to-target' ? 'toTarget' : 'fromTarget'] += bytes.length;
 			deliver(() => {
 				if (!to.destroyed && !to.write(bytes)) {
 					from.pause();
@@ -116,8 +116,8 @@
 		near.on('error', () => undefined);
 		const source = near.remoteAddress ?? '';
 		if (isAnyCut(source)) {
-			silent.add(near);
-			near.once('close', () => silent.delete(near));
+			unansweredSockets.add(near);
+			near.once('close', () => unansweredSockets.delete(near));
 			near.resume();
 			return;
 		}
@@ -140,7 +140,7 @@
 			}
 		}
 
-		for (const near of silent) {
+		for (const near of unansweredSockets) {
 			if (!isAnyCut(near.remoteAddress ?? '')) {
 				near.resetAndDestroy();
 			}
@@ -152,7 +152,7 @@
 			drop(pair);
 		}
 
-		for (const near of silent) {
+		for (const near of unansweredSockets) {
 			near.resetAndDestroy();
 		}
 	};
@@ -184,7 +184,7 @@
 			state.target = target;
 		},
 		countConnections: () => pairs.size,
-		bytes: () => ({...passed}),
+		bytes: () => ({...byteCounts}),
 		async stop() {
 			const closed = new Promise<void>(resolve => {
 				server.close(() => {
--- a/test/stand-ins/platform/index.ts
+++ b/test/stand-ins/platform/index.ts
@@ -101,9 +101,9 @@
 
 	const newest = (key: string): Versioned | undefined => histories.get(key)?.at(-1);
 
-	const atRevision = (key: string, revision: number): Versioned | undefined => histories.get(key)?.find(value => value.revision === revision);
+	const findRevision = (key: string, revision: number): Versioned | undefined => histories.get(key)?.find(value => value.revision === revision);
 
-	const withFaults = (key: string): Versioned | undefined => {
+	const readWithFaults = (key: string): Versioned | undefined => {
 		if (frozen !== undefined) {
 			return frozen.get(key);
 		}
@@ -114,17 +114,17 @@
 		}
 
 		if (faults.oldRevision !== undefined) {
-			return atRevision(key, faults.oldRevision) ?? value;
+			return findRevision(key, faults.oldRevision) ?? value;
 		}
 
 		if (faults.oldDocument !== undefined) {
-			return {revision: value.revision, value: atRevision(key, faults.oldDocument)?.value ?? value.value};
+			return {revision: value.revision, value: findRevision(key, faults.oldDocument)?.value ?? value.value};
 		}
 
 		return value;
 	};
 
-	const wake = (): void => {
+	const notifyWaiters = (): void => {
 		for (const waiter of waiters) {
 			waiter();
 		}
@@ -132,16 +132,16 @@
 
 	return {
 		waiters,
-		wake,
+		wake: notifyWaiters,
 		publish(key: string, value: string): number {
 			const history = histories.get(key) ?? [];
 			const revision = (history.at(-1)?.revision ?? 0) + 1;
 			histories.set(key, [...history, {revision, value}]);
-			wake();
+			notifyWaiters();
 			return revision;
 		},
 		served(key: string): Versioned | undefined {
-			const value = withFaults(key);
+			const value = readWithFaults(key);
 			return value === undefined || faults.truncateAt === undefined
 				? value
 				: {...value, value: value.value.slice(0, Math.floor(value.value.length * faults.truncateAt))};
@@ -149,7 +149,7 @@
 		/** Takes a change of the switches into account. */
 		applyFaults(): void {
 			frozen = faults.frozen ? (frozen ?? new Map([...histories.keys()].map(key => [key, newest(key)]))) : undefined;
-			wake();
+			notifyWaiters();
 		},
 		isDown: () => faults.down === true,
 		revisions: () => Object.fromEntries([...histories.keys()].map(key => [key, newest(key)?.revision ?? 0])),
--- a/test/stand-ins/users-platform/server.ts
+++ b/test/stand-ins/users-platform/server.ts
@@ -84,7 +84,7 @@
 	let isLeaving = false;
 	let pauseSeconds: number | undefined;
 	let promptsHeld: Promise<unknown> = Promise.resolve();
-	let made = 0;
+	let createdCount = 0;
 	let isCrashing: (arrival: Arrival) => boolean = () => false;
 	let crashes = 0;
 
@@ -114,7 +114,7 @@
 		res.end();
 	}
 
-	function commit(misdeed: Misdeed, req: IncomingMessage, res: ServerResponse): void {
+	function applyMisdeed(misdeed: Misdeed, req: IncomingMessage, res: ServerResponse): void {
 		const {socket} = req;
 		switch (misdeed) {
 			case 'refuse': {
@@ -158,20 +158,20 @@
 		}
 	}
 
-	function takePlace(body: string, res: ServerResponse): void {
+	function reserve(body: string, res: ServerResponse): void {
 		const {tokens} = JSON.parse(body) as {tokens: number};
 		if (tokens > freeTokens) {
 			answer(res, 503, {error: 'full'}, {'not-executed': '1'});
 			return;
 		}
 
-		const name = `hold-${++made}`;
+		const name = `hold-${++createdCount}`;
 		reservations.set(name, tokens);
 		freeTokens -= tokens;
 		answer(res, 200, {hold: name});
 	}
 
-	function free(name: string): void {
+	function release(name: string): void {
 		freeTokens += reservations.get(name) ?? 0;
 		reservations.delete(name);
 	}
@@ -220,7 +220,7 @@
 		}
 
 		if (step === 'reserve') {
-			takePlace(arrival.body, res);
+			reserve(arrival.body, res);
 			return;
 		}
 
@@ -230,7 +230,7 @@
 		}
 
 		if (step === 'release' || step === 'drop-cache') {
-			free(name);
+			release(name);
 			caches.delete(`${address}/${name}`);
 			answer(res, 200, {});
 			return;
@@ -243,21 +243,21 @@
 
 		const misdeed = misdeeds.shift();
 		if (misdeed !== undefined && misdeed !== 'cut-stream') {
-			commit(misdeed, req, res);
+			applyMisdeed(misdeed, req, res);
 			return;
 		}
 
 		await sleep(workMs);
 		if (step === 'prefill') {
 			await promptsHeld;
-			const handle = `cache-${++made}`;
+			const handle = `cache-${++createdCount}`;
 			caches.add(`${address}/${handle}`);
 			answer(res, 200, {kv_handle: handle, tokens: 10, version: 1}, {'request-id': String(req.headers['request-id'])});
 			return;
 		}
 
 		if (step === 'decode') {
-			free(String(req.headers['kv-hold']));
+			release(String(req.headers['kv-hold']));
 			const source = req.headers['kv-source'];
 			if (source !== undefined && !caches.delete(String(source))) {
 				answer(res, 503, {error: 'no such cache'}, {'not-executed': '1'});
--- a/test/stand-ins/users-platform/store.ts
+++ b/test/stand-ins/users-platform/store.ts
@@ -12,7 +12,7 @@
 	lease: number;
 };
 type Change = Item | {key: string; revision: number; removed: true};
-type Waiting = {res: ServerResponse; after: number; prefix: string; timer: NodeJS.Timeout};
+type PendingWatch = {res: ServerResponse; after: number; prefix: string; timer: NodeJS.Timeout};
 
 export type StoreStandIn = {
 	/** `IP:port`. */
@@ -49,17 +49,17 @@
 	let era = 1;
 	let changes: Change[] = [];
 	let revision = 0;
-	let forgotten = 0;
+	let forgottenRevision = 0;
 	let reads = 0;
 	let mood: Parameters<StoreStandIn['setMood']>[0] = 'well';
-	let waiting: Waiting[] = [];
+	let waiting: PendingWatch[] = [];
 
-	const toJson = (res: ServerResponse, status: number, body: unknown) => {
+	const sendJson = (res: ServerResponse, status: number, body: unknown) => {
 		res.writeHead(status, {'content-type': 'application/json', 'store-era': String(era)});
 		res.end(JSON.stringify(body));
 	};
 
-	const findEvents = ({after, prefix}: Pick<Waiting, 'after' | 'prefix'>) => changes.filter(change => change.revision > after && change.key.startsWith(prefix));
+	const findEvents = ({after, prefix}: Pick<PendingWatch, 'after' | 'prefix'>) => changes.filter(change => change.revision > after && change.key.startsWith(prefix));
 
 	const answerWatches = () => {
 		waiting = waiting.filter(watch => {
@@ -69,7 +69,7 @@
 			}
 
 			clearTimeout(watch.timer);
-			toJson(watch.res, 200, {events, current_rev: revision});
+			sendJson(watch.res, 200, {events, current_rev: revision});
 			return false;
 		});
 	};
@@ -86,7 +86,7 @@
 		}
 
 		if (mood === 'refusing') {
-			toJson(res, 503, {error: 'down'});
+			sendJson(res, 503, {error: 'down'});
 			return;
 		}
 
@@ -95,19 +95,19 @@
 		const after = url.searchParams.get('after') ?? '';
 		if (url.pathname === '/-/kv-range') {
 			const found = [...items.values()].filter(item => item.key.startsWith(prefix) && item.key > after).toSorted((a, b) => a.key < b.key ? -1 : 1);
-			toJson(res, 200, {items: found.slice(0, pageSize), truncated: found.length > pageSize, current_rev: revision});
+			sendJson(res, 200, {items: found.slice(0, pageSize), truncated: found.length > pageSize, current_rev: revision});
 			return;
 		}
 
 		const watch = {res, prefix, after: Number(after)};
-		if (watch.after < forgotten || watch.after > revision) {
-			toJson(res, 410, {error: 'gone'});
+		if (watch.after < forgottenRevision || watch.after > revision) {
+			sendJson(res, 410, {error: 'gone'});
 			return;
 		}
 
 		const timer = setTimeout(() => {
 			waiting = waiting.filter(other => other.res !== res);
-			toJson(res, 200, {events: [], current_rev: revision});
+			sendJson(res, 200, {events: [], current_rev: revision});
 		}, Number(url.searchParams.get('wait_ms')));
 		waiting.push({...watch, timer});
 		answerWatches();
@@ -140,7 +140,7 @@
 			add({key, revision, removed: true});
 		},
 		forget() {
-			forgotten = revision;
+			forgottenRevision = revision;
 			changes = [];
 		},
 		copy: () => ({items: new Map(items), changes: [...changes], revision}),
@@ -149,7 +149,7 @@
 			items = new Map(copy.items);
 			changes = [...copy.changes];
 			({revision} = copy);
-			forgotten = Math.min(forgotten, revision);
+			forgottenRevision = Math.min(forgottenRevision, revision);
 			era++;
 		},
 		setMood(next) {
