--- a/test/stand-ins/_lib/http-server.ts
+++ b/test/stand-ins/_lib/http-server.ts
@@ -1,6 +1,6 @@
 /**
- * The small HTTP server under each stand-in: one handler, JSON in and out, and
- * a stop that closes every connection at once, as the death of the process would.
+ * The HTTP server that the stand-ins share: one handler, JSON in and out, and a
+ * stop that closes every connection at once, as the end of the process would.
  */
 import {
 	createServer, type IncomingMessage, type Server, type ServerResponse,
@@ -10,7 +10,7 @@
 
 export type JsonBody = Record<string, unknown>;
 
-/** Thrown by a handler for a request that breaks the protocol; answered with its status. */
+/** Thrown by a handler for a request that violates the protocol; the server answers with its status and body. */
 export class RequestFault extends Error {
 	constructor(readonly status: number, readonly body: unknown, readonly headers: Record<string, string> = {}) {
 		super(`answered with ${status}`);
@@ -67,7 +67,7 @@
 	throw new RequestFault(400, {error: 'body is no JSON object'});
 };
 
-/** Takes a text out of a body. */
+/** Reads a string field of a body. */
 export const toText = (body: JsonBody, name: string): string => {
 	const value = body[name];
 	if (typeof value === 'string') {
@@ -77,7 +77,7 @@
 	throw new RequestFault(400, {error: `${name} is no text`});
 };
 
-/** Takes a number out of a body. */
+/** Reads a finite number from a field of a body. */
 export const toNumber = (body: JsonBody, name: string, fallback?: number): number => {
 	const value = body[name] ?? fallback;
 	if (typeof value === 'number' && Number.isFinite(value)) {
@@ -106,7 +106,7 @@
 /**
  * Starts a server on loopback.
  *
- * @param handler Answers one request; what it throws is answered with its status, or 500.
+ * @param handler Answers one request. A thrown {@link RequestFault} is answered with its status, any other error with 500.
  * @param port 0 for any free port.
  */
 export const startHttpServer = async (handler: HttpHandler, port = 0, bind = '127.0.0.1'): Promise<HttpServer> => {
--- a/test/stand-ins/_lib/run-stand-in.ts
+++ b/test/stand-ins/_lib/run-stand-in.ts
@@ -1,8 +1,8 @@
-/** What the stand-ins do alike as programs: say where they listen, and end when told to. */
+/** Runs a stand-in as a program: logs where it listens and stops it on a signal. */
 import process from 'node:process';
 
 type StandIn = {
-	/** Name, where it has one. */
+	/** Name of the stand-in, if it has one. */
 	id?: string;
 	port: number;
 	url: string;
@@ -12,7 +12,7 @@
 /**
  * Logs the `listening` line of a stand-in and stops it at SIGTERM or SIGINT.
  *
- * @param standIn - One that listens.
+ * @param standIn - A stand-in that is listening.
  */
 export function runStandIn({id, port, url, stop}: StandIn): void {
 	const end = async (): Promise<void> => {
--- a/test/stand-ins/engine/_lib/answer.ts
+++ b/test/stand-ins/engine/_lib/answer.ts
@@ -1,4 +1,4 @@
-/** The right answer to a prompt, so that a test can tell whose answer a caller got and whether it is whole. */
+/** The correct answer to a prompt, by which a test can tell which request an answer belongs to and whether it is complete. */
 import {createHash} from 'node:crypto';
 
 const unitsPerToken = 4;
@@ -6,17 +6,17 @@
 
 const toShortHash = (text: string): string => createHash('sha256').update(text).digest('hex').slice(0, 8);
 
-/** Prompt tokens as the protocol estimates them. */
+/** Counts the tokens of a prompt as the protocol estimates them. */
 export const countPromptTokens = (prompt: string): number => Math.max(1, Math.ceil(prompt.length / unitsPerToken));
 
-/** Makes the token at each offset of a prompt's answer. */
+/** Creates a function that returns the token at an offset of the prompt's answer. */
 export const createAnswer = (prompt: string): ((offset: number) => string) => {
 	const mark = toShortHash(prompt);
 	return offset => offset === 0 ? `${mark}-0` : ` ${mark}-${offset}`;
 };
 
 /**
- * The whole answer to a prompt.
+ * Returns the complete answer to a prompt.
  *
  * @param prompt The prompt as the engine gets it.
  * @param maxTokens Number of tokens; the stand-in always generates all of them.
@@ -26,7 +26,7 @@
 	return Array.from({length: maxTokens}, (_, offset) => answer(offset));
 };
 
-/** Names the whole blocks of a prompt, from its start. */
+/** Returns the hashes of the complete blocks of a prompt, in order. Each hash covers the prompt up to the end of its block. */
 export const toBlocks = (prompt: string): string[] => {
 	const hash = createHash('sha256');
 	const blocks: string[] = [];
--- a/test/stand-ins/engine/_lib/create-engine.ts
+++ b/test/stand-ins/engine/_lib/create-engine.ts
@@ -1,4 +1,4 @@
-/** One imitated engine without its HTTP face: the calls of the protocol as functions. */
+/** One imitated engine without HTTP: the calls of the protocol as functions. */
 import {type ServerResponse} from 'node:http';
 import {Agent} from 'undici';
 import {type AttemptKey, type EngineOrder, type LoadReport} from '../../../../src/ports/engine.js';
@@ -22,7 +22,7 @@
 
 const maxCancelled = 100_000;
 
-/** Takes the name of the attempt out of a call. */
+/** Reads the key of the attempt from the body of a call. */
 export const toKey = (body: JsonBody): AttemptKey => {
 	const {key} = body;
 	if (!isRecord(key) || !isRecord(key.owner)) {
@@ -41,7 +41,7 @@
 	const {network} = settings;
 	const dispatcher = new Agent({connections: 64, ...(network && {localAddress: network.localAddress})});
 	const cache = createPrefixCache({blocks: settings.cacheBlocks, lagMs: settings.cacheEventLagMs, gap: settings.cacheEventGap});
-	/** Attempts that were cancelled; a late call of theirs starts nothing. */
+	/** Cancelled attempts; a late call for one of them starts nothing. */
 	const cancelled = new Set<string>();
 	let lastAcceptedAtMs: number | undefined;
 	let peakSlotsUsed = 0;
@@ -185,7 +185,7 @@
 				peakSlotsUsed,
 			};
 		},
-		/** Loses all memory, as the end of its process does; the judge's counts stay. */
+		/** Drops all state, as the end of the process would; the counts of the judge stay. */
 		clear() {
 			prefills.clear();
 			streams.clear();
--- a/test/stand-ins/engine/_lib/create-judge.ts
+++ b/test/stand-ins/engine/_lib/create-judge.ts
@@ -1,4 +1,4 @@
-/** Counts what an engine did for whom; the code under test never sees it. */
+/** Counts what an engine did for each request. The code under test has no access to the counts. */
 import {type AttemptKey, type EngineOrder} from '../../../../src/ports/engine.js';
 import {type JudgedRequest, type TakenOrder, type WasteCause} from './types.js';
 
@@ -45,7 +45,7 @@
 		count(key: AttemptKey, what: Counted, amount = 1) {
 			getRequest(key)[what] += amount;
 		},
-		/** Keeps how the prompt of a request begins, by which a test finds the runs of one caller's work. */
+		/** Records the beginning of a request's prompt, by which a test finds the runs of one piece of work. */
 		recordPrompt(key: AttemptKey, prompt: string) {
 			prompts[key.requestId] = prompt.slice(0, promptBeginning);
 		},
@@ -66,7 +66,7 @@
 		report: () => ({
 			requests: Object.fromEntries(requests), wasted, wastedRequests, orders, refusedOrders, offers: Object.fromEntries(offers), calls, prompts,
 		}),
-		/** Forgets all counts, for the next part of a long run. */
+		/** Resets all counts, for the next part of a long run. */
 		reset() {
 			requests.clear();
 			offers.clear();
--- a/test/stand-ins/engine/_lib/create-link.ts
+++ b/test/stand-ins/engine/_lib/create-link.ts
@@ -1,8 +1,8 @@
-/** A link of limited rate: pieces of all transfers pass one after the other, so concurrent transfers share it. */
+/** A link of limited rate: chunks of all transfers pass one after another, so concurrent transfers share the rate. */
 import {setTimeout as sleep} from 'node:timers/promises';
 
 export type Link = {
-	/** Waits until so many bytes have passed. */
+	/** Waits for the time that this many bytes need on the link. */
 	pass: (bytes: number, signal: AbortSignal) => Promise<void>;
 };
 
@@ -13,7 +13,7 @@
 			const now = performance.now();
 			freeAt = Math.max(now, freeAt) + (bytes / bytesPerSecond * 1000);
 			const waitMs = freeAt - now;
-			// Debts under a timer's grain are paid with a later piece.
+			// A wait below the resolution of timers is carried over to a later chunk through `freeAt`.
 			if (waitMs >= 1) {
 				await sleep(waitMs, undefined, {signal});
 			}
--- a/test/stand-ins/engine/_lib/create-load-log.ts
+++ b/test/stand-ins/engine/_lib/create-load-log.ts
@@ -1,4 +1,4 @@
-/** Load numbers of the past, so that reports can lag. */
+/** Keeps past load numbers, so that load reports can lag. */
 export const createLoadLog = <T>(lagMs: number, read: () => T) => {
 	let log: Array<{at: number; numbers: T}> = [{at: Number.NEGATIVE_INFINITY, numbers: read()}];
 
@@ -15,7 +15,7 @@
 			trim(now);
 			log.push({at: now, numbers: read()});
 		},
-		/** The numbers that were right `lagMs` ago. */
+		/** Returns the numbers that were current `lagMs` ago. */
 		readLagged(): T {
 			const until = performance.now() - lagMs;
 			const entry = log.findLast(({at}) => at <= until) ?? log[0];
--- a/test/stand-ins/engine/_lib/create-orders.ts
+++ b/test/stand-ins/engine/_lib/create-orders.ts
@@ -1,4 +1,4 @@
-/** What an engine serves, and the orders that change it. */
+/** Tracks what an engine serves and applies the orders that change it. */
 import {type EngineOrder, type LoadReport} from '../../../../src/ports/engine.js';
 import {type Judge} from './create-judge.js';
 import {refuse} from './refuse.js';
@@ -89,7 +89,7 @@
 			execute(order);
 			onChange();
 		},
-		/** Throws unless new work of this kind is served now. */
+		/** Throws a refusal unless the engine currently accepts new work of this kind. */
 		check({model, version, adapter}: {model?: unknown; version?: unknown; adapter?: unknown}, role: LoadReport['role']): void {
 			if (served.state === 'leaving') {
 				throw refuse('leaving', 'this server is leaving');
@@ -110,7 +110,7 @@
 				throw refuse('wrong-model', `this server has ${served.model} ${served.version} with ${[...served.adapters].join(', ') || 'no adapter'}`);
 			}
 		},
-		/** Goes back to what the engine served at its first start. */
+		/** Restores what the engine served at its first start. */
 		clear() {
 			for (const timer of timers) {
 				clearTimeout(timer);
--- a/test/stand-ins/engine/_lib/create-prefills.ts
+++ b/test/stand-ins/engine/_lib/create-prefills.ts
@@ -1,6 +1,6 @@
 /**
- * The prefill side: a queue with quick before batch, few computations at once,
- * and KV caches that live for a short while after them.
+ * The prefill side: a queue in which quick requests go before batch ones, a limited
+ * number of concurrent computations, and KV caches that are kept for a short time.
  */
 import {type AttemptKey, type Hold, type PrefillResult} from '../../../../src/ports/engine.js';
 import {type ServiceClass} from '../../../../src/ports/outcome.js';
@@ -19,7 +19,7 @@
 	deadlineAt: number;
 };
 
-/** A KV cache, as it goes from engine to engine. */
+/** Description of a KV cache, as sent from one engine to another. */
 export type KvCache = {
 	kvId: string;
 	key: AttemptKey;
@@ -83,7 +83,7 @@
 			return;
 		}
 
-		// A transfer under way keeps its source, but not for ever.
+		// A transfer in progress keeps the cache alive, for ten times its lifetime at most.
 		kv.timer = setTimeout(() => {
 			dropKv(kv, 'transfer-failed');
 		}, settings.kvTtlMs * 10);
@@ -126,7 +126,7 @@
 		const cachedTokens = Math.min(job.tokens, cache.countCached(job.prompt));
 		const costMs = settings.prefillBaseMs + ((job.tokens - cachedTokens) / settings.prefillTokensPerSecond * 1000);
 		const now = performance.now();
-		// With one computation at once, a late timer does not cost capacity: the next one counts from the right moment.
+		// With a concurrency of one, the next computation starts at the planned end of the last, so a late timer does not reduce capacity.
 		const from = settings.prefillConcurrency === 1 && now - freeAt < 20 ? Math.max(freeAt, job.since) : now;
 		freeAt = from + costMs;
 		job.timer = setTimeout(() => {
@@ -186,10 +186,10 @@
 				pump();
 			});
 		},
-		/** Lends a cache to a transfer; `done` says whether all of it went over. */
+		/** Begins a transfer of a cache; `done` ends it and is told whether the transfer was complete. */
 		beginTransfer(kvId: string): {kv: KvCache; signal: AbortSignal; done: (isWhole: boolean) => void} | undefined {
 			const kv = held.get(kvId);
-			// Past its life a cache is kept for transfers under way alone.
+			// An expired cache is only kept for transfers in progress.
 			if (kv === undefined || isExpired(kv)) {
 				return undefined;
 			}
@@ -244,7 +244,7 @@
 			queued: queue.length,
 			queuedTokens: [...queue, ...running].reduce((sum, job) => sum + job.tokens, 0),
 		}),
-		/** Loses everything, as the end of the engine's process does. */
+		/** Drops all state, as the end of the engine's process would. */
 		clear() {
 			for (const job of [...queue, ...running]) {
 				clearTimeout(job.timer);
--- a/test/stand-ins/engine/_lib/create-prefix-cache.ts
+++ b/test/stand-ins/engine/_lib/create-prefix-cache.ts
@@ -1,4 +1,4 @@
-/** The prefix cache of a prefill engine: few blocks, least recently used goes first, events late and with gaps. */
+/** The prefix cache of a prefill engine: a small LRU cache of blocks that reports its events late and with gaps. */
 import {toBlocks} from './answer.js';
 
 export type CacheEvent = {seq: number; kind: 'stored' | 'evicted'; block: string};
@@ -33,7 +33,7 @@
 	};
 
 	return {
-		/** Tokens of the prompt's beginning that are cached. */
+		/** Counts the tokens at the beginning of the prompt that are cached. */
 		countCached(prompt: string): number {
 			const blocks = toBlocks(prompt);
 			const miss = blocks.findIndex(block => !cached.has(block));
@@ -50,11 +50,11 @@
 
 			evictExcess();
 		},
-		/** Forgets all blocks without a word, as a restart does. */
+		/** Drops all blocks without events, as a restart does. */
 		clear() {
 			cached.clear();
 		},
-		/** Events that have become visible, those in the gaps left out. */
+		/** Returns the events that are old enough to be visible, without those in the gaps. */
 		eventsSince(since: number): {next: number; events: CacheEvent[]} {
 			const until = performance.now() - lagMs;
 			const visible = events.filter(event => event.seq >= since && event.at <= until);
--- a/test/stand-ins/engine/_lib/create-streams.ts
+++ b/test/stand-ins/engine/_lib/create-streams.ts
@@ -1,6 +1,6 @@
 /**
- * The decode side: reservations that expire, caches pulled in, and streams of a
- * continuous batch which go on without a reader and can be read again.
+ * The decode side: reservations that expire, imports of KV caches, and streams of a
+ * continuous batch. A stream continues without a reader and can be read again.
  */
 import {type ServerResponse} from 'node:http';
 import {type AttemptKey, type Hold} from '../../../../src/ports/engine.js';
@@ -29,7 +29,7 @@
 	answer: (offset: number) => string;
 	firstOffset: number;
 	maxTokens: number;
-	/** Tokens there are, as a fraction while the next one is in work. */
+	/** Number of tokens generated; the fraction is the progress of the next one. */
 	progress: number;
 	bytes: number;
 	readers: Set<Reader>;
@@ -132,7 +132,7 @@
 		stream.readers.add(reader);
 		res.writeHead(200, {'content-type': 'application/x-ndjson'});
 		res.flushHeaders();
-		// Read to its end: the answer has gone out whole.
+		// The reader has received the complete answer, so the engine no longer keeps it.
 		res.once('finish', () => {
 			if (reader.sent >= stream.maxTokens && isGenerated(stream)) {
 				dropStream(stream);
@@ -175,7 +175,7 @@
 			onChange();
 			return {reservationId: held.reservationId, expiresInMs: ttlMs};
 		},
-		/** Runs the pull of a cache into a reservation; the pull ends when the reservation does. */
+		/** Pulls a cache into a reservation. The pull is aborted when the reservation ends. */
 		async importKv(key: AttemptKey, reservationId: string, pull: (signal: AbortSignal) => Promise<KvCache>): Promise<{bytes: number}> {
 			const held = findReservation(key, reservationId);
 			if (held.importing !== undefined) {
@@ -273,7 +273,7 @@
 			return [...waiting, ...running];
 		},
 		numbers: () => ({slotsUsed: countSlots(), queued: 0, queuedTokens: 0}),
-		/** Loses everything, as the end of the engine's process does. */
+		/** Drops all state, as the end of the engine's process would. */
 		clear() {
 			for (const held of reservations.values()) {
 				dropReservation(held, 'server-lost');
--- a/test/stand-ins/engine/_lib/route.ts
+++ b/test/stand-ins/engine/_lib/route.ts
@@ -1,4 +1,4 @@
-/** The engine protocol over HTTP/1.1, and the judge's port beside it. */
+/** The engine protocol over HTTP/1.1, and the calls of the judge on the same port. */
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import {setTimeout as sleep} from 'node:timers/promises';
 import {RequestFault, readJson, sendJson} from '../../_lib/http-server.js';
--- a/test/stand-ins/engine/_lib/take-fault.ts
+++ b/test/stand-ins/engine/_lib/take-fault.ts
@@ -1,4 +1,4 @@
-/** Says whether a counted fault hits this call, and counts it down. */
+/** Returns whether a fault affects this call, and decrements the remaining number of calls it affects. */
 export const takeFault = (fault: {times?: number} | undefined): boolean => {
 	if (fault === undefined || fault.times === 0) {
 		return false;
@@ -11,7 +11,7 @@
 	return true;
 };
 
-/** Replaces all switches in place, as the parts that read them hold the object. */
+/** Replaces all fault switches in place, because the modules that read them hold a reference to the object. */
 export const replaceFaults = (faults: object, next: object): void => {
 	for (const name of Object.keys(faults)) {
 		Reflect.deleteProperty(faults, name);
--- a/test/stand-ins/engine/_lib/to-settings.ts
+++ b/test/stand-ins/engine/_lib/to-settings.ts
@@ -26,7 +26,7 @@
 	timeScale: 1,
 };
 
-/** Fills in defaults and divides every time by the scale. */
+/** Fills in defaults, divides the durations by the time scale and multiplies the rates by it. */
 export const toSettings = (options: EngineStandInOptions): EngineSettings => {
 	const settings: EngineSettings = {...defaults, ...options};
 	const scale = settings.timeScale;
--- a/test/stand-ins/engine/_lib/transfer-kv.ts
+++ b/test/stand-ins/engine/_lib/transfer-kv.ts
@@ -1,7 +1,7 @@
 /**
- * Moves a KV cache between two engines. What passes is a line that describes
- * it and a few small pieces; each piece stands for its share of the cache and
- * takes the links that long.
+ * Transfers a KV cache between two engines. Only a line that describes the cache
+ * and a few small pieces are sent. Each piece stands for its share of the cache and
+ * occupies the links of both engines for the time that the share would take.
  */
 import {type ServerResponse} from 'node:http';
 import {setTimeout as sleep} from 'node:timers/promises';
@@ -36,7 +36,7 @@
 	}
 };
 
-/** Answers another engine's pull. */
+/** Answers a pull by another engine. */
 export const serveKv = async (options: ServeOptions): Promise<void> => {
 	const transfer = options.prefills.beginTransfer(options.kvId);
 	if (transfer === undefined) {
--- a/test/stand-ins/engine/_lib/types.ts
+++ b/test/stand-ins/engine/_lib/types.ts
@@ -3,7 +3,7 @@
 
 export type EngineRole = 'prefill' | 'decode';
 
-/** Times are those of the engine that is imitated; `timeScale` divides them all. */
+/** Durations and rates are those of the imitated engine; `timeScale` speeds them up. */
 export type EngineStandInOptions = {
 	id: string;
 	role: EngineRole;
@@ -13,18 +13,18 @@
 	/** 0 takes any free port. */
 	port?: number;
 	bind?: string;
-	/** Requests that a decode engine's memory holds. */
+	/** Number of requests for which a decode engine has memory. */
 	slots?: number;
-	/** Prefills computed at once. */
+	/** Number of prefills computed concurrently. */
 	prefillConcurrency?: number;
 	prefillTokensPerSecond?: number;
-	/** Cost of any prefill beside its tokens. */
+	/** Fixed cost of a prefill, in addition to its tokens. */
 	prefillBaseMs?: number;
-	/** Tokens a second of one stream. */
+	/** Tokens per second of a single stream. */
 	decodeTokensPerSecond?: number;
 	/** Share by which each further stream of the batch slows a stream, 0 for none. */
 	batchSlowdown?: number;
-	/** Life of a KV cache after its prefill. */
+	/** Lifetime of a KV cache after its prefill. */
 	kvTtlMs?: number;
 	/** Rate of the engine's own link, shared by its transfers. */
 	linkBytesPerSecond?: number;
@@ -34,17 +34,17 @@
 	/** Blocks of 16 tokens in the prefix cache. */
 	cacheBlocks?: number;
 	cacheEventLagMs?: number;
-	/** One in so many cache events is never told; 0 for none. */
+	/** Every nth cache event is never reported; 0 reports all. */
 	cacheEventGap?: number;
 	/** Time to load a version or to change role; an adapter takes a tenth. */
 	loadVersionMs?: number;
 	checksFence?: boolean;
-	/** Life of a generated answer that nobody has read to its end. */
+	/** Lifetime of a generated answer that no caller has read to its end. */
 	keepAnswerMs?: number;
 	/** Time between steps at which streams send. */
 	stepMs?: number;
 	timeScale?: number;
-	/** Where its own calls to other engines come from and go to, for cuts between them. */
+	/** Source address and URL mapping of the engine's calls to other engines, for cuts between them. */
 	network?: EngineNetwork;
 };
 
@@ -57,27 +57,27 @@
 
 export type StreamFaultKind = 'short' | 'reset' | 'stall' | 'garbage' | 'oversized' | 'crossed' | 'duplicated' | 'skipped' | 'wrong-attempt';
 
-/** Switches of wrong behaviour. An absent one is off; `times` counts down the calls that it hits, and absent means all. */
+/** Fault switches. An absent switch is off. `times` is the number of calls still to be affected; absent means all. */
 export type EngineFaults = {
 	/** Delay before any answer, in milliseconds of real time. */
 	lateMs?: number;
 	/** Refusal of every call of the kinds in `on`, or of all that start work. */
 	refuse?: {reason: EngineRefusalReason; on?: ReadonlyArray<'reservations' | 'prefills' | 'imports' | 'streams' | 'orders'>; retryAfterMs?: number; times?: number};
-	/** What a reader of a stream gets from token `atToken` on (default 0). */
+	/** Fault of a stream, from token `atToken` on (default 0). */
 	stream?: {kind: StreamFaultKind; atToken?: number; times?: number};
-	/** What happens to a transfer out of this engine after a share of its bytes (default half). */
+	/** Fault of a transfer out of this engine, after a share of its bytes (default half). */
 	transfer?: {kind: 'stall' | 'reset'; atShare?: number; times?: number};
-	/** Cancels whose connection is dropped and which are not done. */
+	/** Drops the connection of cancels without carrying them out. */
 	loseCancels?: {times?: number};
-	/** Calls whose connection is dropped after the work was done. */
+	/** Drops the connection of calls after their work was done. */
 	loseAnswers?: {on: ReadonlyArray<'reservations' | 'prefills' | 'imports' | 'streams'>; times?: number};
-	/** Answers of another protocol in place of JSON. */
+	/** Answers with HTML in place of JSON. */
 	garbageAnswers?: {times?: number};
 };
 
-/** What the judge knows of one request on one engine. */
+/** Counts of the judge for one request on one engine. */
 export type JudgedRequest = {
-	/** Attempts that any call named. */
+	/** Attempts named in any call. */
 	attempts: number[];
 	reservations: number;
 	/** Prefills whose computation began; one that only queued is not counted. */
@@ -85,11 +85,11 @@
 	prefillsFinished: number;
 	decodesStarted: number;
 	decodesFinished: number;
-	/** Cancels that were carried out, also those that freed nothing. */
+	/** Cancels carried out, including those that released nothing. */
 	cancels: number;
 	/** Answer tokens generated, over all attempts. */
 	tokens: number;
-	/** Times that an `answered` list was no beginning of the right answer. */
+	/** Times that an `answered` list was not a prefix of the correct answer. */
 	wrongContinuations: number;
 };
 
@@ -108,9 +108,9 @@
 	wastedRequests: Array<{requestId: string; attempt: number; cause: WasteCause}>;
 	orders: readonly TakenOrder[];
 	refusedOrders: readonly TakenOrder[];
-	/** How the prompts of prefills that were asked for begin, by request id. */
+	/** Beginnings of the prompts of requested prefills, by request id. */
 	prompts: Record<string, string>;
-	/** Reservations and prefills that were asked for, taken or not, by request id. */
+	/** Reservations and prefills requested, accepted or not, by request id. */
 	offers: Record<string, number>;
 	/** Calls by name, from all callers. */
 	calls: Record<string, number>;
--- a/test/stand-ins/engine/_lib/write-tokens.test.ts
+++ b/test/stand-ins/engine/_lib/write-tokens.test.ts
@@ -7,7 +7,7 @@
 
 const atToken = 7;
 
-/** Writes a stream's tokens at the given counts of ready ones, and gives the lines that its reader got. */
+/** Writes the tokens of a stream each time one of the given counts is ready, and returns the lines that the reader received. */
 function writeAt(kind: StreamFaultKind, counts: readonly number[]): string[] {
 	const lines: string[] = [];
 	const res = {
@@ -45,7 +45,7 @@
 type Line = {offset: number; attempt: number; tokens: string[]};
 
 describe('writeTokens', () => {
-	/* Guards against a fault that is counted as struck and sends nothing wrong: a busy machine makes just the tokens ready that come before it. */
+	/* Guards against a fault that is counted as applied although nothing wrong was sent. It comes about when, on a busy machine, exactly the tokens before the fault's offset are ready. */
 	for (const counts of [[3, 7, 10], [7, 8], [7, 30], [9], [3, 6, 9], [30]]) {
 		it(`sends a token twice, with ${counts.join(', ')} ready`, () => {
 			const offsets = writeAt('duplicated', counts).map(line => JSON.parse(line) as Line).filter(({tokens}) => tokens.length > 0).map(({offset}) => offset);
--- a/test/stand-ins/engine/_lib/write-tokens.ts
+++ b/test/stand-ins/engine/_lib/write-tokens.ts
@@ -1,4 +1,4 @@
-/** Writes what a reader of a stream has not had yet, right or as a fault switch says. */
+/** Writes the tokens that a reader of a stream has not received yet, correctly or with the fault that a switch sets. */
 import {type ServerResponse} from 'node:http';
 import {takeFault} from './take-fault.js';
 import {type EngineFaults, type StreamFaultKind} from './types.js';
@@ -120,14 +120,14 @@
 
 	const fault = faults.stream;
 	const atToken = fault?.atToken ?? 0;
-	// Without a token behind it, a fault would count as struck and send nothing wrong.
+	// Without a token at or after its offset, a fault would be counted as applied although nothing wrong was sent.
 	const isBeforeFault = ready <= atToken && ready < stream.maxTokens;
 	if (fault === undefined || isBeforeFault) {
 		writeCorrect(write, ready);
 		return;
 	}
 
-	// What comes before the fault goes out first.
+	// Sends the tokens before the offset of the fault correctly.
 	if (reader.sent < atToken) {
 		writeCorrect(write, Math.min(atToken, ready));
 	}
--- a/test/stand-ins/engine/index.ts
+++ b/test/stand-ins/engine/index.ts
@@ -1,7 +1,8 @@
 /**
  * Stand-in for a model engine: batches continuously, keeps prefill results for
- * a short while, shares its link, reports load late, and counts for the judge
- * what it ran and what it holds. Many can run in one process.
+ * a short time, shares its link between transfers, reports its load with a delay,
+ * and counts for the judge what it ran and what it holds. Many engines can run in
+ * one process.
  */
 import {startHttpServer} from '../_lib/http-server.js';
 import {createEngine} from './_lib/create-engine.js';
@@ -21,21 +22,21 @@
 	id: string;
 	port: number;
 	url: string;
-	/** Switches; change its fields at any time, or see {@link EngineStandIn.setFaults}. */
+	/** Fault switches; its fields may be changed at any time. See also {@link EngineStandIn.setFaults}. */
 	faults: EngineFaults;
-	/** Replaces all switches. */
+	/** Replaces all fault switches. */
 	setFaults: (faults: EngineFaults) => void;
 	setState: (state: 'serving' | 'loading' | 'leaving') => void;
-	/** All that the judge knows. */
+	/** Returns all counts of the judge. */
 	judge: () => JudgeReport;
-	/** What is known of one request; zeroes if nothing. */
+	/** Returns the counts of one request; all zero for an unknown one. */
 	judgeRequest: (requestId: string) => JudgedRequest;
 	resetJudge: () => void;
-	/** Dies at once: every connection closes, nothing listens, and all memory is gone; the judge's counts stay. */
+	/** Crashes the engine: every connection and the port close, and all state is lost. The counts of the judge stay. */
 	crash: () => Promise<void>;
-	/** Starts again after a crash, on the same port and with nothing but its first model. */
+	/** Restarts the engine after a crash, on the same port and with only its initial model. */
 	revive: () => Promise<void>;
-	/** Ends for good. */
+	/** Stops the engine for good. */
 	stop: () => Promise<void>;
 };
 
--- a/test/stand-ins/engine/main.ts
+++ b/test/stand-ins/engine/main.ts
@@ -1,4 +1,4 @@
-/** The engine stand-in as a program: `--id e1 --role prefill --port 0 --model post-summary`, and each option by its kebab-case name. */
+/** Command line of the engine stand-in: `--id e1 --role prefill --port 0 --model post-summary`, and each option by its kebab-case name. */
 import {Command, Option} from 'commander';
 import {runStandIn} from '../_lib/run-stand-in.js';
 import {startEngineStandIn, type EngineStandInOptions} from './index.js';
--- a/test/stand-ins/link/index.ts
+++ b/test/stand-ins/link/index.ts
@@ -1,7 +1,7 @@
 /**
  * Stand-in for a network link: a TCP relay that can be cut in either or both
- * directions, slowed, reset and healed. A cut swallows bytes and keeps
- * connections open, as a partition does; nobody is told.
+ * directions, slowed, reset and healed. A cut discards bytes and keeps
+ * connections open, so neither end notices, as in a network partition.
  */
 import {
 	connect, createServer, type AddressInfo, type Socket,
@@ -13,13 +13,13 @@
 	port?: number;
 	bind?: string;
 	delayMs?: number;
-	/** Cuts by who connects, beside {@link LinkStandIn.cut}; asked for each piece. Call {@link LinkStandIn.refresh} when its answers change. */
+	/** Cuts by source address, in addition to {@link LinkStandIn.cut}; called for each chunk. Call {@link LinkStandIn.refresh} when its results change. */
 	isCutFor?: (sourceAddress: string, direction: LinkDirection) => boolean;
 };
 
 export type LinkDirection = 'to-target' | 'from-target';
 
-/** `to-target` loses what the connecting side sends, `from-target` what comes back. */
+/** `to-target` discards what the connecting side sends, `from-target` what the target sends back. */
 export type LinkCut = 'none' | 'both' | LinkDirection;
 
 export type LinkStandIn = {
@@ -27,14 +27,14 @@
 	/** `IP:port` of this end. */
 	address: string;
 	url: string;
-	/** Cuts; what was sent during a cut is lost, so a connection that lost bytes is reset on healing. */
+	/** Cuts the link. Bytes sent during a cut are lost, so healing resets every connection that lost some. */
 	cut: (cut?: LinkCut) => void;
 	heal: () => void;
-	/** Resets connections that lost bytes in a cut which is over. */
+	/** Resets connections that lost bytes in a cut that has ended. */
 	refresh: () => void;
 	/** Resets every open connection. */
 	reset: () => void;
-	/** Delay of each piece in either direction, milliseconds. */
+	/** Sets the delay of each chunk in either direction, in milliseconds. */
 	setDelay: (delayMs: number) => void;
 	/** Points new connections to another address. */
 	setTarget: (target: string) => void;
@@ -55,7 +55,7 @@
 	const pairs = new Set<Pair>();
 	const byteCounts = {toTarget: 0, fromTarget: 0};
 	const state: {cut: LinkCut; delayMs: number; target: string} = {cut: 'none', delayMs: options.delayMs ?? 0, target: options.target};
-	/** Connections accepted during a cut: the connecting side hears nothing. */
+	/** Connections accepted during a cut; the connecting side receives nothing on them. */
 	const unansweredSockets = new Set<Socket>();
 
 	const isCut = (source: string, direction: LinkDirection): boolean => state.cut === 'both' || state.cut === direction
--- a/test/stand-ins/link/test.ts
+++ b/test/stand-ins/link/test.ts
@@ -15,7 +15,7 @@
 	}
 });
 
-/** A link before a server that answers each piece with `echo:` and the piece, and what both ends have got. */
+/** Starts a link to a server that answers each chunk with `echo:` and the chunk. Records what both ends received. */
 const start = async () => {
 	const arrived: string[] = [];
 	const server = createServer(socket => {
@@ -53,7 +53,7 @@
 		assert.deepEqual(arrived, ['a']);
 	});
 
-	it('loses the bytes of one direction alone, tells nobody, and resets on healing', async () => {
+	it('discards the bytes of one direction, keeps the connection open, and resets it on healing', async () => {
 		const {link, arrived, dial} = await start();
 		const {socket, got} = await dial();
 		link.cut('from-target');
@@ -69,7 +69,7 @@
 		await waitUntil(() => again.got.join('') === 'echo:b', wait);
 	});
 
-	it('lets nothing through while it is cut, and leaves connections that lost nothing', async () => {
+	it('passes nothing during a cut, and keeps connections that lost nothing', async () => {
 		const {link, arrived, dial} = await start();
 		const {socket, got} = await dial();
 		link.cut();
--- a/test/stand-ins/plain/index.ts
+++ b/test/stand-ins/plain/index.ts
@@ -1,19 +1,20 @@
 /**
- * Stand-in for a plain HTTP service: does its "work" once for each call, counts
- * it by idempotency key, echoes the body, and fails before or after the work.
+ * Stand-in for a plain HTTP service. Each call counts one piece of work for its
+ * idempotency key and echoes the body. Fault switches make calls fail before or
+ * after the work.
  */
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import {setTimeout as sleep} from 'node:timers/promises';
 import {readBytes, sendJson, startHttpServer} from '../_lib/http-server.js';
 
 export type PlainFaults = {
-	/** Drops the connection; `before` does no work, `after` has done it, `midway` has sent half of the answer. */
+	/** Drops the connection: `before` the work, `after` the work, or `midway` through the answer. */
 	drop?: 'before' | 'after' | 'midway';
-	/** Answers with this status and does no work. */
+	/** Answers with this status without doing the work. */
 	status?: number;
-	/** Number of calls that the switches hit; absent means all. */
+	/** Number of calls that the switches affect; absent means all. */
 	times?: number;
-	/** Time that the work takes, in milliseconds. */
+	/** Duration of the work in milliseconds. */
 	workMs?: number;
 };
 
@@ -32,9 +33,9 @@
 	url: string;
 	faults: PlainFaults;
 	setFaults: (faults: PlainFaults) => void;
-	/** Work done for an idempotency key. */
+	/** Times that the work was done for an idempotency key. */
 	countWork: (key: string) => number;
-	/** Calls that arrived, work done or not. */
+	/** Calls that arrived, whether or not their work was done. */
 	calls: () => readonly PlainCall[];
 	stop: () => Promise<void>;
 };
--- a/test/stand-ins/platform/index.ts
+++ b/test/stand-ins/platform/index.ts
@@ -13,17 +13,17 @@
 export type PlatformFaults = {
 	/** Drops every connection. */
 	down?: boolean;
-	/** Serves what was in force when the switch was set, whatever is published. */
+	/** Serves the values that were current when the switch was set, whatever is published later. */
 	frozen?: boolean;
-	/** Serves the document of this revision of `config`, under its old number. */
+	/** Serves the document of this revision of `config` under its old revision number. */
 	oldRevision?: number;
-	/** Serves the document of this revision of `config` under the newest number. */
+	/** Serves the document of this revision of `config` under the newest revision number. */
 	oldDocument?: number;
-	/** Serves this share of the text of each value. */
+	/** Share of each value's text that is served, from its start. */
 	truncateAt?: number;
 	/** Delay before each answer, in milliseconds. */
 	slowMs?: number;
-	/** Answers with no JSON. */
+	/** Answers with a body that is not JSON. */
 	garbage?: boolean;
 };
 
@@ -32,19 +32,19 @@
 	bind?: string;
 	config?: string;
 	fleet?: FleetList;
-	/** Reads a second over all readers, watches included; more are answered with 429. */
+	/** Read budget per second over all readers, watches included; further reads are answered with 429. */
 	readsPerSecond?: number;
 };
 
 export type PlatformJudge = {
 	reads: number;
 	rejectedReads: number;
-	/** Most reads in any one second. */
+	/** Largest number of reads in any one second. */
 	peakReadsPerSecond: number;
-	/** Reads by the client's own name (`x-client`), or else by connection. */
+	/** Reads by the name that the client sends (`x-client`), or by connection if it sends none. */
 	readsByClient: Record<string, number>;
 	revisions: Record<string, number>;
-	/** Bytes of the values in its answers. */
+	/** Total size of the values in answers. */
 	servedBytes: number;
 	/** Reads and watches within the budget, by key. */
 	readsByKey: Record<string, number>;
@@ -73,7 +73,7 @@
 	let rejectedReads = 0;
 	let peak = 0;
 	return {
-		/** Counts a read and says whether the budget holds it. */
+		/** Counts a read and returns whether it is within the budget. */
 		take(client: string): boolean {
 			const now = performance.now();
 			recent = recent.filter(at => at > now - 1000);
@@ -146,7 +146,7 @@
 				? value
 				: {...value, value: value.value.slice(0, Math.floor(value.value.length * faults.truncateAt))};
 		},
-		/** Takes a change of the switches into account. */
+		/** Applies changed fault switches to the values served. */
 		applyFaults(): void {
 			frozen = faults.frozen ? (frozen ?? new Map([...histories.keys()].map(key => [key, newest(key)]))) : undefined;
 			notifyWaiters();
@@ -160,7 +160,7 @@
 
 type Wait = {values: Values; key: string; since: number; waitMs: number; res: ServerResponse};
 
-/** Waits until the served revision differs, the time is over or the reader has gone. */
+/** Waits until the served revision differs, the wait time has passed or the reader has disconnected. */
 const waitForChange = async ({values, key, since, waitMs, res}: Wait): Promise<void> => {
 	if (values.served(key)?.revision !== since && values.served(key) !== undefined) {
 		return;
--- a/test/stand-ins/platform/main.ts
+++ b/test/stand-ins/platform/main.ts
@@ -1,4 +1,4 @@
-/** The platform stand-in as a program: `--port 0 --config-file rules.yaml --fleet-file fleet.json`. */
+/** Command line of the platform stand-in: `--port 0 --config-file rules.yaml --fleet-file fleet.json`. */
 import {readFileSync} from 'node:fs';
 import {Command} from 'commander';
 import {runStandIn} from '../_lib/run-stand-in.js';
--- a/test/stand-ins/users-platform/server.ts
+++ b/test/stand-ins/users-platform/server.ts
@@ -1,62 +1,62 @@
-/** A backend server of the users as their pages tell it: plain, or one that keeps prefill and decode apart. */
+/** Stand-in for a backend server of the users, according to their documentation: plain, or with separate prefill and decode. */
 import {Buffer} from 'node:buffer';
 import {once} from 'node:events';
 import {createServer, type IncomingMessage, type ServerResponse} from 'node:http';
 import {type AddressInfo, type Socket} from 'node:net';
 import {setTimeout as sleep} from 'node:timers/promises';
 
-/** One request that reached the server, or one of its own calls. */
+/** One request that reached the server, or one call that manages its reservations, caches or orders. */
 export type Arrival = {
 	step: 'whole' | 'prefill' | 'decode' | 'reserve' | 'release' | 'drop-cache' | 'order';
 	method: string;
 	target: string;
 	headers: IncomingMessage['headers'];
 	body: string;
-	/** The connection ended before the answer was whole. */
+	/** Whether the connection ended before the answer was complete. */
 	isLeft: boolean;
 };
 
-/** What the server does with the next request that reaches it, in place of serving it. */
+/** Fault with which the server treats the next request instead of serving it. */
 export type Misdeed =
 	| 'refuse' | 'wrong-instance' | 'fail' | 'answer-another' | 'cut-unframed' | 'reset' | 'silent' | 'cut-stream';
 
 export type ServerStandIn = {
-	/** Another one after each start. */
+	/** Id of the server; changes with each restart. */
 	id: string;
 	address: string;
 	arrivals: Arrival[];
-	/** Requests that it ran. */
+	/** Requests that the server ran. */
 	runs: () => Arrival[];
-	/** Misdeeds for the requests to come, used up one by one; calls of its own are answered well. */
+	/** Adds faults for the next requests, one fault per request. Calls that manage reservations, caches or orders are not affected. */
 	misbehave: (...misdeeds: Misdeed[]) => void;
-	/** Answers no prompt that comes from now on until the promise is settled. */
+	/** Delays the answers to later prefills until the promise has settled. */
 	holdPrompts: (until: Promise<unknown>) => void;
-	/** Tokens that are free for reservations; endless unless set. */
+	/** Sets the number of tokens free for reservations; unlimited by default. */
 	setFreeTokens: (tokens: number) => void;
-	/** Turns all calls away that ask something of it, and names the seconds for which it wants nothing; until told otherwise. */
+	/** Refuses all calls except releases, with this back-off in seconds; `undefined` ends the refusals. */
 	turnAway: (seconds: number | undefined) => void;
-	/** Whether it says in its answers that it leaves. */
+	/** Sets whether answers announce that the server is leaving. */
 	setLeaving: (isLeaving: boolean) => void;
-	/** Whether an order is in progress, so that no other is taken. */
+	/** Sets whether an order is in progress, during which the server refuses others. */
 	setBusy: (isBusy: boolean) => void;
-	/** Reservations that nobody used or gave back. */
+	/** Number of reservations neither used nor released. */
 	reservations: () => number;
-	/** Ends whenever it begins to run a request that is described so, and starts again at once under another id. */
+	/** Crashes the server when it begins to run a matching request; it restarts at once under another id. */
 	crashOn: (isCrashing: (arrival: Arrival) => boolean) => void;
-	/** Times that it ended. */
+	/** Number of crashes. */
 	crashes: () => number;
 	close: () => Promise<void>;
 };
 
 export type ServerStandInOptions = {
 	id: string;
-	/** Time that a run takes, milliseconds. */
+	/** Duration of a run in milliseconds. */
 	workMs?: number;
-	/** Events of a stream. */
+	/** Number of events in a stream. */
 	events?: number;
-	/** Misdeeds that servers commit in common, each by whichever is asked first. */
+	/** Faults shared by several servers; each is applied by the server that receives the next request. */
 	misdeeds?: Misdeed[];
-	/** KV caches that nobody fetched or freed, of all servers, as `IP:port/handle`. */
+	/** KV caches of all servers that were neither fetched nor dropped, as `IP:port/handle`. */
 	caches?: Set<string>;
 };
 
@@ -72,8 +72,8 @@
 /**
  * Starts a server on loopback.
  *
- * @param options - Its id, and how long its work takes.
- * @returns The server.
+ * @param options - Id of the server, duration of its work and its faults.
+ * @returns The running server.
  */
 export async function startServerStandIn(options: ServerStandInOptions): Promise<ServerStandIn> {
 	const {id, workMs = 5, events = 3, caches = new Set(), misdeeds = []} = options;
--- a/test/stand-ins/users-platform/start-relay-fixture.ts
+++ b/test/stand-ins/users-platform/start-relay-fixture.ts
@@ -1,4 +1,4 @@
-/** One or several relays before a stand-in store and servers, and a caller. */
+/** Starts one or several relays with a stand-in store and stand-in servers, and sends calls to them. */
 import {once} from 'node:events';
 import {request, type IncomingMessage} from 'node:http';
 import {createServer, type AddressInfo} from 'node:net';
@@ -23,7 +23,7 @@
 	status: number;
 	headers: IncomingMessage['headers'];
 	body: string;
-	/** The answer came to an orderly end. */
+	/** Whether the answer ended in order. */
 	isWhole: boolean;
 	tookMs: number;
 };
@@ -33,9 +33,9 @@
 	method?: string;
 	headers?: Record<string, string>;
 	body?: string;
-	/** Leaves after this time, milliseconds. */
+	/** Time in milliseconds after which the caller disconnects. */
 	leaveAfterMs?: number;
-	/** Host that is asked, from 0. */
+	/** Index of the host that receives the call; 0 by default. */
 	at?: number;
 };
 
@@ -45,17 +45,17 @@
 	caches: Set<string>;
 	logs: CollectedLines['lines'];
 	ask: (asked: Asked) => Promise<Answer>;
-	/** Asks until the answer's status is the one given. */
+	/** Repeats the call until the answer has the given status. */
 	askUntil: (asked: Asked, status: number) => Promise<Answer>;
 	publishRoutes: (version: number, change?: (route: Record<string, unknown>) => Record<string, unknown> | undefined) => void;
 	publishServer: (server: ServerStandIn, change?: Record<string, unknown>) => void;
-	/** `IP:port` of each host for its peers; empty where there is one host. */
+	/** `IP:port` of each host for its peers; empty with a single host. */
 	peerAddresses: readonly string[];
 	/** Servers in the view of a host. */
 	knownServers: (host: number) => ReadonlySet<string>;
 	/** Whether the first host is ready. */
 	isReady: () => Promise<boolean>;
-	/** Stops the hosts as their platform does, and lets what is under way end. */
+	/** Stops the hosts as their platform does; requests in flight are completed. */
 	stopRelay: () => Promise<void>;
 	stop: () => Promise<void>;
 };
@@ -97,7 +97,7 @@
 	return port;
 }
 
-/** Hosts speak to each other on the same port of their addresses. */
+/** Finds addresses for hosts to reach each other: one loopback address per host, all with the same port. */
 async function findPeerAddresses(count: number): Promise<string[]> {
 	const address = await findUdpAddress();
 	const port = address.slice(address.lastIndexOf(':') + 1);
@@ -143,26 +143,26 @@
 }
 
 export type RelayFixtureOptions = Partial<ServerStandInOptions> & {
-	/** Hosts, which hear each other where there are several. */
+	/** Number of hosts; several hosts gossip with each other. */
 	hosts?: number;
-	/** Retries on top of the ratio that all hosts together may make; each takes a twentieth. */
+	/** Retries beyond the ratio that all hosts together may make; each host may make a twentieth of them. */
 	retrySlack?: number;
-	/** Time after its start in which a host makes no retry of the slack; none by default, as on a host that runs for long. */
+	/** Time after its start in which a host makes no retries from the slack; `0s` by default, as on a host that has run for long. */
 	retryWindow?: string;
 };
 
 /**
- * Starts everything.
+ * Starts the store, the servers and the hosts.
  *
- * @param options - How the servers work, and how many hosts there are.
- * @returns The fixture, once the hosts have rules and all servers.
+ * @param options - Behaviour of the servers and number of hosts.
+ * @returns The fixture, once all hosts know the rules and the servers.
  */
 export async function startRelayFixture(options: RelayFixtureOptions = {}): Promise<RelayFixture> {
 	return start(options, true);
 }
 
 /**
- * Starts a relay to which nothing is published yet.
+ * Starts a relay whose store is empty.
  *
  * @returns The fixture.
  */
@@ -174,8 +174,9 @@
 	name: string;
 	store: StoreStandIn;
 	collected: CollectedLines;
-	/** `IP:port` for other hosts, and where some of them are. */
+	/** `IP:port` on which other hosts reach this one. */
 	peerAddress: string | undefined;
+	/** `IP:port` of hosts to contact at the start. */
 	seeds: readonly string[];
 	retrySlack: number;
 	retryWindow: string;
@@ -217,7 +218,7 @@
 async function start({hosts: hostCount = 1, retrySlack = 400, retryWindow = '0s', ...options}: RelayFixtureOptions, isPublished: boolean): Promise<RelayFixture> {
 	const store = await startStoreStandIn();
 	const caches = new Set<string>();
-	// The relay chooses freely among servers that do the same, so these share what they do wrong.
+	// The relay may choose any server of a kind, so the servers of a kind share their faults.
 	const misdeeds: Record<string, Misdeed[]> = {desk: [], prefill: [], decode: []};
 	const startServer = async (id: string) => startServerStandIn({
 		...options, id, caches, misdeeds: misdeeds[id.slice(0, -1)]!,
@@ -296,7 +297,7 @@
 	};
 }
 
-/** Headers of a caller of the model: tokens of the prompt and the most of the answer, a guess, and the time left. */
+/** Creates the headers of a model call: token count of the prompt and limit of the answer, expected length, and deadline. */
 export function toStreamHeaders(over: Record<string, string> = {}): Record<string, string> {
 	return {
 		model: 'm', 'token-count': '3000,2000', 'length-hint': '800', 'prompt-prefix': 'a:200,b:2800', 'deadline-ms': '14000', ...over,
--- a/test/stand-ins/users-platform/store.ts
+++ b/test/stand-ins/users-platform/store.ts
@@ -1,4 +1,4 @@
-/** The users' store as their pages tell it: keys with revisions, read in pages, watched from a revision. */
+/** Stand-in for the users' store, according to their documentation: keys with revisions that are read in pages and watched from a revision. */
 import {Buffer} from 'node:buffer';
 import {once} from 'node:events';
 import {createServer, type ServerResponse} from 'node:http';
@@ -19,30 +19,30 @@
 	address: string;
 	put: (key: string, value: unknown) => void;
 	remove: (key: string) => void;
-	/** Drops the history: watches from before get 410. */
+	/** Drops the history: watches from an earlier revision are answered with 410. */
 	forget: () => void;
-	/** How reads are answered from now on. */
+	/** Sets how reads are answered from now on. */
 	setMood: (mood: 'well' | 'refusing' | 'silent') => void;
-	/** What is stored now, to come back from. */
+	/** Copies the current contents, to be restored later. */
 	copy: () => StoreCopy;
-	/** Loses all that was written since the copy: revisions go back, and the era rises. */
+	/** Restores a copy and loses everything written since: revisions go back, and the era increases. */
 	comeBackFrom: (copy: StoreCopy) => void;
-	/** Breaks off all reads that wait. */
+	/** Closes the connections of all pending watches. */
 	cutWatches: () => void;
 	reads: () => number;
 	close: () => Promise<void>;
 };
 
-/** What the store had at a moment. */
+/** Contents of the store at one moment. */
 export type StoreCopy = {items: ReadonlyMap<string, Item>; changes: readonly Change[]; revision: number};
 
-/** Items in one page; small, so that a handful of keys already takes several. */
+/** Items per page; small, so that a few keys already need several pages. */
 const pageSize = 3;
 
 /**
  * Starts a store on loopback.
  *
- * @returns The store.
+ * @returns The running store.
  */
 export async function startStoreStandIn(): Promise<StoreStandIn> {
 	let items = new Map<string, Item>();
