--- a/test/demo/_lib/tell-story.ts
+++ b/test/demo/_lib/describe-request.ts
@@ -1,7 +1,7 @@
 /** Tells in plain words what became of a request, from the log lines of the entry that served it. */
 import {type LogLine} from '../../_lib/start-program/index.js';
 
-function field(line: LogLine | undefined, name: string): string {
+function toText(line: LogLine | undefined, name: string): string {
 	const value = line?.[name];
 	return typeof value === 'string' || typeof value === 'number' ? String(value) : '?';
 }
@@ -17,17 +17,17 @@
  * @param lines - Lines with the request's id, oldest first.
  * @returns One sentence a line.
  */
-export function tellStory(lines: readonly LogLine[]): string[] {
+export function describeRequest(lines: readonly LogLine[]): string[] {
 	const find = (message: string) => lines.find(line => line.message === message);
 	const received = find('request received');
 	const attempts = lines.filter(line => line.message === 'attempt started');
 	const ended = find('request ended');
 	const refused = find('request refused');
 	return [
-		...(received ? [`rule "${field(received, 'rule')}" decided: pool ${field(received, 'pool')}`] : []),
-		...attempts.map(line => `attempt ${field(line, 'attempt')}: prefill on ${field(line, 'prefillServer')}, decode on ${field(line, 'decodeServer')}`),
+		...(received ? [`rule "${toText(received, 'rule')}" decided: pool ${toText(received, 'pool')}`] : []),
+		...attempts.map(line => `attempt ${toText(line, 'attempt')}: prefill on ${toText(line, 'prefillServer')}, decode on ${toText(line, 'decodeServer')}`),
 		...(find('first token relayed') ? [`first token after ${toMs(find('first token relayed'), 'firstTokenMs')}`] : []),
-		...(ended ? [`ended after ${toMs(ended, 'durationMs')}, outcome "${field(ended, 'outcome')}"`] : []),
-		...(refused ? [`refused: ${field(refused, 'reason')}, outcome "${field(refused, 'outcome')}"`] : []),
+		...(ended ? [`ended after ${toMs(ended, 'durationMs')}, outcome "${toText(ended, 'outcome')}"`] : []),
+		...(refused ? [`refused: ${toText(refused, 'reason')}, outcome "${toText(refused, 'outcome')}"`] : []),
 	];
 }
--- a/test/demo/main.ts
+++ b/test/demo/main.ts
@@ -9,11 +9,11 @@
 import {v7 as createKey} from 'uuid';
 import {expectedAnswer} from '../stand-ins/engine/index.js';
 import {startDemoFleet, type DemoHost} from './_lib/start-demo-fleet.js';
-import {tellStory} from './_lib/tell-story.js';
+import {describeRequest} from './_lib/describe-request.js';
 
 const logSettleMs = 200;
 const shownCharacters = 100;
-let faults = 0;
+let failedCheckCount = 0;
 
 type Answer = {
 	status: number;
@@ -50,15 +50,15 @@
 
 function expect(isTrue: boolean, what: string): void {
 	console.log(`   ${isTrue ? 'ok  ' : 'FAIL'} ${what}`);
-	faults += isTrue ? 0 : 1;
+	failedCheckCount += isTrue ? 0 : 1;
 }
 
-async function show(title: string, host: DemoHost, input: Call, check: (answer: Answer) => void): Promise<void> {
+async function runScenario(title: string, host: DemoHost, input: Call, check: (answer: Answer) => void): Promise<void> {
 	console.log(`\n${title}\n   to the host in ${host.zone}`);
 	const answer = await call(host, input);
 	// The log line of the end is written just after the answer.
 	await sleep(logSettleMs);
-	for (const sentence of tellStory(host.entry.logs().filter(line => line.requestId === answer.requestId))) {
+	for (const sentence of describeRequest(host.entry.logs().filter(line => line.requestId === answer.requestId))) {
 		console.log(`   ${sentence}`);
 	}
 
@@ -72,7 +72,7 @@
 	const model = 'letter-summary';
 	const wholeLetter = expectedAnswer(letter, 24).join('');
 
-	await show('A question at the counter', first!, {
+	await runScenario('A question at the counter', first!, {
 		path: '/v1/completions', headers: {'x-service-class': 'quick'}, body: {model, prompt: question, max_tokens: 12},
 	}, answer => {
 		expect(toCompletionText(answer.text) === expectedAnswer(question, 12).join(''), 'the whole answer to its own question');
@@ -84,18 +84,18 @@
 			model, prompt: letter, max_tokens: 24, stream: true,
 		},
 	};
-	await show('A letter, streamed, with an idempotency key', second!, summary, answer => {
+	await runScenario('A letter, streamed, with an idempotency key', second!, summary, answer => {
 		expect(toCompletionText(answer.text) === wholeLetter && answer.text.includes('[DONE]'), 'every token, in order, to the end');
 	});
-	await show('The same letter with the same key, at the other host', first!, summary, answer => {
+	await runScenario('The same letter with the same key, at the other host', first!, summary, answer => {
 		expect(toCompletionText(answer.text) === wholeLetter, 'the kept answer, whole');
 		const attempts = first!.entry.logs().filter(line => line.requestId === answer.requestId && line.message === 'attempt started');
 		expect(attempts.length === 0, 'nothing was run again');
 	});
-	await show('A mailbox lookup at the plain service', first!, {path: '/desk/mailbox', body: {box: 4711}}, answer => {
+	await runScenario('A mailbox lookup at the plain service', first!, {path: '/desk/mailbox', body: {box: 4711}}, answer => {
 		expect(answer.status === 200 && answer.text.includes('4711'), 'passed through');
 	});
-	await show('A request with a fault in it', second!, {path: '/v1/completions', body: {model, prompt: 7}}, answer => {
+	await runScenario('A request with a fault in it', second!, {path: '/v1/completions', body: {model, prompt: 7}}, answer => {
 		expect(answer.status === 400 && answer.text.includes('not-run'), 'refused at once, and told that nothing was run');
 	});
 }
@@ -111,5 +111,5 @@
 	expect(failed.length === 0, failed.length === 0 ? 'every process ended by itself' : `did not end well: ${failed.join(', ')}`);
 }
 
-console.log(faults === 0 ? '\nThe whole path works. Next: docs/RULES.md to write rules, docs/OPERATIONS.md to run it.' : `\n${faults} checks failed; the lines marked FAIL say which.`);
-process.exitCode = faults === 0 ? 0 : 1;
+console.log(failedCheckCount === 0 ? '\nThe whole path works. Next: docs/RULES.md to write rules, docs/OPERATIONS.md to run it.' : `\n${failedCheckCount} checks failed; the lines marked FAIL say which.`);
+process.exitCode = failedCheckCount === 0 ? 0 : 1;
--- a/test/load/split-pool.test.ts
+++ b/test/load/split-pool.test.ts
@@ -7,13 +7,13 @@
 const seeds = [48_271, 69_621, 630_360, 742_938, 950_706];
 
 /** Means over the seeds: one day's bursts may suit either. */
-function play(over: Partial<Scenario>): Pick<Outcome, 'inTime' | 'late' | 'refused' | 'promptP90Ms' | 'learntShare'> {
-	const days = seeds.map(seed => simulate({
+function simulateMean(over: Partial<Scenario>): Pick<Outcome, 'inTime' | 'late' | 'refused' | 'promptP90Ms' | 'learntShare'> {
+	const outcomes = seeds.map(seed => simulate({
 		prefills: 2, decodes: 4, hosts: 7, perSecond: 7.3, burst: 1.8, seconds: 30, isShared: true, memoryTokens: 42_606, slots: 128, ...over,
 	}, createRandom(seed)));
-	const mean = (read: (day: Outcome) => number): number => days.reduce((sum, day) => sum + read(day), 0) / days.length;
+	const mean = (read: (outcome: Outcome) => number): number => outcomes.reduce((sum, outcome) => sum + read(outcome), 0) / outcomes.length;
 	return {
-		inTime: mean(day => day.inTime), late: mean(day => day.late), refused: mean(day => day.refused), promptP90Ms: mean(day => day.promptP90Ms), learntShare: mean(day => day.learntShare),
+		inTime: mean(outcome => outcome.inTime), late: mean(outcome => outcome.late), refused: mean(outcome => outcome.refused), promptP90Ms: mean(outcome => outcome.promptP90Ms), learntShare: mean(outcome => outcome.learntShare),
 	};
 }
 
@@ -25,26 +25,26 @@
  */
 describe('a pool of six under bursts', () => {
 	it('serves more in time and refuses fewer with two prefill servers than with three', () => {
-		const two = play({prefills: 2, decodes: 4});
-		const three = play({prefills: 3, decodes: 3});
+		const two = simulateMean({prefills: 2, decodes: 4});
+		const three = simulateMean({prefills: 3, decodes: 3});
 		assert.ok(two.inTime > three.inTime + 0.08, `${two.inTime} ${three.inTime}`);
 		assert.ok(two.refused < three.refused / 2, `${two.refused} ${three.refused}`);
 	});
 
 	it('keeps prompts short where one prefill server is left, if hosts tell each other their loads', () => {
-		const told = play({prefills: 1, decodes: 5});
-		const untold = play({prefills: 1, decodes: 5, isShared: false});
-		assert.ok(told.promptP90Ms < untold.promptP90Ms * 0.7, `${told.promptP90Ms} ${untold.promptP90Ms}`);
-		assert.ok(told.inTime > untold.inTime, `${told.inTime} ${untold.inTime}`);
+		const shared = simulateMean({prefills: 1, decodes: 5});
+		const unshared = simulateMean({prefills: 1, decodes: 5, isShared: false});
+		assert.ok(shared.promptP90Ms < unshared.promptP90Ms * 0.7, `${shared.promptP90Ms} ${unshared.promptP90Ms}`);
+		assert.ok(shared.inTime > unshared.inTime, `${shared.inTime} ${unshared.inTime}`);
 	});
 
 	it('learns a split by which the third prefill server is one too many', () => {
-		const {learntShare} = play({prefills: 3, decodes: 3});
+		const {learntShare} = simulateMean({prefills: 3, decodes: 3});
 		assert.equal(Math.ceil(6 * learntShare), 2, String(learntShare));
 	});
 
 	it('accounts for each request once', () => {
-		const {inTime, late, refused} = play({});
+		const {inTime, late, refused} = simulateMean({});
 		assert.ok(Math.abs(inTime + late + refused - 1) < 1e-9);
 	});
 });
@@ -60,8 +60,8 @@
 	};
 
 	it('learns from five prefill servers that four do, which serve more in time and refuse fewer', () => {
-		const five = play({...thirteen, prefills: 5, decodes: 8});
-		const four = play({...thirteen, prefills: 4, decodes: 9});
+		const five = simulateMean({...thirteen, prefills: 5, decodes: 8});
+		const four = simulateMean({...thirteen, prefills: 4, decodes: 9});
 		assert.equal(Math.ceil(13 * five.learntShare), 4, String(five.learntShare));
 		assert.equal(Math.ceil(13 * four.learntShare), 4, String(four.learntShare));
 		assert.ok(four.inTime > five.inTime + 0.03, `${four.inTime} ${five.inTime}`);
