--- a/test/demo/_lib/describe-request.ts
+++ b/test/demo/_lib/describe-request.ts
@@ -1,4 +1,4 @@
-/** Tells in plain words what became of a request, from the log lines of the entry that served it. */
+/** Describes how a request was served, from the log lines of the entry that served it. */
 import {type LogLine} from '../../_lib/start-program/index.js';
 
 function toText(line: LogLine | undefined, name: string): string {
@@ -15,7 +15,7 @@
  * Turns the log lines of one request into sentences.
  *
  * @param lines - Lines with the request's id, oldest first.
- * @returns One sentence a line.
+ * @returns Sentences in the order of the request's stages.
  */
 export function describeRequest(lines: readonly LogLine[]): string[] {
 	const find = (message: string) => lines.find(line => line.message === message);
--- a/test/demo/_lib/start-demo-fleet.ts
+++ b/test/demo/_lib/start-demo-fleet.ts
@@ -1,4 +1,4 @@
-/** Starts the fleet of the demo: every part a process of its own, on loopback, on free ports. */
+/** Starts the fleet of the demo: each program runs in its own process and listens on a free port of the loopback interface. */
 import {request} from 'undici';
 import {startProgram, type Program} from '../../_lib/start-program/index.js';
 import {toDemoConfig, type DemoServer} from './to-demo-config.js';
@@ -55,7 +55,7 @@
 	const entry = await startProgram({
 		program: 'entry',
 		label: `entry of ${zone}-1`,
-		// All clocks are this machine's, so keys count from the first moment on.
+		// All processes share the clock of this machine, so with a clock bound of 0 hosts vouch for keys from the start.
 		flags: {
 			...flags, callerPort: 0, agentAddress: `127.0.0.1:${agent.port('peerPort')}`, clockBound: '0ms', drainDelay: '0ms',
 		},
--- a/test/demo/_lib/to-demo-config.ts
+++ b/test/demo/_lib/to-demo-config.ts
@@ -1,4 +1,4 @@
-/** Writes the rule list of the demo for servers that listen on free ports. */
+/** Creates the configuration of the demo for servers that listen on free ports. */
 import {stringify} from 'yaml';
 
 export type DemoServer = {
@@ -22,7 +22,7 @@
 /**
  * Turns servers into a configuration document.
  *
- * @param options - Zones, servers, and the model that the engines have.
+ * @param options - Zones, servers, and the model and version that the engines serve.
  * @returns YAML that `banyanport check` accepts.
  */
 export function toDemoConfig({zones, servers, model, version}: DemoConfigOptions): string {
--- a/test/demo/main.ts
+++ b/test/demo/main.ts
@@ -1,7 +1,7 @@
 /**
- * The whole path on stand-ins, explained: starts a small fleet of separate
- * processes, sends requests, says what became of each, and ends with exit code
- * 0 when every answer was whole and every process ended by itself.
+ * Demonstrates the whole request path on stand-ins: starts a small fleet of
+ * separate processes, sends requests and describes how each was served. Exits with
+ * code 0 when every check passed and every process stopped with code 0.
  */
 import process from 'node:process';
 import {setTimeout as sleep} from 'node:timers/promises';
@@ -13,7 +13,7 @@
 
 const logSettleMs = 200;
 const shownCharacters = 100;
-let failedCheckCount = 0;
+let failedChecks = 0;
 
 type Answer = {
 	status: number;
@@ -37,7 +37,7 @@
 	return {status: res.statusCode, requestId: String(requestId), text: await res.body.text()};
 }
 
-/** Text of a completion, whether it came whole or as server-sent events. */
+/** Returns the text of a completion, received in one piece or as server-sent events. */
 function toCompletionText(answer: string): string {
 	const documents = answer.startsWith('data:')
 		? answer.split('\n\n').map(event => event.replace(/^data: /v, '')).filter(data => data.startsWith('{'))
@@ -50,13 +50,13 @@
 
 function expect(isTrue: boolean, what: string): void {
 	console.log(`   ${isTrue ? 'ok  ' : 'FAIL'} ${what}`);
-	failedCheckCount += isTrue ? 0 : 1;
+	failedChecks += isTrue ? 0 : 1;
 }
 
 async function runScenario(title: string, host: DemoHost, input: Call, check: (answer: Answer) => void): Promise<void> {
 	console.log(`\n${title}\n   to the host in ${host.zone}`);
 	const answer = await call(host, input);
-	// The log line of the end is written just after the answer.
+	// The entry writes the final log line of a request just after the answer.
 	await sleep(logSettleMs);
 	for (const sentence of describeRequest(host.entry.logs().filter(line => line.requestId === answer.requestId))) {
 		console.log(`   ${sentence}`);
@@ -90,13 +90,13 @@
 	await runScenario('The same letter with the same key, at the other host', first!, summary, answer => {
 		expect(toCompletionText(answer.text) === wholeLetter, 'the kept answer, whole');
 		const attempts = first!.entry.logs().filter(line => line.requestId === answer.requestId && line.message === 'attempt started');
-		expect(attempts.length === 0, 'nothing was run again');
+		expect(attempts.length === 0, 'no attempt was made');
 	});
 	await runScenario('A mailbox lookup at the plain service', first!, {path: '/desk/mailbox', body: {box: 4711}}, answer => {
 		expect(answer.status === 200 && answer.text.includes('4711'), 'passed through');
 	});
 	await runScenario('A request with a fault in it', second!, {path: '/v1/completions', body: {model, prompt: 7}}, answer => {
-		expect(answer.status === 400 && answer.text.includes('not-run'), 'refused at once, and told that nothing was run');
+		expect(answer.status === 400 && answer.text.includes('not-run'), 'refused before any attempt, with outcome not-run');
 	});
 }
 
@@ -108,8 +108,8 @@
 } finally {
 	console.log('\nStopping everything ...');
 	const failed = await fleet.stop();
-	expect(failed.length === 0, failed.length === 0 ? 'every process ended by itself' : `did not end well: ${failed.join(', ')}`);
+	expect(failed.length === 0, failed.length === 0 ? 'every process stopped with exit code 0' : `processes with another exit code than 0: ${failed.join(', ')}`);
 }
 
-console.log(failedCheckCount === 0 ? '\nThe whole path works. Next: docs/RULES.md to write rules, docs/OPERATIONS.md to run it.' : `\n${failedCheckCount} checks failed; the lines marked FAIL say which.`);
-process.exitCode = failedCheckCount === 0 ? 0 : 1;
+console.log(failedChecks === 0 ? '\nThe whole path works. Next: docs/RULES.md to write rules, docs/OPERATIONS.md to run it.' : `\n${failedChecks} checks failed; the lines marked FAIL say which.`);
+process.exitCode = failedChecks === 0 ? 0 : 1;
