--- a/test/stand-ins/engine/_lib/create-prefills.ts
+++ b/test/stand-ins/engine/_lib/create-prefills.ts
@@ -1,6 +1,6 @@
 /**
- * The prefill side: a queue with quick before batch, few computations at once,
- * and KV caches that live for a short while after them.
+ * The prefill side: a queue in which quick requests go before batch ones, a limited
+ * number of concurrent computations, and KV caches that are kept for a short time.
  */
 import {type AttemptKey, type Hold, type PrefillResult} from '../../../../src/ports/engine.js';
 import {type ServiceClass} from '../../../../src/ports/outcome.js';
@@ -19,7 +19,7 @@
 	deadlineAt: number;
 };
 
-/** A KV cache, as it goes from engine to engine. */
+/** Description of a KV cache, as sent from one engine to another. */
 export type KvCache = {
 	kvId: string;
 	key: AttemptKey;
@@ -47,9 +47,9 @@
 
 type Options = {settings: EngineSettings; judge: Judge; cache: PrefixCache; onChange: () => void};
 
-const isSame = (a: AttemptKey, b: AttemptKey): boolean => a.requestId === b.requestId && a.attempt === b.attempt;
+const isSameAttempt = (a: AttemptKey, b: AttemptKey): boolean => a.requestId === b.requestId && a.attempt === b.attempt;
 
-const isBeginning = (answered: readonly string[], prompt: string): boolean => {
+const isAnswerPrefix = (answered: readonly string[], prompt: string): boolean => {
 	const right = expectedAnswer(prompt, answered.length);
 	return answered.every((token, offset) => token === right[offset]);
 };
@@ -69,13 +69,13 @@
 		}
 
 		if (cause !== undefined) {
-			judge.noteWaste(kv.key, cause);
+			judge.recordWaste(kv.key, cause);
 		}
 
 		onChange();
 	};
 
-	const isPast = (kv: HeldKv): boolean => performance.now() - kv.since >= settings.kvTtlMs;
+	const isExpired = (kv: HeldKv): boolean => performance.now() - kv.since >= settings.kvTtlMs;
 
 	const expireKv = (kv: HeldKv): void => {
 		if (kv.transfers.size === 0) {
@@ -83,7 +83,7 @@
 			return;
 		}
 
-		// A transfer under way keeps its source, but not for ever.
+		// A transfer in progress keeps the cache alive, for ten times its lifetime at most.
 		kv.timer = setTimeout(() => {
 			dropKv(kv, 'transfer-failed');
 		}, settings.kvTtlMs * 10);
@@ -92,7 +92,7 @@
 	const finish = (job: Job, cachedTokens: number): void => {
 		running.delete(job);
 		cache.store(job.prompt);
-		judge.note(job.key, 'prefillsFinished');
+		judge.count(job.key, 'prefillsFinished');
 		const kv: HeldKv = {
 			kvId: job.id,
 			key: job.key,
@@ -118,15 +118,15 @@
 	const start = (job: Job): void => {
 		job.state = 'prefill';
 		running.add(job);
-		judge.note(job.key, 'prefillsStarted');
-		if (!isBeginning(job.answered, job.prompt)) {
-			judge.note(job.key, 'wrongContinuations');
+		judge.count(job.key, 'prefillsStarted');
+		if (!isAnswerPrefix(job.answered, job.prompt)) {
+			judge.count(job.key, 'wrongContinuations');
 		}
 
 		const cachedTokens = Math.min(job.tokens, cache.countCached(job.prompt));
 		const costMs = settings.prefillBaseMs + ((job.tokens - cachedTokens) / settings.prefillTokensPerSecond * 1000);
 		const now = performance.now();
-		// With one computation at once, a late timer does not cost capacity: the next one counts from the right moment.
+		// With a concurrency of one, the next computation starts at the planned end of the last, so a late timer does not reduce capacity.
 		const from = settings.prefillConcurrency === 1 && now - freeAt < 20 ? Math.max(freeAt, job.since) : now;
 		freeAt = from + costMs;
 		job.timer = setTimeout(() => {
@@ -162,7 +162,7 @@
 			clearTimeout(job.timer);
 			running.delete(job);
 			freeAt = Math.min(freeAt, performance.now());
-			judge.noteWaste(job.key, 'cancelled-in-prefill');
+			judge.recordWaste(job.key, 'cancelled-in-prefill');
 		} else {
 			queue.splice(queue.indexOf(job), 1);
 		}
@@ -172,7 +172,7 @@
 
 	return {
 		async run(call: PrefillCall): Promise<PrefillResult> {
-			if ([...queue, ...running, ...held.values()].some(other => isSame(other.key, call.key))) {
+			if ([...queue, ...running, ...held.values()].some(other => isSameAttempt(other.key, call.key))) {
 				throw refuse('duplicate', 'this attempt already has a prefill here');
 			}
 
@@ -186,11 +186,11 @@
 				pump();
 			});
 		},
-		/** Lends a cache to a transfer; `done` says whether all of it went over. */
-		lend(kvId: string): {kv: KvCache; signal: AbortSignal; done: (isWhole: boolean) => void} | undefined {
+		/** Begins a transfer of a cache; `done` ends it and is told whether the transfer was complete. */
+		beginTransfer(kvId: string): {kv: KvCache; signal: AbortSignal; done: (isWhole: boolean) => void} | undefined {
 			const kv = held.get(kvId);
-			// Past its life a cache is kept for transfers under way alone.
-			if (kv === undefined || isPast(kv)) {
+			// An expired cache is only kept for transfers in progress.
+			if (kv === undefined || isExpired(kv)) {
 				return undefined;
 			}
 
@@ -209,15 +209,15 @@
 
 					if (isWhole) {
 						dropKv(kv, undefined);
-					} else if (isPast(kv) && transfers.size === 0) {
+					} else if (isExpired(kv) && transfers.size === 0) {
 						dropKv(kv, 'transfer-failed');
 					}
 				},
 			};
 		},
 		cancel(key: AttemptKey): number {
-			const jobs = [...queue, ...running].filter(job => isSame(job.key, key));
-			const kvs = [...held.values()].filter(kv => isSame(kv.key, key));
+			const jobs = [...queue, ...running].filter(job => isSameAttempt(job.key, key));
+			const kvs = [...held.values()].filter(kv => isSameAttempt(kv.key, key));
 			for (const job of jobs) {
 				cancelJob(job);
 			}
@@ -244,7 +244,7 @@
 			queued: queue.length,
 			queuedTokens: [...queue, ...running].reduce((sum, job) => sum + job.tokens, 0),
 		}),
-		/** Loses everything, as the end of the engine's process does. */
+		/** Drops all state, as the end of the engine's process would. */
 		clear() {
 			for (const job of [...queue, ...running]) {
 				clearTimeout(job.timer);
@@ -252,7 +252,7 @@
 			}
 
 			for (const job of running) {
-				judge.noteWaste(job.key, 'server-lost');
+				judge.recordWaste(job.key, 'server-lost');
 			}
 
 			queue.length = 0;
--- a/test/stand-ins/engine/_lib/create-prefix-cache.ts
+++ b/test/stand-ins/engine/_lib/create-prefix-cache.ts
@@ -1,4 +1,4 @@
-/** The prefix cache of a prefill engine: few blocks, least recently used goes first, events late and with gaps. */
+/** The prefix cache of a prefill engine: a small LRU cache of blocks that reports its events late and with gaps. */
 import {toBlocks} from './answer.js';
 
 export type CacheEvent = {seq: number; kind: 'stored' | 'evicted'; block: string};
@@ -11,7 +11,7 @@
 	const events: Array<CacheEvent & {at: number}> = [];
 	let seq = 0;
 
-	const note = (kind: CacheEvent['kind'], block: string): void => {
+	const recordEvent = (kind: CacheEvent['kind'], block: string): void => {
 		seq += 1;
 		events.push({
 			seq, kind, block, at: performance.now(),
@@ -21,19 +21,19 @@
 		}
 	};
 
-	const evictOver = (): void => {
+	const evictExcess = (): void => {
 		for (const oldest of cached) {
 			if (cached.size <= capacity) {
 				return;
 			}
 
 			cached.delete(oldest);
-			note('evicted', oldest);
+			recordEvent('evicted', oldest);
 		}
 	};
 
 	return {
-		/** Tokens of the prompt's beginning that are cached. */
+		/** Counts the tokens at the beginning of the prompt that are cached. */
 		countCached(prompt: string): number {
 			const blocks = toBlocks(prompt);
 			const miss = blocks.findIndex(block => !cached.has(block));
@@ -42,19 +42,19 @@
 		store(prompt: string): void {
 			for (const block of toBlocks(prompt).slice(0, capacity)) {
 				if (!cached.delete(block)) {
-					note('stored', block);
+					recordEvent('stored', block);
 				}
 
 				cached.add(block);
 			}
 
-			evictOver();
+			evictExcess();
 		},
-		/** Forgets all blocks without a word, as a restart does. */
+		/** Drops all blocks without events, as a restart does. */
 		clear() {
 			cached.clear();
 		},
-		/** Events that have become visible, those in the gaps left out. */
+		/** Returns the events that are old enough to be visible, without those in the gaps. */
 		eventsSince(since: number): {next: number; events: CacheEvent[]} {
 			const until = performance.now() - lagMs;
 			const visible = events.filter(event => event.seq >= since && event.at <= until);
--- a/test/stand-ins/platform/index.ts
+++ b/test/stand-ins/platform/index.ts
@@ -13,17 +13,17 @@
 export type PlatformFaults = {
 	/** Drops every connection. */
 	down?: boolean;
-	/** Serves what was in force when the switch was set, whatever is published. */
+	/** Serves the values that were current when the switch was set, whatever is published later. */
 	frozen?: boolean;
-	/** Serves the document of this revision of `config`, under its old number. */
+	/** Serves the document of this revision of `config` under its old revision number. */
 	oldRevision?: number;
-	/** Serves the document of this revision of `config` under the newest number. */
+	/** Serves the document of this revision of `config` under the newest revision number. */
 	oldDocument?: number;
-	/** Serves this share of the text of each value. */
+	/** Share of each value's text that is served, from its start. */
 	truncateAt?: number;
 	/** Delay before each answer, in milliseconds. */
 	slowMs?: number;
-	/** Answers with no JSON. */
+	/** Answers with a body that is not JSON. */
 	garbage?: boolean;
 };
 
@@ -32,19 +32,19 @@
 	bind?: string;
 	config?: string;
 	fleet?: FleetList;
-	/** Reads a second over all readers, watches included; more are answered with 429. */
+	/** Read budget per second over all readers, watches included; further reads are answered with 429. */
 	readsPerSecond?: number;
 };
 
 export type PlatformJudge = {
 	reads: number;
 	rejectedReads: number;
-	/** Most reads in any one second. */
+	/** Largest number of reads in any one second. */
 	peakReadsPerSecond: number;
-	/** Reads by the client's own name (`x-client`), or else by connection. */
+	/** Reads by the name that the client sends (`x-client`), or by connection if it sends none. */
 	readsByClient: Record<string, number>;
 	revisions: Record<string, number>;
-	/** Bytes of the values in its answers. */
+	/** Total size of the values in answers. */
 	servedBytes: number;
 	/** Reads and watches within the budget, by key. */
 	readsByKey: Record<string, number>;
@@ -73,7 +73,7 @@
 	let rejectedReads = 0;
 	let peak = 0;
 	return {
-		/** Counts a read and says whether the budget holds it. */
+		/** Counts a read and returns whether it is within the budget. */
 		take(client: string): boolean {
 			const now = performance.now();
 			recent = recent.filter(at => at > now - 1000);
@@ -101,9 +101,9 @@
 
 	const newest = (key: string): Versioned | undefined => histories.get(key)?.at(-1);
 
-	const atRevision = (key: string, revision: number): Versioned | undefined => histories.get(key)?.find(value => value.revision === revision);
+	const findRevision = (key: string, revision: number): Versioned | undefined => histories.get(key)?.find(value => value.revision === revision);
 
-	const withFaults = (key: string): Versioned | undefined => {
+	const readWithFaults = (key: string): Versioned | undefined => {
 		if (frozen !== undefined) {
 			return frozen.get(key);
 		}
@@ -114,17 +114,17 @@
 		}
 
 		if (faults.oldRevision !== undefined) {
-			return atRevision(key, faults.oldRevision) ?? value;
+			return findRevision(key, faults.oldRevision) ?? value;
 		}
 
 		if (faults.oldDocument !== undefined) {
-			return {revision: value.revision, value: atRevision(key, faults.oldDocument)?.value ?? value.value};
+			return {revision: value.revision, value: findRevision(key, faults.oldDocument)?.value ?? value.value};
 		}
 
 		return value;
 	};
 
-	const wake = (): void => {
+	const notifyWaiters = (): void => {
 		for (const waiter of waiters) {
 			waiter();
 		}
@@ -132,24 +132,24 @@
 
 	return {
 		waiters,
-		wake,
+		wake: notifyWaiters,
 		publish(key: string, value: string): number {
 			const history = histories.get(key) ?? [];
 			const revision = (history.at(-1)?.revision ?? 0) + 1;
 			histories.set(key, [...history, {revision, value}]);
-			wake();
+			notifyWaiters();
 			return revision;
 		},
 		served(key: string): Versioned | undefined {
-			const value = withFaults(key);
+			const value = readWithFaults(key);
 			return value === undefined || faults.truncateAt === undefined
 				? value
 				: {...value, value: value.value.slice(0, Math.floor(value.value.length * faults.truncateAt))};
 		},
-		/** Takes a change of the switches into account. */
+		/** Applies changed fault switches to the values served. */
 		applyFaults(): void {
 			frozen = faults.frozen ? (frozen ?? new Map([...histories.keys()].map(key => [key, newest(key)]))) : undefined;
-			wake();
+			notifyWaiters();
 		},
 		isDown: () => faults.down === true,
 		revisions: () => Object.fromEntries([...histories.keys()].map(key => [key, newest(key)?.revision ?? 0])),
@@ -160,7 +160,7 @@
 
 type Wait = {values: Values; key: string; since: number; waitMs: number; res: ServerResponse};
 
-/** Waits until the served revision differs, the time is over or the reader has gone. */
+/** Waits until the served revision differs, the wait time has passed or the reader has disconnected. */
 const waitForChange = async ({values, key, since, waitMs, res}: Wait): Promise<void> => {
 	if (values.served(key)?.revision !== since && values.served(key) !== undefined) {
 		return;
--- a/test/stand-ins/users-platform/server.ts
+++ b/test/stand-ins/users-platform/server.ts
@@ -1,62 +1,62 @@
-/** A backend server of the users as their pages tell it: plain, or one that keeps prefill and decode apart. */
+/** Stand-in for a backend server of the users, according to their documentation: plain, or with separate prefill and decode. */
 import {Buffer} from 'node:buffer';
 import {once} from 'node:events';
 import {createServer, type IncomingMessage, type ServerResponse} from 'node:http';
 import {type AddressInfo, type Socket} from 'node:net';
 import {setTimeout as sleep} from 'node:timers/promises';
 
-/** One request that reached the server, or one of its own calls. */
+/** One request that reached the server, or one call that manages its reservations, caches or orders. */
 export type Arrival = {
 	step: 'whole' | 'prefill' | 'decode' | 'reserve' | 'release' | 'drop-cache' | 'order';
 	method: string;
 	target: string;
 	headers: IncomingMessage['headers'];
 	body: string;
-	/** The connection ended before the answer was whole. */
+	/** Whether the connection ended before the answer was complete. */
 	isLeft: boolean;
 };
 
-/** What the server does with the next request that reaches it, in place of serving it. */
+/** Fault with which the server treats the next request instead of serving it. */
 export type Misdeed =
 	| 'refuse' | 'wrong-instance' | 'fail' | 'answer-another' | 'cut-unframed' | 'reset' | 'silent' | 'cut-stream';
 
 export type ServerStandIn = {
-	/** Another one after each start. */
+	/** Id of the server; changes with each restart. */
 	id: string;
 	address: string;
 	arrivals: Arrival[];
-	/** Requests that it ran. */
+	/** Requests that the server ran. */
 	runs: () => Arrival[];
-	/** Misdeeds for the requests to come, used up one by one; calls of its own are answered well. */
+	/** Adds faults for the next requests, one fault per request. Calls that manage reservations, caches or orders are not affected. */
 	misbehave: (...misdeeds: Misdeed[]) => void;
-	/** Answers no prompt that comes from now on until the promise is settled. */
+	/** Delays the answers to later prefills until the promise has settled. */
 	holdPrompts: (until: Promise<unknown>) => void;
-	/** Tokens that are free for reservations; endless unless set. */
+	/** Sets the number of tokens free for reservations; unlimited by default. */
 	setFreeTokens: (tokens: number) => void;
-	/** Turns all calls away that ask something of it, and names the seconds for which it wants nothing; until told otherwise. */
+	/** Refuses all calls except releases, with this back-off in seconds; `undefined` ends the refusals. */
 	turnAway: (seconds: number | undefined) => void;
-	/** Whether it says in its answers that it leaves. */
+	/** Sets whether answers announce that the server is leaving. */
 	setLeaving: (isLeaving: boolean) => void;
-	/** Whether an order is in progress, so that no other is taken. */
+	/** Sets whether an order is in progress, during which the server refuses others. */
 	setBusy: (isBusy: boolean) => void;
-	/** Reservations that nobody used or gave back. */
+	/** Number of reservations neither used nor released. */
 	reservations: () => number;
-	/** Ends whenever it begins to run a request that is described so, and starts again at once under another id. */
+	/** Crashes the server when it begins to run a matching request; it restarts at once under another id. */
 	crashOn: (isCrashing: (arrival: Arrival) => boolean) => void;
-	/** Times that it ended. */
+	/** Number of crashes. */
 	crashes: () => number;
 	close: () => Promise<void>;
 };
 
 export type ServerStandInOptions = {
 	id: string;
-	/** Time that a run takes, milliseconds. */
+	/** Duration of a run in milliseconds. */
 	workMs?: number;
-	/** Events of a stream. */
+	/** Number of events in a stream. */
 	events?: number;
-	/** Misdeeds that servers commit in common, each by whichever is asked first. */
+	/** Faults shared by several servers; each is applied by the server that receives the next request. */
 	misdeeds?: Misdeed[];
-	/** KV caches that nobody fetched or freed, of all servers, as `IP:port/handle`. */
+	/** KV caches of all servers that were neither fetched nor dropped, as `IP:port/handle`. */
 	caches?: Set<string>;
 };
 
@@ -72,8 +72,8 @@
 /**
  * Starts a server on loopback.
  *
- * @param options - Its id, and how long its work takes.
- * @returns The server.
+ * @param options - Id of the server, duration of its work and its faults.
+ * @returns The running server.
  */
 export async function startServerStandIn(options: ServerStandInOptions): Promise<ServerStandIn> {
 	const {id, workMs = 5, events = 3, caches = new Set(), misdeeds = []} = options;
@@ -84,7 +84,7 @@
 	let isLeaving = false;
 	let pauseSeconds: number | undefined;
 	let promptsHeld: Promise<unknown> = Promise.resolve();
-	let made = 0;
+	let createdCount = 0;
 	let isCrashing: (arrival: Arrival) => boolean = () => false;
 	let crashes = 0;
 
@@ -114,7 +114,7 @@
 		res.end();
 	}
 
-	function commit(misdeed: Misdeed, req: IncomingMessage, res: ServerResponse): void {
+	function applyMisdeed(misdeed: Misdeed, req: IncomingMessage, res: ServerResponse): void {
 		const {socket} = req;
 		switch (misdeed) {
 			case 'refuse': {
@@ -158,20 +158,20 @@
 		}
 	}
 
-	function takePlace(body: string, res: ServerResponse): void {
+	function reserve(body: string, res: ServerResponse): void {
 		const {tokens} = JSON.parse(body) as {tokens: number};
 		if (tokens > freeTokens) {
 			answer(res, 503, {error: 'full'}, {'not-executed': '1'});
 			return;
 		}
 
-		const name = `hold-${++made}`;
+		const name = `hold-${++createdCount}`;
 		reservations.set(name, tokens);
 		freeTokens -= tokens;
 		answer(res, 200, {hold: name});
 	}
 
-	function free(name: string): void {
+	function release(name: string): void {
 		freeTokens += reservations.get(name) ?? 0;
 		reservations.delete(name);
 	}
@@ -220,7 +220,7 @@
 		}
 
 		if (step === 'reserve') {
-			takePlace(arrival.body, res);
+			reserve(arrival.body, res);
 			return;
 		}
 
@@ -230,7 +230,7 @@
 		}
 
 		if (step === 'release' || step === 'drop-cache') {
-			free(name);
+			release(name);
 			caches.delete(`${address}/${name}`);
 			answer(res, 200, {});
 			return;
@@ -243,21 +243,21 @@
 
 		const misdeed = misdeeds.shift();
 		if (misdeed !== undefined && misdeed !== 'cut-stream') {
-			commit(misdeed, req, res);
+			applyMisdeed(misdeed, req, res);
 			return;
 		}
 
 		await sleep(workMs);
 		if (step === 'prefill') {
 			await promptsHeld;
-			const handle = `cache-${++made}`;
+			const handle = `cache-${++createdCount}`;
 			caches.add(`${address}/${handle}`);
 			answer(res, 200, {kv_handle: handle, tokens: 10, version: 1}, {'request-id': String(req.headers['request-id'])});
 			return;
 		}
 
 		if (step === 'decode') {
-			free(String(req.headers['kv-hold']));
+			release(String(req.headers['kv-hold']));
 			const source = req.headers['kv-source'];
 			if (source !== undefined && !caches.delete(String(source))) {
 				answer(res, 503, {error: 'no such cache'}, {'not-executed': '1'});
--- a/test/stand-ins/users-platform/store.ts
+++ b/test/stand-ins/users-platform/store.ts
@@ -1,4 +1,4 @@
-/** The users' store as their pages tell it: keys with revisions, read in pages, watched from a revision. */
+/** Stand-in for the users' store, according to their documentation: keys with revisions that are read in pages and watched from a revision. */
 import {Buffer} from 'node:buffer';
 import {once} from 'node:events';
 import {createServer, type ServerResponse} from 'node:http';
@@ -12,54 +12,54 @@
 	lease: number;
 };
 type Change = Item | {key: string; revision: number; removed: true};
-type Waiting = {res: ServerResponse; after: number; prefix: string; timer: NodeJS.Timeout};
+type PendingWatch = {res: ServerResponse; after: number; prefix: string; timer: NodeJS.Timeout};
 
 export type StoreStandIn = {
 	/** `IP:port`. */
 	address: string;
 	put: (key: string, value: unknown) => void;
 	remove: (key: string) => void;
-	/** Drops the history: watches from before get 410. */
+	/** Drops the history: watches from an earlier revision are answered with 410. */
 	forget: () => void;
-	/** How reads are answered from now on. */
+	/** Sets how reads are answered from now on. */
 	setMood: (mood: 'well' | 'refusing' | 'silent') => void;
-	/** What is stored now, to come back from. */
+	/** Copies the current contents, to be restored later. */
 	copy: () => StoreCopy;
-	/** Loses all that was written since the copy: revisions go back, and the era rises. */
+	/** Restores a copy and loses everything written since: revisions go back, and the era increases. */
 	comeBackFrom: (copy: StoreCopy) => void;
-	/** Breaks off all reads that wait. */
+	/** Closes the connections of all pending watches. */
 	cutWatches: () => void;
 	reads: () => number;
 	close: () => Promise<void>;
 };
 
-/** What the store had at a moment. */
+/** Contents of the store at one moment. */
 export type StoreCopy = {items: ReadonlyMap<string, Item>; changes: readonly Change[]; revision: number};
 
-/** Items in one page; small, so that a handful of keys already takes several. */
+/** Items per page; small, so that a few keys already need several pages. */
 const pageSize = 3;
 
 /**
  * Starts a store on loopback.
  *
- * @returns The store.
+ * @returns The running store.
  */
 export async function startStoreStandIn(): Promise<StoreStandIn> {
 	let items = new Map<string, Item>();
 	let era = 1;
 	let changes: Change[] = [];
 	let revision = 0;
-	let forgotten = 0;
+	let forgottenRevision = 0;
 	let reads = 0;
 	let mood: Parameters<StoreStandIn['setMood']>[0] = 'well';
-	let waiting: Waiting[] = [];
+	let waiting: PendingWatch[] = [];
 
-	const toJson = (res: ServerResponse, status: number, body: unknown) => {
+	const sendJson = (res: ServerResponse, status: number, body: unknown) => {
 		res.writeHead(status, {'content-type': 'application/json', 'store-era': String(era)});
 		res.end(JSON.stringify(body));
 	};
 
-	const findEvents = ({after, prefix}: Pick<Waiting, 'after' | 'prefix'>) => changes.filter(change => change.revision > after && change.key.startsWith(prefix));
+	const findEvents = ({after, prefix}: Pick<PendingWatch, 'after' | 'prefix'>) => changes.filter(change => change.revision > after && change.key.startsWith(prefix));
 
 	const answerWatches = () => {
 		waiting = waiting.filter(watch => {
@@ -69,7 +69,7 @@
 			}
 
 			clearTimeout(watch.timer);
-			toJson(watch.res, 200, {events, current_rev: revision});
+			sendJson(watch.res, 200, {events, current_rev: revision});
 			return false;
 		});
 	};
@@ -86,7 +86,7 @@
 		}
 
 		if (mood === 'refusing') {
-			toJson(res, 503, {error: 'down'});
+			sendJson(res, 503, {error: 'down'});
 			return;
 		}
 
@@ -95,19 +95,19 @@
 		const after = url.searchParams.get('after') ?? '';
 		if (url.pathname === '/-/kv-range') {
 			const found = [...items.values()].filter(item => item.key.startsWith(prefix) && item.key > after).toSorted((a, b) => a.key < b.key ? -1 : 1);
-			toJson(res, 200, {items: found.slice(0, pageSize), truncated: found.length > pageSize, current_rev: revision});
+			sendJson(res, 200, {items: found.slice(0, pageSize), truncated: found.length > pageSize, current_rev: revision});
 			return;
 		}
 
 		const watch = {res, prefix, after: Number(after)};
-		if (watch.after < forgotten || watch.after > revision) {
-			toJson(res, 410, {error: 'gone'});
+		if (watch.after < forgottenRevision || watch.after > revision) {
+			sendJson(res, 410, {error: 'gone'});
 			return;
 		}
 
 		const timer = setTimeout(() => {
 			waiting = waiting.filter(other => other.res !== res);
-			toJson(res, 200, {events: [], current_rev: revision});
+			sendJson(res, 200, {events: [], current_rev: revision});
 		}, Number(url.searchParams.get('wait_ms')));
 		waiting.push({...watch, timer});
 		answerWatches();
@@ -140,7 +140,7 @@
 			add({key, revision, removed: true});
 		},
 		forget() {
-			forgotten = revision;
+			forgottenRevision = revision;
 			changes = [];
 		},
 		copy: () => ({items: new Map(items), changes: [...changes], revision}),
@@ -149,7 +149,7 @@
 			items = new Map(copy.items);
 			changes = [...copy.changes];
 			({revision} = copy);
-			forgotten = Math.min(forgotten, revision);
+			forgottenRevision = Math.min(forgottenRevision, revision);
 			era++;
 		},
 		setMood(next) {
--- a/test/storm/_lib/count-runs.ts
+++ b/test/storm/_lib/count-runs.ts
@@ -1,26 +1,26 @@
-/** What the stand-ins counted for each piece of work; the code under test has no part in it. */
+/** Reads what the stand-ins counted for each piece of work. The counts don't depend on the code under test. */
 import {type Fleet} from '../../_lib/start-fleet/index.js';
 import {type Work} from './types.js';
 
 export type Runs = {
-	/** Prefills, streams and desk calls that were started. */
+	/** Prefills, streams and desk calls started. */
 	begun: number;
 	prefills: number;
-	/** Times that an answer was begun: streams, or changes made at the desk. */
+	/** Answers begun: streams, or changes made at the desk service. */
 	runs: number;
-	/** Requests of ours that began an answer, by their ids. */
+	/** Ids of the router's requests that began an answer. */
 	requestIds: readonly string[];
 };
 
-const none: Runs = {
+const noRuns: Runs = {
 	begun: 0, prefills: 0, runs: 0, requestIds: [],
 };
 
 /**
- * Counts all work.
+ * Counts the runs of all model work.
  *
- * @param fleet - Its engines and desks are asked.
- * @returns Counts by the work's id.
+ * @param fleet - Fleet whose engines are read.
+ * @returns Counts by id of the work.
  */
 export function countModelRuns(fleet: Fleet): ReadonlyMap<string, Runs> {
 	const counted = new Map<string, Runs>();
@@ -36,7 +36,7 @@
 		for (const [requestId, {prefillsStarted, decodesStarted}] of Object.entries(requests)) {
 			const id = owners.get(requestId);
 			if (id !== undefined) {
-				const {begun, prefills, runs, requestIds} = counted.get(id) ?? none;
+				const {begun, prefills, runs, requestIds} = counted.get(id) ?? noRuns;
 				counted.set(id, {
 					begun: begun + prefillsStarted + decodesStarted,
 					prefills: prefills + prefillsStarted,
@@ -50,17 +50,17 @@
 	return counted;
 }
 
-/** Counts one piece of work. */
+/** Counts the runs of one piece of work. */
 export function countRuns(fleet: Fleet, work: Work): Runs {
 	if (work.kind === 'desk change') {
 		const runs = fleet.plains.reduce((sum, plain) => sum + plain.countWork(work.key!), 0);
-		return {...none, begun: runs, runs};
+		return {...noRuns, begun: runs, runs};
 	}
 
 	if (work.kind === 'desk lookup') {
 		const runs = fleet.plains.reduce((sum, plain) => sum + plain.calls().filter(({path}) => path.endsWith(`/${work.id}`)).length, 0);
-		return {...none, begun: runs, runs};
+		return {...noRuns, begun: runs, runs};
 	}
 
-	return countModelRuns(fleet).get(work.id) ?? none;
+	return countModelRuns(fleet).get(work.id) ?? noRuns;
 }
--- a/test/storm/_lib/run-callers.ts
+++ b/test/storm/_lib/run-callers.ts
@@ -1,4 +1,4 @@
-/** The load of a storm: callers that ask, leave, and send the same key again. */
+/** The load of a storm: callers that send work, disconnect early, and send the same key again. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {v7 as createKey} from 'uuid';
 import {type Fleet, type FleetHost} from '../../_lib/start-fleet/index.js';
@@ -13,9 +13,9 @@
 	seed: number;
 	callers: number;
 	durationMs: number;
-	/** Hosts besides those of the fleet that take calls now. */
-	others: () => readonly FleetHost[];
-	/** Hosts to which a balancer sends nothing new. */
+	/** Lists hosts outside the fleet that accept calls at the moment. */
+	listExtraHosts: () => readonly FleetHost[];
+	/** Whether a load balancer would send no new calls to the host because it is stopping. */
 	isLeaving: (host: string) => boolean;
 };
 
@@ -25,14 +25,14 @@
 const leaveShare = 0.1;
 const leaveAfterMs = [1, 500] as const;
 const keyedShare = 0.7;
-const twinShare = 0.25;
-const twinAfterMs = [0, 300] as const;
-const againShare = 0.15;
-const againAfterRefusalShare = 0.5;
-const againAfterBreakShare = 0.7;
-const againAfterMs = [0, 500] as const;
-/** A balancer learns late: some calls still go to a host that is stopping. */
-const lateShare = 0.1;
+const duplicateShare = 0.25;
+const duplicateAfterMs = [0, 300] as const;
+const resendShare = 0.15;
+const resendAfterRefusalShare = 0.5;
+const resendAfterBreakShare = 0.7;
+const resendAfterMs = [0, 500] as const;
+/** Share of calls that still go to a stopping host, because a load balancer learns of the stop late. */
+const leavingHostShare = 0.1;
 const tokens = [4, 120] as const;
 
 function needsKey(kind: CallKind): boolean {
@@ -47,22 +47,22 @@
 	};
 }
 
-function isWorthAnother({answer, hasLeft}: Sent, random: Random): boolean {
+function shouldResend({answer, hasLeft}: Sent, random: Random): boolean {
 	if (answer.isBroken || hasLeft) {
-		return random.isHit(againAfterBreakShare);
+		return random.isHit(resendAfterBreakShare);
 	}
 
-	return random.isHit(answer.outcome === 'not-run' ? againAfterRefusalShare : againShare);
+	return random.isHit(answer.outcome === 'not-run' ? resendAfterRefusalShare : resendShare);
 }
 
 /**
- * Runs the callers for the time of the storm, and until their last answers.
+ * Runs the callers for the duration of the storm and waits for their last answers.
  *
- * @param fleet - All its hosts are asked.
- * @param options - How many, and from which seed.
+ * @param fleet - Fleet whose hosts receive the calls.
+ * @param options - Number of callers, seed and duration.
  * @returns Every call that was made.
  */
-export async function runCallers(fleet: Fleet, {seed, callers, durationMs, others, isLeaving}: CallersOptions): Promise<readonly Sent[]> {
+export async function runCallers(fleet: Fleet, {seed, callers, durationMs, listExtraHosts, isLeaving}: CallersOptions): Promise<readonly Sent[]> {
 	const until = performance.now() + durationMs;
 	const sent: Sent[] = [];
 
@@ -88,7 +88,7 @@
 	};
 
 	const pickHost = (random: Random, other?: FleetHost): FleetHost => {
-		const hosts = [...fleet.hosts, ...others()].filter(host => host !== other && (!isLeaving(host.id) || random.isHit(lateShare)));
+		const hosts = [...fleet.hosts, ...listExtraHosts()].filter(host => host !== other && (!isLeaving(host.id) || random.isHit(leavingHostShare)));
 		return hosts.length > 0 ? random.pick(hosts) : random.pick(fleet.hosts);
 	};
 
@@ -100,13 +100,13 @@
 			return;
 		}
 
-		if (random.isHit(twinShare)) {
-			await sleep(random.between(...twinAfterMs));
+		if (random.isHit(duplicateShare)) {
+			await sleep(random.between(...duplicateAfterMs));
 			await send(work, pickHost(random, host), random, false);
 		}
 
-		if (isWorthAnother(await first, random)) {
-			await sleep(random.between(...againAfterMs));
+		if (shouldResend(await first, random)) {
+			await sleep(random.between(...resendAfterMs));
 			await send(work, pickHost(random, host), random, false);
 		}
 	};
--- a/test/storm/index.ts
+++ b/test/storm/index.ts
@@ -1,8 +1,8 @@
 /**
  * A storm: load from several callers against a whole fleet while processes are
  * killed, paused and restarted, zones are cut, streams break and edits are
- * published. When it has ended and all is healed, every promise is judged by
- * what callers were told and what the stand-ins counted.
+ * published. After the storm, when all faults have been removed, every promise is
+ * judged by what callers were told and what the stand-ins counted.
  */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {startFleet, type Fleet} from '../_lib/start-fleet/index.js';
@@ -13,10 +13,10 @@
 import {judgeStorm} from './_lib/judge-storm.js';
 import {planFaults} from './_lib/plan-faults.js';
 import {runCallers} from './_lib/run-callers.js';
-import {createStriker, type Striker} from './_lib/strike-faults.js';
+import {createFaultInjector, type FaultInjector} from './_lib/inject-faults.js';
 import {toCallsReport, type StormReport} from './_lib/to-report.js';
 import {type PlannedFault, type Sent} from './_lib/types.js';
-import {askVersion, watchVersions} from './_lib/watch-versions.js';
+import {fetchVersion, watchVersions} from './_lib/watch-versions.js';
 
 export {toReportText, type StormReport} from './_lib/to-report.js';
 export {type Verdict} from './_lib/judge-storm.js';
@@ -27,18 +27,18 @@
 	callers?: number;
 	/** Mean time between two faults. */
 	faultEveryMs?: number;
-	/** Told as the storm goes on. */
-	tell?: (text: string) => void;
+	/** Called with progress messages. */
+	onProgress?: (text: string) => void;
 };
 
 const zones = ['dvorana-a', 'dvorana-b', 'dvorana-c'];
 const clockBoundMs = 3000;
-/** How far the clock of an entry is off at most, either way. */
+/** Largest error of an entry's clock, ahead or behind. */
 const maxClockErrorMs = 1000;
 const settleDeadlineMs = 60_000;
 const readyDeadlineMs = 60_000;
 
-/** The engines' own expiry, so late that it hides nothing that was left behind. */
+/** Expiry on the engines themselves, so long that it can't hide a reservation or answer that a host failed to release. */
 const longExpiryMs = 60_000;
 const releaseDeadlineMs = 30_000;
 const entryFlags = {
@@ -68,33 +68,33 @@
 		throw error;
 	}
 
-	// Until then no host vouches for a new key.
+	// No host vouches for a new key until this time has passed.
 	await sleep(clockBoundMs + maxClockErrorMs);
 	return fleet;
 }
 
-async function strikeAll(plan: readonly PlannedFault[], striker: Striker): Promise<void> {
+async function injectAll(plan: readonly PlannedFault[], faultInjector: FaultInjector): Promise<void> {
 	const start = performance.now();
-	const strikes: Array<Promise<void>> = [];
+	const injections: Array<Promise<void>> = [];
 	for (const fault of plan) {
 		await sleep(Math.max(0, start + fault.atMs - performance.now()));
-		strikes.push(striker.strike(fault));
+		injections.push(faultInjector.inject(fault));
 	}
 
-	striker.end();
-	await Promise.all(strikes);
+	faultInjector.end();
+	await Promise.all(injections);
 }
 
-/** Programs that do not show the newest good document. */
+/** Lists programs that do not show the newest good document. */
 async function findOutdated(fleet: Fleet, documents: Documents): Promise<string[]> {
 	const {digest, position} = documents.newest();
 	const programs = fleet.hosts.flatMap(host => [{host, program: 'agent' as const}, {host, program: 'entry' as const}]);
-	const shown = await Promise.all(programs.map(async ({host, program}) => ({name: `${program} of ${host.id}`, version: await askVersion(host, program)})));
+	const shown = await Promise.all(programs.map(async ({host, program}) => ({name: `${program} of ${host.id}`, version: await fetchVersion(host, program)})));
 	return shown.filter(({version}) => version?.digest !== digest).map(({name, version}) => `${name} shows ${JSON.stringify(version)}, not edit ${position}`);
 }
 
-/** Waits until a list is empty; gives what is left when the deadline passes. */
-async function settle(find: () => Promise<readonly string[]>, deadlineMs = settleDeadlineMs): Promise<{left: readonly string[]; afterMs: number}> {
+/** Waits until a list is empty; returns the remaining items when the deadline passes first. */
+async function waitUntilEmpty(find: () => Promise<readonly string[]>, deadlineMs = settleDeadlineMs): Promise<{left: readonly string[]; afterMs: number}> {
 	const start = performance.now();
 	let left: readonly string[] = [];
 	try {
@@ -107,10 +107,10 @@
 	return {left, afterMs: Math.round(performance.now() - start)};
 }
 
-/** Bad edits after the last good one must change nothing; each host has had time to read them when it shows that it refused one. */
+/** Publishes bad edits after the last good one, which must change nothing, and waits until a host shows a refused one and the others have had time to read it. */
 async function tryBadEdits(fleet: Fleet, documents: Documents): Promise<void> {
-	for (let form = 0; form < documents.badFormCount; form++) {
-		documents.publishBad(form);
+	for (let variant = 0; variant < documents.badVariantCount; variant++) {
+		documents.publishBad(variant);
 		await sleep(300);
 	}
 
@@ -147,23 +147,23 @@
 	return sum;
 }
 
-async function blow(fleet: Fleet, random: Random, {seed, durationMs, callers = 16, faultEveryMs = 800, tell = () => undefined}: StormOptions): Promise<StormReport> {
+async function runStormOn(fleet: Fleet, random: Random, {seed, durationMs, callers = 16, faultEveryMs = 800, onProgress = () => undefined}: StormOptions): Promise<StormReport> {
 	const documents = createDocuments(fleet);
-	const striker = createStriker(fleet, documents, entryFlags);
+	const faultInjector = createFaultInjector(fleet, documents, entryFlags);
 	const engines = [...fleet.engines.keys()];
 	const plan = planFaults({
 		hosts: fleet.hosts.map(({id}) => id), zones, engines, decodes: engines.filter(id => id.includes('-decode-')), desks: fleet.plains.map(({id}) => id),
-	}, {durationMs, everyMs: faultEveryMs}, random);
-	tell(`${plan.length} faults are planned for ${fleet.hosts.length} hosts`);
+	}, {durationMs, meanIntervalMs: faultEveryMs}, random);
+	onProgress(`${plan.length} faults are planned for ${fleet.hosts.length} hosts`);
 	const watch = watchVersions(fleet, documents);
-	const isLeaving = (host: string): boolean => striker.struck().some(({kind, targets, to}) => kind === 'restart host' && targets[0] === host && to === Infinity);
+	const isLeaving = (host: string): boolean => faultInjector.injected().some(({kind, targets, to}) => kind === 'restart host' && targets[0] === host && to === Infinity);
 	const [sent] = await Promise.all([
 		runCallers(fleet, {
-			seed, callers, durationMs, others: striker.twins, isLeaving,
+			seed, callers, durationMs, listExtraHosts: faultInjector.twins, isLeaving,
 		}),
-		strikeAll(plan, striker),
+		injectAll(plan, faultInjector),
 	]);
-	tell('the storm is over');
+	onProgress('the storm is over');
 	fleet.network.heal();
 	await waitUntil(async () => {
 		try {
@@ -173,20 +173,20 @@
 			return false;
 		}
 	}, {deadlineMs: readyDeadlineMs, what: 'all hosts to serve again'});
-	const inForce = await settle(async () => findOutdated(fleet, documents));
-	const released = await settle(async () => fleet.holds().map(hold => JSON.stringify(hold)), releaseDeadlineMs);
+	const inForce = await waitUntilEmpty(async () => findOutdated(fleet, documents));
+	const released = await waitUntilEmpty(async () => fleet.holds().map(hold => JSON.stringify(hold)), releaseDeadlineMs);
 	await tryBadEdits(fleet, documents);
 	const outdated = await findOutdated(fleet, documents);
 	await watch.end();
 	const runs = countAllRuns(fleet, sent);
 	const verdicts = judgeStorm({
 		sent,
-		struck: striker.struck(),
+		injectedFaults: faultInjector.injected(),
 		runs,
 		holds: released.left,
 		reversions: watch.reversions(),
-		strays: watch.strays(),
-		looks: watch.looks(),
+		unexpectedDocuments: watch.unexpectedDocuments(),
+		observationCount: watch.observationCount(),
 		outdated: [...inForce.left, ...outdated],
 		asked: 2 * fleet.hosts.length,
 		clockBoundMs,
@@ -196,7 +196,7 @@
 		seed,
 		durationMs,
 		hosts: fleet.hosts.length,
-		...toCallsReport(sent, striker.struck(), runs),
+		...toCallsReport(sent, faultInjector.injected(), runs),
 		edits: documents.counts(),
 		wastedPrefills: sumWaste(fleet),
 		heldBytes: fleet.holds().reduce((sum, {bytes}) => sum + bytes, 0),
@@ -212,13 +212,13 @@
  *
  * @param options - Seed and length. Faults are drawn from the seed before the storm begins.
  * @returns The report; `isKept` says whether every promise was kept.
- * @throws When a part of the harness fails, for example a program that does not start again.
+ * @throws When a part of the harness fails, for example when a program does not restart.
  */
 export async function runStorm(options: StormOptions): Promise<StormReport> {
 	const random = createRandom(options.seed);
 	const fleet = await startStormFleet(random);
 	try {
-		return await blow(fleet, random, options);
+		return await runStormOn(fleet, random, options);
 	} finally {
 		await fleet.stop();
 	}
