--- a/bench/zone-spread/_lib/create-spread-fleet.ts
+++ b/bench/zone-spread/_lib/create-spread-fleet.ts
@@ -101,7 +101,7 @@
 		};
 
 		const loads = spreadLoads({
-			hold: createLeavingOverrides(),
+			leavingOverrides: createLeavingOverrides(),
 			...common,
 			self: () => ({id, zone}),
 			send,
--- a/src/adapters/view-feed/_lib/apply-update.test.ts
+++ b/src/adapters/view-feed/_lib/apply-update.test.ts
@@ -2,7 +2,7 @@
 import {describe, it} from 'node:test';
 import {ok} from 'neverthrow';
 import {type HostStatus, type ServerStatus} from '../../../ports/view.js';
-import {applyUpdate, emptyView, type FedView} from './apply-update.js';
+import {applyUpdate, emptyView, type EntryView} from './apply-update.js';
 import {type FeedServer, type FeedUpdate} from './messages.js';
 
 const toHost = (id: string, life: HostStatus['life'] = 'alive'): HostStatus => ({
@@ -18,7 +18,7 @@
 	echoAt: at, echoAgeMs: 0, whole: false, config: undefined, hosts: [], hostsGone: [], servers: [], serversGone: [], confirmedAgeMs: undefined, incarnationFloor: 0, ...change,
 });
 
-const apply = (view: FedView, ...updates: FeedUpdate[]): FedView => {
+const apply = (view: EntryView, ...updates: FeedUpdate[]): EntryView => {
 	let next = view;
 	for (const update of updates) {
 		next = applyUpdate(next, update, {parse: () => ok({} as never), isNewer: () => true});
--- a/src/adapters/view-feed/_lib/apply-update.ts
+++ b/src/adapters/view-feed/_lib/apply-update.ts
@@ -14,11 +14,11 @@
 const unnamedLimitMs = 30 * msPerSecond;
 
 /** The entry's view, and the hosts in it that the agent has not named since the agent's start. */
-export type FedView = FleetView & {
+export type EntryView = FleetView & {
 	unnamed?: {hosts: ReadonlySet<HostId>; since: Milliseconds} | undefined;
 };
 
-export const emptyView: FedView = {
+export const emptyView: EntryView = {
 	accepted: undefined,
 	hosts: new Map(),
 	servers: new Map(),
@@ -75,7 +75,7 @@
  * Without this rule, each restart of its agent would leave the entry without a
  * witness for a key, and the entry would use the share of all other hosts.
  */
-function toUnnamed({unnamed, hosts}: FedView, update: FeedUpdate, sentAt: Milliseconds): FedView['unnamed'] {
+function toUnnamed({unnamed, hosts}: EntryView, update: FeedUpdate, sentAt: Milliseconds): EntryView['unnamed'] {
 	const since = update.whole ? sentAt : unnamed?.since ?? sentAt;
 	const named = new Set(update.hosts.map(({id}) => id));
 	const left = [...(update.whole ? hosts.keys() : unnamed?.hosts ?? [])].filter(id => !named.has(id));
@@ -126,7 +126,7 @@
  * @param options - How configuration documents are parsed and ordered.
  * @returns The next view, its times on the entry's monotonic clock.
  */
-export function applyUpdate(view: FedView, update: FeedUpdate, options: ApplyOptions): FedView {
+export function applyUpdate(view: EntryView, update: FeedUpdate, options: ApplyOptions): EntryView {
 	// The update was sent at this time or later. The time is based on the entry's own
 	// echoed clock: an entry that wakes up from a pause to a socket full of old
 	// updates must not treat them as fresh.
--- a/src/adapters/view-feed/index.ts
+++ b/src/adapters/view-feed/index.ts
@@ -12,7 +12,7 @@
 import {createConfigReader} from '../../domain/parse-config/index.js';
 import {compareConfigVersions} from '../../domain/compare-config-versions/index.js';
 import {
-	applyUpdate, emptyView, type ApplyOptions, type FedView,
+	applyUpdate, emptyView, type ApplyOptions, type EntryView,
 } from './_lib/apply-update.js';
 import {
 	feedConfigCall, feedEvents, type FeedConfig, type FeedPing, type FeedUpdate,
@@ -75,7 +75,7 @@
 		...options,
 	};
 	const stop = new AbortController();
-	let view: FedView = emptyView;
+	let view: EntryView = emptyView;
 	let current: PeerConnection | undefined;
 	let backoffMs = firstBackoffMs;
 	let isStopping = false;
--- a/src/domain/create-crash-suspects/index.ts
+++ b/src/domain/create-crash-suspects/index.ts
@@ -33,8 +33,8 @@
 	isQuarantined: (fingerprint: Fingerprint, now: Milliseconds) => boolean;
 	/** Servers that ended while they ran the request. */
 	crashedServers: (fingerprint: Fingerprint, now: Milliseconds) => readonly ServerId[];
-	/** Reports for other hosts: all requests with repeated crashes, and requests with recent crashes of at least `leastFresh` servers; rotates through them if there are more than `limit`. */
-	toReports: (now: Milliseconds, options: {leastFresh: number; limit: number}) => readonly CrashReport[];
+	/** Reports for other hosts: all requests with repeated crashes, and requests with recent crashes of at least `minFreshCrashes` servers; rotates through them if there are more than `limit`. */
+	toReports: (now: Milliseconds, options: {minFreshCrashes: number; limit: number}) => readonly CrashReport[];
 	/** Reports of the requests that have changed since they were last taken. */
 	takeChanged: (now: Milliseconds, limit: number) => readonly CrashReport[];
 	count: (now: Milliseconds) => {suspects: number; quarantined: number};
@@ -225,11 +225,11 @@
 			const suspect = find(fingerprint, now);
 			return suspect === undefined ? [] : toCrashes(suspect).map(([server]) => server);
 		},
-		toReports(now, {leastFresh, limit}) {
+		toReports(now, {minFreshCrashes, limit}) {
 			sweep(now);
 			const reportable = [...suspects]
 				.map(([fingerprint, suspect]) => ({fingerprint, suspect, crashes: toCrashes(suspect)}))
-				.filter(({crashes}) => crashes.length >= minCrashesToRepeat || (crashes.length >= leastFresh && crashes.some(([, at]) => now - at <= freshCrashMs)));
+				.filter(({crashes}) => crashes.length >= minCrashesToRepeat || (crashes.length >= minFreshCrashes && crashes.some(([, at]) => now - at <= freshCrashMs)));
 			reportOffset = reportable.length <= limit ? 0 : (reportOffset + limit) % reportable.length;
 			return [...reportable, ...reportable]
 				.slice(reportOffset, reportOffset + Math.min(limit, reportable.length))
--- a/src/domain/create-crash-suspects/test.ts
+++ b/src/domain/create-crash-suspects/test.ts
@@ -9,7 +9,7 @@
 	return servers.map((server, i) => suspects.noteBroken(fingerprint, server, from + (i * msPerSecond)));
 }
 
-const all = {leastFresh: 1, limit: 10};
+const all = {minFreshCrashes: 1, limit: 10};
 
 const toReport = (fingerprint: string, servers: readonly string[], ageMs = 0): CrashReport => ({
 	fingerprint, idleMs: ageMs, crashes: servers.map(server => ({server, ageMs})),
@@ -108,8 +108,8 @@
 		crash(suspects, 'twice', ['a', 'b']);
 		const toReported = (now: number, options = all) => suspects.toReports(now, options).map(({fingerprint}) => fingerprint);
 		assert.deepEqual(toReported(2000), ['once', 'twice']);
-		assert.deepEqual(toReported(2000, {leastFresh: 2, limit: 10}), ['twice']);
-		assert.deepEqual([...toReported(2000, {leastFresh: 1, limit: 1}), ...toReported(2000, {leastFresh: 1, limit: 1})].toSorted(), ['once', 'twice']);
+		assert.deepEqual(toReported(2000, {minFreshCrashes: 2, limit: 10}), ['twice']);
+		assert.deepEqual([...toReported(2000, {minFreshCrashes: 1, limit: 1}), ...toReported(2000, {minFreshCrashes: 1, limit: 1})].toSorted(), ['once', 'twice']);
 		assert.deepEqual(toReported(10_000), ['twice']);
 		assert.deepEqual(suspects.toReports(10_000, all), [{
 			fingerprint: 'twice', idleMs: 9000, crashes: [{server: 'a', ageMs: 10_000}, {server: 'b', ageMs: 9000}],
--- a/src/programs/agent/_lib/create-leaving-tracker.ts
+++ b/src/programs/agent/_lib/create-leaving-tracker.ts
@@ -10,7 +10,7 @@
 
 export type LeavingTrackerOptions = Pick<AgentOptions, 'toEngine' | 'log'> & {
 	table: FleetTable;
-	hold: LeavingOverrides;
+	leavingOverrides: LeavingOverrides;
 	/** Servers that this host polls. */
 	servers: () => readonly ServerEntry[];
 	/** Owner of the reservations that probes make. */
@@ -33,7 +33,7 @@
  * @param options - See {@link LeavingTrackerOptions}.
  * @returns See {@link LeavingTracker}.
  */
-export function createLeavingTracker({table, hold, servers, toEngine, owner, mayAct, log, now}: LeavingTrackerOptions): LeavingTracker {
+export function createLeavingTracker({table, leavingOverrides: hold, servers, toEngine, owner, mayAct, log, now}: LeavingTrackerOptions): LeavingTracker {
 	let probes = 0;
 
 	return {
--- a/src/programs/agent/_lib/manage-servers.ts
+++ b/src/programs/agent/_lib/manage-servers.ts
@@ -20,7 +20,7 @@
 	table: FleetTable;
 	hosts: () => ReadonlyMap<HostId, HostStatus>;
 	loads: LoadsTask;
-	hold: LeavingOverrides;
+	leavingOverrides: LeavingOverrides;
 	/** Incarnation of this process. */
 	incarnation: Incarnation;
 	pauses: PauseTracker;
@@ -46,7 +46,7 @@
  */
 export function manageServers(options: ManageServersOptions): ManageServersTask {
 	const {
-		settings, table, hosts, toEngine, loads, hold, pauses, log, counts, now, random, signal,
+		settings, table, hosts, toEngine, loads, leavingOverrides: hold, pauses, log, counts, now, random, signal,
 	} = options;
 	const {hostId} = settings;
 	const servers = createPolledServers({table, hosts, hostId});
@@ -63,7 +63,7 @@
 	});
 	const leavingTracker = createLeavingTracker({
 		table,
-		hold,
+		leavingOverrides: hold,
 		servers,
 		toEngine,
 		owner: {host: hostId, incarnation: options.incarnation},
--- a/src/programs/agent/_lib/spread-loads.test.ts
+++ b/src/programs/agent/_lib/spread-loads.test.ts
@@ -31,7 +31,7 @@
 	table.noteLoad(toReport(server), 10_000);
 	const loads = spreadLoads({
 		table,
-		hold: createLeavingOverrides(),
+		leavingOverrides: createLeavingOverrides(),
 		self: () => ({id: 'a-1', zone: 'a'}),
 		hosts: () => new Map([toHost('a-1', 'a'), toHost('a-2', 'a'), toHost('b-1', 'b', lifeOfB)]),
 		send: () => undefined,
--- a/src/programs/agent/_lib/spread-loads.ts
+++ b/src/programs/agent/_lib/spread-loads.ts
@@ -15,7 +15,7 @@
 
 export type SpreadLoadsOptions = {
 	table: FleetTable;
-	hold: LeavingOverrides;
+	leavingOverrides: LeavingOverrides;
 	self: () => {id: HostId; zone: string};
 	hosts: () => ReadonlyMap<HostId, HostStatus>;
 	send: (host: HostStatus, name: string, body: unknown) => void;
@@ -52,7 +52,7 @@
  * @param options - See {@link SpreadLoadsOptions}.
  * @returns See {@link LoadsTask}.
  */
-export function spreadLoads({table, hold, self, hosts, send, call, spreadTargets, now, toArrival, smallFleet}: SpreadLoadsOptions): LoadsTask {
+export function spreadLoads({table, leavingOverrides: hold, self, hosts, send, call, spreadTargets, now, toArrival, smallFleet}: SpreadLoadsOptions): LoadsTask {
 	const spread = createLoadBroadcast();
 	const pendingRequests = new Set<HostId>();
 	const names = createServerIndex(table);
--- a/src/programs/agent/_lib/start-agent.ts
+++ b/src/programs/agent/_lib/start-agent.ts
@@ -152,7 +152,7 @@
 	});
 	const loads = spreadLoads({
 		table,
-		hold,
+		leavingOverrides: hold,
 		self: () => ({id: hostId, zone}),
 		hosts,
 		send,
@@ -183,7 +183,7 @@
 		table,
 		hosts,
 		loads,
-		hold,
+		leavingOverrides: hold,
 		incarnation,
 		pauses,
 		isAnswering: async (owner, entryAddress) => isEntryAnswering(owner, entryAddress, {hello, tls, connectTimeoutMs: probeTimeoutMs}),
--- a/src/programs/entry/_lib/create-run-services.ts
+++ b/src/programs/entry/_lib/create-run-services.ts
@@ -91,7 +91,7 @@
 		}),
 		reportLeaving,
 		toRetryBudget: budgets.toRetryBudget,
-		transferLimits: createTransferTimeouts(),
+		transferTimeouts: createTransferTimeouts(),
 		runMetrics: counters.runMetrics,
 		reservationTtlMs,
 	};
--- a/src/programs/entry/_lib/types.ts
+++ b/src/programs/entry/_lib/types.ts
@@ -89,7 +89,7 @@
 	/** Tells the fleet that a server refused a call because it is leaving. */
 	reportLeaving: (server: ServerId) => void;
 	toRetryBudget: (pool: string) => RetryBudget;
-	transferLimits: TransferTimeouts;
+	transferTimeouts: TransferTimeouts;
 	runMetrics: RunMetrics;
 	reservationTtlMs: Milliseconds;
 };
--- a/src/programs/entry/run-attempt/_lib/transfer-cache.ts
+++ b/src/programs/entry/run-attempt/_lib/transfer-cache.ts
@@ -22,7 +22,7 @@
 function toTransferTimeoutMs({isFirst, run, services, placement}: Attempt, bytes: number): Milliseconds {
 	const {prefill, decode} = placement;
 	const mayRunAgain = isFirst && run.rule.then.repeatable;
-	return mayRunAgain ? services.transferLimits.toTimeoutMs({from: prefill.zone, to: decode.zone}, bytes) : Infinity;
+	return mayRunAgain ? services.transferTimeouts.toTimeoutMs({from: prefill.zone, to: decode.zone}, bytes) : Infinity;
 }
 
 /**
@@ -36,7 +36,7 @@
 export async function transferCache(attempt: Attempt, transfer: Transfer): Promise<Result<{bytes: number}, StepFailure>> {
 	const {run, services, placement, key} = attempt;
 	const {prefill: from, decode: to} = placement;
-	const {transferLimits, clock} = services;
+	const {transferTimeouts: transferLimits, clock} = services;
 	const {reservationId, kvId, bytes, slotRemainingMs} = transfer;
 	const link = {from: from.zone, to: to.zone};
 	const startedAt = clock.now();
--- a/src/programs/relay/share-loads/index.ts
+++ b/src/programs/relay/share-loads/index.ts
@@ -176,7 +176,7 @@
 		sendToCollectors(loads, changed.filter(report => report.crashes.length < leastCrashes));
 	}
 
-	const toRoundReports = (now: Milliseconds): readonly CrashReport[] => suspects.toReports(now, {leastFresh: toMinCrashes(now), limit: maxReportsPerRound});
+	const toRoundReports = (now: Milliseconds): readonly CrashReport[] => suspects.toReports(now, {minFreshCrashes: toMinCrashes(now), limit: maxReportsPerRound});
 
 	function sendUpdates(loads: readonly HostLoad[], now: Milliseconds): void {
 		const text = toLoadsText(loads);
--- a/test/contracts/relay-orders.test.ts
+++ b/test/contracts/relay-orders.test.ts
@@ -81,7 +81,7 @@
 			await waitUntil(() => logs().slice(first).some(({message, server, state}) => message === 'server changed' && server === changed.id && state === 'serving'), {
 				deadlineMs: 20_000, what: 'the relay to log the changed server as serving',
 			});
-			store.comeBackFrom(store.copy());
+			store.restore(store.copy());
 			await waitUntil(() => findWholeReads().length > 0, {deadlineMs: 20_000, what: 'the first complete read after the return', everyMs: 5});
 			publishServer(changed, {stage: 'prefill'});
 			const [, second] = await waitUntil(() => findOrders().length > 1 && findOrders(), {deadlineMs: 20_000, what: 'a second order, after the return'});
--- a/test/failures/crashing-request.test.ts
+++ b/test/failures/crashing-request.test.ts
@@ -7,17 +7,17 @@
 import {findUdpAddress} from '../_lib/find-udp-address/index.js';
 import {waitUntil} from '../_lib/wait-until/index.js';
 import {
-	startServerStandIn, type Arrival, type Misdeed, type ServerStandIn,
+	startServerStandIn, type Arrival, type ServerFault, type ServerStandIn,
 } from '../stand-ins/users-platform/server.js';
 import {
-	deadlineMs, startRelayFixture, toStreamHeaders, type Answer, type Asked, type RelayFixture,
+	deadlineMs, startRelayFixture, toStreamHeaders, type Answer, type RelayCall, type RelayFixture,
 } from '../stand-ins/users-platform/start-relay-fixture.js';
 
 let fixture: RelayFixture;
 
-const crashing: Asked = {path: '/summary/9', body: 'crashing', headers: toStreamHeaders()};
-const harmless: Asked = {path: '/summary/1', body: 'harmless', headers: toStreamHeaders()};
-const crashingLookup: Asked = {path: '/lookup/9', body: 'crashing'};
+const crashing: RelayCall = {path: '/summary/9', body: 'crashing', headers: toStreamHeaders()};
+const harmless: RelayCall = {path: '/summary/1', body: 'harmless', headers: toStreamHeaders()};
+const crashingLookup: RelayCall = {path: '/lookup/9', body: 'crashing'};
 
 const isCrashing = ({body}: Arrival): boolean => body === 'crashing';
 
@@ -26,7 +26,7 @@
 const countCrashes = (): number => allServers().reduce((sum, server) => sum + server.crashes(), 0);
 
 /** Counts the calls for a request at all servers, including those that compute its prompt, or those of one step only. */
-const countCalls = ({body}: Asked, step?: Arrival['step']): number =>
+const countCalls = ({body}: RelayCall, step?: Arrival['step']): number =>
 	allServers().flatMap(({arrivals}) => arrivals).filter(arrival => arrival.body === body && (step === undefined || arrival.step === step)).length;
 
 async function startFixture(hosts: number): Promise<void> {
@@ -74,7 +74,7 @@
 }
 
 /** Sends the request, to the hosts in turn, until the given number of servers have crashed. */
-async function crashServers(asked: Asked, {crashes, hosts}: {crashes: number; hosts: number}): Promise<void> {
+async function crashServers(asked: RelayCall, {crashes, hosts}: {crashes: number; hosts: number}): Promise<void> {
 	for (let sent = 0; countCrashes() < crashes; sent++) {
 		assert.ok(sent < 10 * crashes, 'too few servers crashed after ten requests for each expected crash');
 		await fixture.ask({...asked, at: sent % hosts});
@@ -128,8 +128,8 @@
 	async function askDuringCrashReport(n: number): Promise<Answer | undefined> {
 		const {prefill1, prefill2} = fixture.servers;
 		const released = createDeferred();
-		prefill1.holdPrompts(released.promise);
-		prefill2.holdPrompts(released.promise);
+		prefill1.delayPrefillsUntil(released.promise);
+		prefill2.delayPrefillsUntil(released.promise);
 		const requestId = `told-${n}`;
 		const body = `crashing-${n}`;
 		const asking = fixture.ask({...crashing, body, headers: toStreamHeaders({'request-id': requestId})});
@@ -211,8 +211,8 @@
 
 	it('serves a request whose answers broke at as many servers as crashes are allowed', async () => {
 		fixture = await startRelayFixture();
-		const misdeeds: Misdeed[] = [];
-		const desks = await Promise.all([3, 4, 5, 6].map(async i => startServerStandIn({id: `desk${i}`, misdeeds})));
+		const misdeeds: ServerFault[] = [];
+		const desks = await Promise.all([3, 4, 5, 6].map(async i => startServerStandIn({id: `desk${i}`, sharedFaults: misdeeds})));
 		for (const desk of desks) {
 			fixture.publishServer(desk);
 		}
--- a/test/failures/leaving-answer.test.ts
+++ b/test/failures/leaving-answer.test.ts
@@ -7,16 +7,16 @@
 import {waitUntil} from '../_lib/wait-until/index.js';
 import {type ServerStandIn} from '../stand-ins/users-platform/server.js';
 import {
-	deadlineMs, startRelayFixture, toStreamHeaders, type Asked, type RelayFixture,
+	deadlineMs, startRelayFixture, toStreamHeaders, type RelayCall, type RelayFixture,
 } from '../stand-ins/users-platform/start-relay-fixture.js';
 
 let fixture: RelayFixture;
 
-const lookup: Asked = {path: '/lookup/1'};
-const summary: Asked = {path: '/summary/1', body: 'prompt', headers: toStreamHeaders()};
+const lookup: RelayCall = {path: '/lookup/1'};
+const summary: RelayCall = {path: '/summary/1', body: 'prompt', headers: toStreamHeaders()};
 
 /** Sends requests until the server has answered one; returns the time just before that request. */
-async function askUntilAnswered(server: ServerStandIn, asked: Asked): Promise<number> {
+async function askUntilAnswered(server: ServerStandIn, asked: RelayCall): Promise<number> {
 	const before = server.arrivals.length;
 	return waitUntil(async () => {
 		const at = performance.now();
@@ -26,7 +26,7 @@
 }
 
 /** Sends 12 requests at once; returns how many calls reached the server meanwhile. */
-async function countCallsDuringLoad(server: ServerStandIn, asked: Asked): Promise<number> {
+async function countCallsDuringLoad(server: ServerStandIn, asked: RelayCall): Promise<number> {
 	const before = server.arrivals.length;
 	const answers = await Promise.all(Array.from({length: 12}, async () => fixture.ask(asked)));
 	assert.ok(answers.every(({status}) => status === 200), answers.map(({status}) => status).join(' '));
@@ -45,7 +45,7 @@
 
 	it('gets no new requests after that answer, although the platform is silent', async () => {
 		const {servers, store} = fixture;
-		store.setMood('silent');
+		store.setMode('silent');
 		store.cutWatches();
 		servers.desk1.setLeaving(true);
 		await askUntilAnswered(servers.desk1, lookup);
@@ -107,14 +107,14 @@
 	const backoffMs = 2000;
 
 	/** Makes the server turn one call away, and serve all others; returns the time just before that call. */
-	async function turnOneCallAway(server: ServerStandIn, asked: Asked): Promise<number> {
-		server.turnAway(backoffMs / 1000);
+	async function turnOneCallAway(server: ServerStandIn, asked: RelayCall): Promise<number> {
+		server.setBackoffSeconds(backoffMs / 1000);
 		const at = await askUntilAnswered(server, asked);
-		server.turnAway(undefined);
+		server.setBackoffSeconds(undefined);
 		return at;
 	}
 
-	const cases: ReadonlyArray<{name: string; server: 'desk1' | 'decode1' | 'prefill1'; asked: Asked}> = [
+	const cases: ReadonlyArray<{name: string; server: 'desk1' | 'decode1' | 'prefill1'; asked: RelayCall}> = [
 		{name: 'of a plain service', server: 'desk1', asked: {path: '/check/1', method: 'GET'}},
 		{name: 'that runs streams', server: 'decode1', asked: summary},
 		{name: 'that computes prompts', server: 'prefill1', asked: summary},
@@ -149,12 +149,12 @@
 
 	it('lets a stream wait for a decode server whose back-off ends early enough for the deadline', async () => {
 		const {decode1, decode2} = fixture.servers;
-		decode1.turnAway(0.3);
-		decode2.turnAway(0.3);
+		decode1.setBackoffSeconds(0.3);
+		decode2.setBackoffSeconds(0.3);
 		const asking = fixture.ask(summary);
 		await waitUntil(() => decode1.arrivals.length + decode2.arrivals.length >= 2, {deadlineMs, what: 'both decode servers to turn the stream away', everyMs: 5});
-		decode1.turnAway(undefined);
-		decode2.turnAway(undefined);
+		decode1.setBackoffSeconds(undefined);
+		decode2.setBackoffSeconds(undefined);
 		const {status} = await asking;
 		assert.equal(status, 200);
 		assert.equal([...decode1.arrivals, ...decode2.arrivals].filter(({step}) => step === 'reserve').length, 3);
@@ -162,8 +162,8 @@
 
 	it('refuses a stream at once if all decode servers back off for longer than the stream can wait', async () => {
 		const {decode1, decode2, prefill1, prefill2} = fixture.servers;
-		decode1.turnAway(20);
-		decode2.turnAway(20);
+		decode1.setBackoffSeconds(20);
+		decode2.setBackoffSeconds(20);
 		const {status, headers, tookMs} = await fixture.ask(summary);
 		assert.equal(status, 503);
 		assert.ok(Number(headers['retry-after']) > 10, String(headers['retry-after']));
@@ -174,19 +174,19 @@
 	it('gets neither the run nor the release of its reservation if it asks to back off while a prompt is computed for it', async () => {
 		const {decode1, decode2, prefill1, prefill2} = fixture.servers;
 		const released = createDeferred();
-		prefill1.holdPrompts(released.promise);
-		prefill2.holdPrompts(released.promise);
+		prefill1.delayPrefillsUntil(released.promise);
+		prefill2.delayPrefillsUntil(released.promise);
 		const asking = fixture.ask(summary);
 		await waitUntil(() => prefill1.arrivals.length + prefill2.arrivals.length > 0, {deadlineMs, what: 'a prompt under way', everyMs: 5});
 		const chosen = decode1.arrivals.length > 0 ? decode1 : decode2;
-		chosen.turnAway(backoffMs / 1000);
+		chosen.setBackoffSeconds(backoffMs / 1000);
 		const other = fixture.ask(summary);
 		await waitUntil(() => fixture.logs().some(({message, server}) => message === 'server asks to back off' && server === chosen.id), {
 			deadlineMs, what: 'the relay to log that the chosen server backs off', everyMs: 5,
 		});
 		const before = chosen.arrivals.length;
-		prefill1.holdPrompts(Promise.resolve());
-		prefill2.holdPrompts(Promise.resolve());
+		prefill1.delayPrefillsUntil(Promise.resolve());
+		prefill2.delayPrefillsUntil(Promise.resolve());
 		released.resolve();
 		const answers = await Promise.all([asking, other]);
 		assert.deepEqual(answers.map(({status}) => status), [200, 200]);
--- a/test/failures/platform-returns.test.ts
+++ b/test/failures/platform-returns.test.ts
@@ -37,7 +37,7 @@
 		const copy = store.copy();
 		publishRoutes(5, route => route.name === 'lookups' ? undefined : route);
 		await askUntil({path: '/lookup/'}, 404);
-		store.comeBackFrom(copy);
+		store.restore(copy);
 		await waitForCopy();
 		const answer = await ask({path: '/lookup/'});
 		assert.equal(answer.status, 404);
@@ -53,7 +53,7 @@
 		}
 
 		await waitUntil(() => isInForce(5), {deadlineMs, what: 'the relay to read the last edition'});
-		store.comeBackFrom(copy);
+		store.restore(copy);
 		// By the next read the revisions are higher than those from before the restore.
 		store.put('servers/desk9', {
 			service: 'desk', address: '127.0.0.1:9', zone: 'b', version: 'v1', slots: 8, state: 'ready', cold_remaining_ms: 0, sequence: 1,
@@ -74,7 +74,7 @@
 		await waitUntil(() => logs().some(({server, state}) => server === 'desk1' && state === 'leaving') && logs().some(({server, state}) => server === 'desk2' && state === 'gone'), {
 			deadlineMs, what: 'the relay to know that both servers left',
 		});
-		store.comeBackFrom(copy);
+		store.restore(copy);
 		await waitForCopy();
 		const answer = await ask({path: '/lookup/'});
 		assert.equal(answer.status, 503, 'a request was not refused although all servers had left');
@@ -98,7 +98,7 @@
 		publishServer(servers.desk1);
 		publishServer(servers.desk2);
 		await askUntil({path: '/lookup/'}, 200);
-		store.comeBackFrom(copy);
+		store.restore(copy);
 		await waitForCopy();
 		const answer = await ask({path: '/lookup/'});
 		assert.equal(answer.status, 200, 'a healthy server was dropped');
@@ -119,7 +119,7 @@
 		await waitUntil(() => isInForce(3) && fixture.logs().some(({server, state}) => server === 'desk1' && state === 'leaving'), {
 			deadlineMs, what: 'the relay to know the new rules and the leaving server',
 		});
-		store.comeBackFrom(copy);
+		store.restore(copy);
 		await waitForCopy();
 		const [reset] = toLines('platform came back from an older copy, reading all anew');
 		const [read] = toLines('platform read anew after its return');
--- a/test/failures/recovery.test.ts
+++ b/test/failures/recovery.test.ts
@@ -11,7 +11,7 @@
 import fc from 'fast-check';
 import {type PeerConnection} from '../../src/adapters/peer-tcp/index.js';
 import {createViewPublisher} from '../../src/adapters/view-feed/index.js';
-import {applyUpdate, emptyView, type FedView} from '../../src/adapters/view-feed/_lib/apply-update.js';
+import {applyUpdate, emptyView, type EntryView} from '../../src/adapters/view-feed/_lib/apply-update.js';
 import {type FeedUpdate} from '../../src/adapters/view-feed/_lib/messages.js';
 import {createAdmission} from '../../src/domain/create-admission/index.js';
 import {createFleetTable} from '../../src/domain/create-fleet-table/index.js';
@@ -41,7 +41,7 @@
 	const random = toSeededRandom(1);
 	const gate = createGate({admission: createAdmission(), zone: 'a', now: clock.now});
 	const placement = createPlacement({zone: 'a'});
-	let view: FedView = emptyView;
+	let view: EntryView = emptyView;
 	let asked = 0;
 
 	const connection = {
@@ -63,7 +63,7 @@
 		publisher.add(connection);
 		const loads = spreadLoads({
 			table,
-			hold: createLeavingOverrides(),
+			leavingOverrides: createLeavingOverrides(),
 			self: () => ({id: 'a-1', zone: 'a'}),
 			hosts: () => hosts,
 			send: () => undefined,
--- a/test/failures/relay-platform.test.ts
+++ b/test/failures/relay-platform.test.ts
@@ -39,7 +39,7 @@
 		store.remove('servers/desk1');
 		store.remove('servers/desk2');
 		publishRoutes(5);
-		store.forget();
+		store.dropHistory();
 		await askUntil({path: '/lookup/'}, 503);
 	});
 
@@ -55,13 +55,13 @@
 
 	it('keeps using servers whose entries expired during an outage of the platform, and drops those that do not return', async () => {
 		const {ask, store, logs} = fixture;
-		store.setMood('refusing');
+		store.setMode('refusing');
 		store.cutWatches();
 		await sleep(3500);
 		store.remove('servers/desk1');
 		store.remove('servers/desk2');
-		store.forget();
-		store.setMood('well');
+		store.dropHistory();
+		store.setMode('well');
 		await waitUntil(() => logs().some(line => line.message === 'platform answers' && Number(line.count) > 0), {deadlineMs, what: 'the platform to answer again'});
 		const answer = await ask({path: '/lookup/'});
 		assert.equal(answer.status, 200, answer.body);
--- a/test/failures/relay-stop.test.ts
+++ b/test/failures/relay-stop.test.ts
@@ -42,7 +42,7 @@
 
 	it('stops within its time limit although a server never answers, and tells the caller', async () => {
 		const {ask, stopRelay, servers} = fixture;
-		servers.desk1.misbehave('silent');
+		servers.desk1.addFaults('silent');
 		const startedAt = performance.now();
 		const hanging = Promise.allSettled([ask({path: '/lookup/1', headers: {'deadline-ms': '20000'}})]);
 		await sleep(100);
--- a/test/failures/relay.test.ts
+++ b/test/failures/relay.test.ts
@@ -6,7 +6,7 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {createDeferred} from '../../src/_lib/create-deferred/index.js';
 import {waitUntil} from '../_lib/wait-until/index.js';
-import {type Misdeed, type ServerStandIn} from '../stand-ins/users-platform/server.js';
+import {type ServerFault, type ServerStandIn} from '../stand-ins/users-platform/server.js';
 import {
 	deadlineMs, startRelayFixture, toStreamHeaders, type Answer, type RelayFixture,
 } from '../stand-ins/users-platform/start-relay-fixture.js';
@@ -28,7 +28,7 @@
 	});
 	after(async () => fixture.stop());
 
-	const cases: ReadonlyArray<{name: string; path: string; misdeeds: Misdeed[]; status: number; runs: number; isSealed?: boolean; hasRetryAfter?: boolean}> = [
+	const cases: ReadonlyArray<{name: string; path: string; misdeeds: ServerFault[]; status: number; runs: number; isSealed?: boolean; hasRetryAfter?: boolean}> = [
 		{
 			name: 'refuses a lookup', path: '/lookup/', misdeeds: ['refuse'], status: 503, runs: 1, hasRetryAfter: true,
 		},
@@ -63,7 +63,7 @@
 			const before = servers.desk1.runs().length + servers.desk2.runs().length;
 			// Wait until hosts no longer avoid a server because of the previous test.
 			await sleep(100);
-			servers.desk1.misbehave(...misdeeds);
+			servers.desk1.addFaults(...misdeeds);
 			const answer = await ask({path});
 			assert.equal(answer.status, status);
 			assert.equal(servers.desk1.runs().length + servers.desk2.runs().length - before, runs);
@@ -74,7 +74,7 @@
 
 	it('fails a check at both servers: the second one\'s own answer is passed on', async () => {
 		const {servers, ask} = fixture;
-		servers.desk1.misbehave('fail', 'fail');
+		servers.desk1.addFaults('fail', 'fail');
 		const answer = await ask({path: '/check/'});
 		assert.equal(answer.status, 500);
 		assert.match(String(answer.headers['server-seal']), /^seal-of-desk/v);
@@ -82,14 +82,14 @@
 
 	it('breaks off an answer without a length: the caller gets no whole answer', async () => {
 		const {servers, ask} = fixture;
-		servers.desk1.misbehave('cut-unframed');
+		servers.desk1.addFaults('cut-unframed');
 		const answer: Answer = await ask({path: '/lookup/'});
 		assert.ok(answer.status !== 200 || !answer.isWhole, `${answer.status} ${answer.body}`);
 	});
 
 	it('is silent: the caller gets its final answer at its deadline, and the call to the server is ended', async () => {
 		const {servers, ask} = fixture;
-		servers.desk1.misbehave('silent');
+		servers.desk1.addFaults('silent');
 		const answer = await ask({path: '/lookup/', headers: {'deadline-ms': '400'}});
 		assert.equal(answer.status, 504);
 		assert.ok(answer.tookMs >= 390, `${answer.tookMs}`);
@@ -166,7 +166,7 @@
 	 */
 	it('asks another server long before the reservation expires when a prompt gets no answer', async () => {
 		const {servers, ask, logs} = fixture;
-		servers.prefill1.misbehave('silent');
+		servers.prefill1.addFaults('silent');
 		const answer = await ask(toStream());
 		assert.equal(answer.status, 200, answer.body);
 		const failed = logs().find(({message}) => message === 'attempt failed');
@@ -176,7 +176,7 @@
 
 	it('releases the reservation and tries another server when the prompt is refused', async () => {
 		const {servers, ask} = fixture;
-		servers.prefill1.misbehave('refuse', 'refuse', 'refuse');
+		servers.prefill1.addFaults('refuse', 'refuse', 'refuse');
 		const answers = await Promise.all(Array.from({length: 4}, async () => ask(toStream())));
 		assert.ok(answers.some(({status}) => status === 200));
 		assert.ok(answers.every(({status}) => status === 200 || status === 503), String(answers.map(({status}) => status)));
@@ -197,7 +197,7 @@
 
 	it('frees the cache when the decode server refuses after the prompt was computed', async () => {
 		const {servers, ask} = fixture;
-		servers.decode1.misbehave('refuse');
+		servers.decode1.addFaults('refuse');
 		const answer = await ask(toStream());
 		assert.ok([200, 503].includes(answer.status), String(answer.status));
 		await waitUntilNothingHeld();
@@ -214,7 +214,7 @@
 
 	it('continues a resumable stream at the other server, after the last complete event', async () => {
 		const {servers, ask} = fixture;
-		servers.decode1.misbehave('cut-stream');
+		servers.decode1.addFaults('cut-stream');
 		const answer = await ask({...toStream({'request-id': 'notice-1'}), path: '/notice/1'});
 		assert.equal(answer.status, 200);
 		assert.ok(answer.isWhole);
@@ -226,7 +226,7 @@
 
 	it('breaks off a stream that no server can continue', async () => {
 		const {servers, ask} = fixture;
-		servers.decode1.misbehave('cut-stream', 'refuse');
+		servers.decode1.addFaults('cut-stream', 'refuse');
 		const answer = await ask({...toStream(), path: '/notice/1'});
 		assert.equal(answer.status, 200);
 		assert.ok(!answer.isWhole);
@@ -235,7 +235,7 @@
 
 	it('breaks off the caller\'s answer when the server\'s stream broke and can\'t be resumed', async () => {
 		const {servers, ask} = fixture;
-		servers.decode1.misbehave('cut-stream');
+		servers.decode1.addFaults('cut-stream');
 		const answer = await ask(toStream());
 		assert.equal(answer.status, 200);
 		assert.ok(!answer.isWhole);
@@ -260,7 +260,7 @@
 		await Promise.all([ask(toStream()), ask(toStream())]);
 		// While both prefill servers are in cooldown, a decode server computes the prompt, so not every request reaches a silent server.
 		for (let asked = 0; countUnansweredPrompts() < 6 && asked < 20; asked++) {
-			servers.prefill1.misbehave('silent');
+			servers.prefill1.addFaults('silent');
 			const answer = await ask(toStream());
 			assert.equal(answer.status, 200, answer.body);
 		}
@@ -292,8 +292,8 @@
 	async function askWhileLeaving(leave: (chosen: ServerStandIn) => void): Promise<{answer: Answer; chosen: ServerStandIn}> {
 		const {servers, ask, logs} = fixture;
 		const leavingKnown = createDeferred();
-		servers.prefill1.holdPrompts(leavingKnown.promise);
-		servers.prefill2.holdPrompts(leavingKnown.promise);
+		servers.prefill1.delayPrefillsUntil(leavingKnown.promise);
+		servers.prefill2.delayPrefillsUntil(leavingKnown.promise);
 		const asking = ask(toStream());
 		await waitUntil(() => hasStep(servers.prefill1, 'prefill') || hasStep(servers.prefill2, 'prefill'), {deadlineMs, what: 'a prefill server to compute the prompt', everyMs: 5});
 		const chosen = hasStep(servers.decode1, 'reserve') ? servers.decode1 : servers.decode2;
--- a/test/failures/retry-calls.test.ts
+++ b/test/failures/retry-calls.test.ts
@@ -2,25 +2,25 @@
 import assert from 'node:assert/strict';
 import {afterEach, describe, it} from 'node:test';
 import {waitUntil} from '../_lib/wait-until/index.js';
-import {type Arrival, type Misdeed} from '../stand-ins/users-platform/server.js';
+import {type Arrival, type ServerFault} from '../stand-ins/users-platform/server.js';
 import {
-	deadlineMs, startRelayFixture, toStreamHeaders, type Asked, type RelayFixture,
+	deadlineMs, startRelayFixture, toStreamHeaders, type RelayCall, type RelayFixture,
 } from '../stand-ins/users-platform/start-relay-fixture.js';
 
 let fixture: RelayFixture;
 
 type Case = {
 	name: string;
-	asked: Asked;
+	asked: RelayCall;
 	/** Faults of the servers that get the first calls, in order. */
-	misdeeds: Partial<Record<'desk1' | 'prefill1' | 'decode1', Misdeed[]>>;
+	misdeeds: Partial<Record<'desk1' | 'prefill1' | 'decode1', ServerFault[]>>;
 	/** Number of calls that the servers get beyond the first. */
 	extra: number;
 	retrySlack?: number;
 };
 
-const stream: Asked = {path: '/notice/1', body: 'a notice', headers: toStreamHeaders()};
-const lookup: Asked = {path: '/check/1', body: 'a check'};
+const stream: RelayCall = {path: '/notice/1', body: 'a notice', headers: toStreamHeaders()};
+const lookup: RelayCall = {path: '/check/1', body: 'a check'};
 
 const cases: Case[] = [
 	{
@@ -76,7 +76,7 @@
 		it(`when ${name}`, async () => {
 			fixture = await startRelayFixture({retrySlack});
 			for (const [server, list] of Object.entries(misdeeds)) {
-				fixture.servers[server as 'desk1'].misbehave(...list);
+				fixture.servers[server as 'desk1'].addFaults(...list);
 			}
 
 			const {status, isWhole} = await fixture.ask(asked);
@@ -96,7 +96,7 @@
 
 	it('and is not made by a process that just started, as its predecessor may have spent the budget', async () => {
 		fixture = await startRelayFixture({retryWindow: '10m'});
-		fixture.servers.desk1.misbehave('refuse');
+		fixture.servers.desk1.addFaults('refuse');
 		const {status} = await fixture.ask(lookup);
 		assert.equal(status, 503);
 		const arrivals = Object.values(fixture.servers).flatMap(server => server.arrivals);
--- a/test/stand-ins/users-platform/server.ts
+++ b/test/stand-ins/users-platform/server.ts
@@ -17,7 +17,7 @@
 };
 
 /** Fault with which the server treats the next request instead of serving it. */
-export type Misdeed =
+export type ServerFault =
 	| 'refuse' | 'wrong-instance' | 'fail' | 'answer-another' | 'cut-unframed' | 'reset' | 'silent' | 'cut-stream';
 
 export type ServerStandIn = {
@@ -28,13 +28,13 @@
 	/** Requests that the server ran. */
 	runs: () => Arrival[];
 	/** Adds faults for the next requests, one fault per request. Calls that manage reservations, caches or orders are not affected. */
-	misbehave: (...misdeeds: Misdeed[]) => void;
+	addFaults: (...misdeeds: ServerFault[]) => void;
 	/** Delays the answers to later prefills until the promise has settled. */
-	holdPrompts: (until: Promise<unknown>) => void;
+	delayPrefillsUntil: (until: Promise<unknown>) => void;
 	/** Sets the number of tokens free for reservations; unlimited by default. */
 	setFreeTokens: (tokens: number) => void;
 	/** Refuses all calls except releases, with this back-off in seconds; `undefined` ends the refusals. */
-	turnAway: (seconds: number | undefined) => void;
+	setBackoffSeconds: (seconds: number | undefined) => void;
 	/** Sets whether answers announce that the server is leaving. */
 	setLeaving: (isLeaving: boolean) => void;
 	/** Sets whether an order is in progress, during which the server refuses others. */
@@ -55,7 +55,7 @@
 	/** Number of events in a stream. */
 	events?: number;
 	/** Faults shared by several servers; each is applied by the server that receives the next request. */
-	misdeeds?: Misdeed[];
+	sharedFaults?: ServerFault[];
 	/** KV caches of all servers that were neither fetched nor dropped, as `IP:port/handle`. */
 	caches?: Set<string>;
 };
@@ -76,7 +76,7 @@
  * @returns The running server.
  */
 export async function startServerStandIn(options: ServerStandInOptions): Promise<ServerStandIn> {
-	const {id, workMs = 5, events = 3, caches = new Set(), misdeeds = []} = options;
+	const {id, workMs = 5, events = 3, caches = new Set(), sharedFaults: misdeeds = []} = options;
 	const arrivals: Arrival[] = [];
 	const reservations = new Map<string, number>();
 	let freeTokens = Infinity;
@@ -114,7 +114,7 @@
 		res.end();
 	}
 
-	function applyMisdeed(misdeed: Misdeed, req: IncomingMessage, res: ServerResponse): void {
+	function applyMisdeed(misdeed: ServerFault, req: IncomingMessage, res: ServerResponse): void {
 		const {socket} = req;
 		switch (misdeed) {
 			case 'refuse': {
@@ -282,16 +282,16 @@
 		address,
 		arrivals,
 		runs: () => arrivals.filter(({step}) => step === 'whole' || step === 'decode'),
-		misbehave(...next) {
+		addFaults(...next) {
 			misdeeds.push(...next);
 		},
-		holdPrompts(until) {
+		delayPrefillsUntil(until) {
 			promptsHeld = until;
 		},
 		setFreeTokens(tokens) {
 			freeTokens = tokens;
 		},
-		turnAway(seconds) {
+		setBackoffSeconds(seconds) {
 			pauseSeconds = seconds;
 		},
 		setLeaving(next) {
--- a/test/stand-ins/users-platform/start-relay-fixture.ts
+++ b/test/stand-ins/users-platform/start-relay-fixture.ts
@@ -13,7 +13,7 @@
 import {findUdpAddress} from '../../_lib/find-udp-address/index.js';
 import {waitUntil} from '../../_lib/wait-until/index.js';
 import {
-	startServerStandIn, type Misdeed, type ServerStandIn, type ServerStandInOptions,
+	startServerStandIn, type ServerFault, type ServerStandIn, type ServerStandInOptions,
 } from './server.js';
 import {startStoreStandIn, type StoreStandIn} from './store.js';
 
@@ -28,7 +28,7 @@
 	tookMs: number;
 };
 
-export type Asked = {
+export type RelayCall = {
 	path?: string;
 	method?: string;
 	headers?: Record<string, string>;
@@ -44,9 +44,9 @@
 	servers: Readonly<Record<'desk1' | 'desk2' | 'prefill1' | 'prefill2' | 'decode1' | 'decode2', ServerStandIn>>;
 	caches: Set<string>;
 	logs: CollectedLines['lines'];
-	ask: (asked: Asked) => Promise<Answer>;
+	ask: (asked: RelayCall) => Promise<Answer>;
 	/** Repeats the call until the answer has the given status. */
-	askUntil: (asked: Asked, status: number) => Promise<Answer>;
+	askUntil: (asked: RelayCall, status: number) => Promise<Answer>;
 	publishRoutes: (version: number, change?: (route: Record<string, unknown>) => Record<string, unknown> | undefined) => void;
 	publishServer: (server: ServerStandIn, change?: Record<string, unknown>) => void;
 	/** `IP:port` of each host for its peers; empty with a single host. */
@@ -104,7 +104,7 @@
 	return Array.from({length: count}, (_, i) => `127.0.0.${i + 1}:${port}`);
 }
 
-async function send(port: number, asked: Asked): Promise<Answer> {
+async function send(port: number, asked: RelayCall): Promise<Answer> {
 	const startedAt = performance.now();
 	return new Promise((resolve, reject) => {
 		const req = request({
@@ -219,9 +219,9 @@
 	const store = await startStoreStandIn();
 	const caches = new Set<string>();
 	// The relay may choose any server of a kind, so the servers of a kind share their faults.
-	const misdeeds: Record<string, Misdeed[]> = {desk: [], prefill: [], decode: []};
+	const misdeeds: Record<string, ServerFault[]> = {desk: [], prefill: [], decode: []};
 	const startServer = async (id: string) => startServerStandIn({
-		...options, id, caches, misdeeds: misdeeds[id.slice(0, -1)]!,
+		...options, id, caches, sharedFaults: misdeeds[id.slice(0, -1)]!,
 	});
 	const [desk1, desk2, prefill1, prefill2, decode1, decode2] = await Promise.all(['desk1', 'desk2', 'prefill1', 'prefill2', 'decode1', 'decode2'].map(async id => startServer(id))) as [ServerStandIn, ServerStandIn, ServerStandIn, ServerStandIn, ServerStandIn, ServerStandIn];
 	const servers = {
@@ -260,7 +260,7 @@
 		name: `front-a-${i + 1}`, store, collected, peerAddress: peerAddresses[i], seeds: peerAddresses, retrySlack, retryWindow,
 	})));
 	await waitUntil(() => !isPublished || hosts.every(({relay}) => relay.view()?.servers.size === 6), {deadlineMs, what: 'the hosts to know all servers'});
-	const ask = async (asked: Asked) => send(hosts[asked.at ?? 0]!.callerPort, asked);
+	const ask = async (asked: RelayCall) => send(hosts[asked.at ?? 0]!.callerPort, asked);
 	let isStopped = false;
 	return {
 		store,
--- a/test/stand-ins/users-platform/store.ts
+++ b/test/stand-ins/users-platform/store.ts
@@ -20,13 +20,13 @@
 	put: (key: string, value: unknown) => void;
 	remove: (key: string) => void;
 	/** Drops the history: watches from an earlier revision are answered with 410. */
-	forget: () => void;
+	dropHistory: () => void;
 	/** Sets how reads are answered from now on. */
-	setMood: (mood: 'well' | 'refusing' | 'silent') => void;
+	setMode: (mood: 'well' | 'refusing' | 'silent') => void;
 	/** Copies the current contents, to be restored later. */
 	copy: () => StoreCopy;
 	/** Restores a copy and loses everything written since: revisions go back, and the era increases. */
-	comeBackFrom: (copy: StoreCopy) => void;
+	restore: (copy: StoreCopy) => void;
 	/** Closes the connections of all pending watches. */
 	cutWatches: () => void;
 	reads: () => number;
@@ -51,7 +51,7 @@
 	let revision = 0;
 	let forgottenRevision = 0;
 	let reads = 0;
-	let mood: Parameters<StoreStandIn['setMood']>[0] = 'well';
+	let mood: Parameters<StoreStandIn['setMode']>[0] = 'well';
 	let waiting: PendingWatch[] = [];
 
 	const sendJson = (res: ServerResponse, status: number, body: unknown) => {
@@ -139,12 +139,12 @@
 			items.delete(key);
 			add({key, revision, removed: true});
 		},
-		forget() {
+		dropHistory() {
 			forgottenRevision = revision;
 			changes = [];
 		},
 		copy: () => ({items: new Map(items), changes: [...changes], revision}),
-		comeBackFrom(copy) {
+		restore(copy) {
 			cutWatches();
 			items = new Map(copy.items);
 			changes = [...copy.changes];
@@ -152,7 +152,7 @@
 			forgottenRevision = Math.min(forgottenRevision, revision);
 			era++;
 		},
-		setMood(next) {
+		setMode(next) {
 			mood = next;
 		},
 		cutWatches,
