--- a/src/programs/entry/run-request/test.ts
+++ b/src/programs/entry/run-request/test.ts
@@ -89,7 +89,7 @@
 		cancels: {add: quiet},
 		reportLeaving: quiet,
 		toRetryBudget: () => budget,
-		transferLimits: createTransferTimeouts(),
+		transferTimeouts: createTransferTimeouts(),
 		runMetrics: {
 			firstToken: quiet, countDroppedChunk: quiet, countResume: quiet, countRerun: quiet, countRetryDecision: quiet, countWastedPrefill: quiet,
 		},
