--- a/src/domain/create-published-fleet/index.ts
+++ b/src/domain/create-published-fleet/index.ts
@@ -317,8 +317,8 @@
 			const overdue = now < graceUntil ? [] : listMissing().flatMap(name => dropServer(name, now));
 			return {rules: undefined, servers: overdue, unreadable: []};
 		},
-		noteReset({latestActAt: latest}, now) {
-			graceUntil = Math.max(graceUntil, Math.min(now + lapseGraceMs, latest));
+		noteReset({latestActAt}, now) {
+			graceUntil = Math.max(graceUntil, Math.min(now + lapseGraceMs, latestActAt));
 			// The hold is not limited by `latestActAt`: not using a server for longer than necessary is safe, using one that left is not.
 			resetHold.begin(now + lapseGraceMs);
 		},
--- a/src/domain/create-run-table/index.ts
+++ b/src/domain/create-run-table/index.ts
@@ -47,8 +47,8 @@
 	maxRuns = 50_000,
 	maxRunBytes = 8 * bytesPerMebibyte,
 	maxKeptBytes = 128 * bytesPerMebibyte,
-	answerRetentionMs: keptForMs = 15 * msPerMinute,
-	tombstoneRetentionMs: tracedForMs = 25 * msPerMinute,
+	answerRetentionMs = 15 * msPerMinute,
+	tombstoneRetentionMs = 25 * msPerMinute,
 	abandonAfterMs = msPerSecond,
 	highWaterBytes = 256 * bytesPerKibibyte,
 }: RunTableOptions = {}): RunTable {
@@ -114,11 +114,11 @@
 			return;
 		}
 
-		if (now - endedAt > keptForMs && !entry.run.hasReader()) {
+		if (now - endedAt > answerRetentionMs && !entry.run.hasReader()) {
 			drop(entry);
 		}
 
-		if (now - endedAt > tracedForMs) {
+		if (now - endedAt > tombstoneRetentionMs) {
 			drop(entry);
 			entries.delete(text);
 		}
--- a/src/domain/to-problem/index.ts
+++ b/src/domain/to-problem/index.ts
@@ -86,9 +86,9 @@
 	return ambiguousStatuses.has(status) ? 503 : status;
 }
 
-function toRetryAfterText(retryAfterMs: Milliseconds, {hasFractionalSeconds: hasFractions = false}: ProblemStyle): string {
+function toRetryAfterText(retryAfterMs: Milliseconds, {hasFractionalSeconds = false}: ProblemStyle): string {
 	const seconds = retryAfterMs / msPerSecond;
-	return hasFractions ? seconds.toFixed(2) : String(Math.max(1, Math.ceil(seconds)));
+	return hasFractionalSeconds ? seconds.toFixed(2) : String(Math.max(1, Math.ceil(seconds)));
 }
 
 /**
--- a/src/programs/agent/_lib/create-leaving-tracker.ts
+++ b/src/programs/agent/_lib/create-leaving-tracker.ts
@@ -33,18 +33,18 @@
  * @param options - See {@link LeavingTrackerOptions}.
  * @returns See {@link LeavingTracker}.
  */
-export function createLeavingTracker({table, leavingOverrides: hold, servers, toEngine, owner, mayAct, log, now}: LeavingTrackerOptions): LeavingTracker {
+export function createLeavingTracker({table, leavingOverrides, servers, toEngine, owner, mayAct, log, now}: LeavingTrackerOptions): LeavingTracker {
 	let probes = 0;
 
 	return {
 		toEffectiveReport(load) {
 			const before = table.view(now()).servers.get(load.server);
 			const isListedLeaving = () => table.fleet()?.fleet.servers.some(({id, state}) => id === load.server && state === 'leaving') === true;
-			return hold.toEffectiveReport(load, now(), {wasLeaving: before?.leaving === true, previousState: before?.load?.state, isListedLeaving});
+			return leavingOverrides.toEffectiveReport(load, now(), {wasLeaving: before?.leaving === true, previousState: before?.load?.state, isListedLeaving});
 		},
 		async probeIfDue(load) {
 			const server = servers().find(({id}) => id === load.server);
-			if (server === undefined || !mayAct() || !hold.takeProbe(server.id, now())) {
+			if (server === undefined || !mayAct() || !leavingOverrides.takeProbe(server.id, now())) {
 				return;
 			}
 
@@ -52,7 +52,7 @@
 			const isAccepted = await probeLeavingServer(server, {
 				engine: toEngine(server), load, owner, count: probes,
 			});
-			hold.noteProbeResult(server.id, isAccepted, now());
+			leavingOverrides.noteProbeResult(server.id, isAccepted, now());
 			const reason = isAccepted ? 'the server accepted work and is used again' : 'the server refused work; the next probe follows after twice the delay';
 			log.info('probed a server that was reported as leaving', {server: server.id, reason});
 		},
--- a/src/programs/agent/_lib/manage-servers.ts
+++ b/src/programs/agent/_lib/manage-servers.ts
@@ -46,7 +46,7 @@
  */
 export function manageServers(options: ManageServersOptions): ManageServersTask {
 	const {
-		settings, table, hosts, toEngine, loads, leavingOverrides: hold, pauses, log, counts, now, random, signal,
+		settings, table, hosts, toEngine, loads, leavingOverrides, pauses, log, counts, now, random, signal,
 	} = options;
 	const {hostId} = settings;
 	const servers = createPolledServers({table, hosts, hostId});
@@ -63,7 +63,7 @@
 	});
 	const leavingTracker = createLeavingTracker({
 		table,
-		leavingOverrides: hold,
+		leavingOverrides,
 		servers,
 		toEngine,
 		owner: {host: hostId, incarnation: options.incarnation},
@@ -87,12 +87,12 @@
 		},
 		onUnreachable(server, askedAt) {
 			const trustedAt = pauses.toTrustedTime(askedAt);
-			hold.noteUnreachable(server, now());
+			leavingOverrides.noteUnreachable(server, now());
 			loads.spread.noteUnreachable(server, trustedAt);
 			table.noteUnreachable(server, trustedAt);
 		},
 		onEnd(server: ServerId) {
-			hold.forget(server);
+			leavingOverrides.forget(server);
 			loads.spread.forget(server);
 		},
 	});
--- a/src/programs/agent/_lib/spread-loads.ts
+++ b/src/programs/agent/_lib/spread-loads.ts
@@ -52,7 +52,7 @@
  * @param options - See {@link SpreadLoadsOptions}.
  * @returns See {@link LoadsTask}.
  */
-export function spreadLoads({table, leavingOverrides: hold, self, hosts, send, call, spreadTargets, now, toArrival, smallFleet}: SpreadLoadsOptions): LoadsTask {
+export function spreadLoads({table, leavingOverrides, self, hosts, send, call, spreadTargets, now, toArrival, smallFleet}: SpreadLoadsOptions): LoadsTask {
 	const spread = createLoadBroadcast();
 	const pendingRequests = new Set<HostId>();
 	const names = createServerIndex(table);
@@ -89,7 +89,7 @@
 	function noteLeaving(servers: readonly ServerId[], origin: HostId) {
 		const published = servers.filter(server => table.view(now()).servers.has(server));
 		for (const server of published) {
-			hold.noteRefusal(server, now());
+			leavingOverrides.noteRefusal(server, now());
 		}
 
 		const news = published.filter(server => table.noteLeaving(server, now()));
--- a/src/programs/agent/_lib/start-agent.ts
+++ b/src/programs/agent/_lib/start-agent.ts
@@ -97,7 +97,7 @@
 		platformReads: 0, orphansReleased: 0, ordersGiven: 0, configsRefused: 0,
 	};
 	const table = createFleetTable();
-	const hold = createLeavingOverrides();
+	const leavingOverrides = createLeavingOverrides();
 	const publisher = createViewPublisher();
 	const membership = startMembership(options, address);
 	const mesh = createMesh({
@@ -152,7 +152,7 @@
 	});
 	const loads = spreadLoads({
 		table,
-		leavingOverrides: hold,
+		leavingOverrides,
 		self: () => ({id: hostId, zone}),
 		hosts,
 		send,
@@ -183,7 +183,7 @@
 		table,
 		hosts,
 		loads,
-		leavingOverrides: hold,
+		leavingOverrides,
 		incarnation,
 		pauses,
 		isAnswering: async (owner, entryAddress) => isEntryAnswering(owner, entryAddress, {hello, tls, connectTimeoutMs: probeTimeoutMs}),
--- a/src/programs/entry/_lib/create-notice-handler.ts
+++ b/src/programs/entry/_lib/create-notice-handler.ts
@@ -39,13 +39,13 @@
 		reportLeaving(id);
 	}
 
-	return ({id}, {isLeaving, backoffMs: pauseMs}) => {
+	return ({id}, {isLeaving, backoffMs}) => {
 		if (isLeaving) {
 			handleLeaving(id);
 		}
 
-		if (pauseMs !== undefined && notePause(id, pauseMs)) {
-			log.info('server asks to back off', {server: id, durationMs: Math.round(pauseMs)});
+		if (backoffMs !== undefined && notePause(id, backoffMs)) {
+			log.info('server asks to back off', {server: id, durationMs: Math.round(backoffMs)});
 		}
 	};
 }
--- a/src/programs/entry/run-attempt/_lib/transfer-cache.ts
+++ b/src/programs/entry/run-attempt/_lib/transfer-cache.ts
@@ -36,7 +36,7 @@
 export async function transferCache(attempt: Attempt, transfer: Transfer): Promise<Result<{bytes: number}, StepFailure>> {
 	const {run, services, placement, key} = attempt;
 	const {prefill: from, decode: to} = placement;
-	const {transferTimeouts: transferLimits, clock} = services;
+	const {transferTimeouts, clock} = services;
 	const {reservationId, kvId, bytes, slotRemainingMs} = transfer;
 	const link = {from: from.zone, to: to.zone};
 	const startedAt = clock.now();
@@ -46,9 +46,9 @@
 			key, reservationId, fromUrl: from.url, kvId,
 		}, {signal}));
 	if (transferred.isOk()) {
-		transferLimits.noteDone(link, bytes, clock.now() - startedAt);
+		transferTimeouts.noteDone(link, bytes, clock.now() - startedAt);
 	} else if (transferred.error.isTimedOut && timeoutMs < slotRemainingMs) {
-		transferLimits.noteTimedOut(link, bytes, clock.now() - startedAt);
+		transferTimeouts.noteTimedOut(link, bytes, clock.now() - startedAt);
 		run.account.addStage('transfer given up', {from: from.id, to: to.id, limitMs: Math.round(timeoutMs)});
 		// Not reported as a timeout: the request itself still has time, and its caller must not be told that the deadline passed.
 		return err({
--- a/test/failures/crashing-request.test.ts
+++ b/test/failures/crashing-request.test.ts
@@ -211,8 +211,8 @@
 
 	it('serves a request whose answers broke at as many servers as crashes are allowed', async () => {
 		fixture = await startRelayFixture();
-		const misdeeds: ServerFault[] = [];
-		const desks = await Promise.all([3, 4, 5, 6].map(async i => startServerStandIn({id: `desk${i}`, sharedFaults: misdeeds})));
+		const sharedFaults: ServerFault[] = [];
+		const desks = await Promise.all([3, 4, 5, 6].map(async i => startServerStandIn({id: `desk${i}`, sharedFaults})));
 		for (const desk of desks) {
 			fixture.publishServer(desk);
 		}
@@ -224,7 +224,7 @@
 		await waitUntil(() => fixture.knownServers(0).size === 8 && !fixture.knownServers(0).has('desk1'), {deadlineMs, what: 'the host to know the new desk servers'});
 		const broken = new Set<ServerStandIn>();
 		while (broken.size < 3) {
-			misdeeds.push('reset');
+			sharedFaults.push('reset');
 			await fixture.ask({path: '/lookup/7', body: 'unlucky'});
 			const brokenServer = desks.find(({arrivals}) => arrivals.at(-1)?.body === 'unlucky' && arrivals.at(-1)?.isLeft === true)!;
 			broken.add(brokenServer);
--- a/test/stand-ins/users-platform/server.ts
+++ b/test/stand-ins/users-platform/server.ts
@@ -76,7 +76,7 @@
  * @returns The running server.
  */
 export async function startServerStandIn(options: ServerStandInOptions): Promise<ServerStandIn> {
-	const {id, workMs = 5, events = 3, caches = new Set(), sharedFaults: misdeeds = []} = options;
+	const {id, workMs = 5, events = 3, caches = new Set(), sharedFaults = []} = options;
 	const arrivals: Arrival[] = [];
 	const reservations = new Map<string, number>();
 	let freeTokens = Infinity;
@@ -241,7 +241,7 @@
 			return;
 		}
 
-		const misdeed = misdeeds.shift();
+		const misdeed = sharedFaults.shift();
 		if (misdeed !== undefined && misdeed !== 'cut-stream') {
 			applyMisdeed(misdeed, req, res);
 			return;
@@ -283,7 +283,7 @@
 		arrivals,
 		runs: () => arrivals.filter(({step}) => step === 'whole' || step === 'decode'),
 		addFaults(...next) {
-			misdeeds.push(...next);
+			sharedFaults.push(...next);
 		},
 		delayPrefillsUntil(until) {
 			promptsHeld = until;
--- a/test/stand-ins/users-platform/start-relay-fixture.ts
+++ b/test/stand-ins/users-platform/start-relay-fixture.ts
@@ -219,9 +219,9 @@
 	const store = await startStoreStandIn();
 	const caches = new Set<string>();
 	// The relay may choose any server of a kind, so the servers of a kind share their faults.
-	const misdeeds: Record<string, ServerFault[]> = {desk: [], prefill: [], decode: []};
+	const sharedFaults: Record<string, ServerFault[]> = {desk: [], prefill: [], decode: []};
 	const startServer = async (id: string) => startServerStandIn({
-		...options, id, caches, sharedFaults: misdeeds[id.slice(0, -1)]!,
+		...options, id, caches, sharedFaults: sharedFaults[id.slice(0, -1)]!,
 	});
 	const [desk1, desk2, prefill1, prefill2, decode1, decode2] = await Promise.all(['desk1', 'desk2', 'prefill1', 'prefill2', 'decode1', 'decode2'].map(async id => startServer(id))) as [ServerStandIn, ServerStandIn, ServerStandIn, ServerStandIn, ServerStandIn, ServerStandIn];
 	const servers = {
