--- a/bench/fleet/_lib/baseline-admission.ts
+++ b/bench/fleet/_lib/baseline-admission.ts
@@ -1,6 +1,6 @@
 /**
- * No admission: everything starts at once. What the servers bounce comes again
- * with the next tick, until its first-token target has passed.
+ * Baseline without admission control: every request starts at once. A request that
+ * found all servers full is retried on each tick until its first-token deadline.
  */
 import {type Admission, type AdmissionRequest} from '../../../src/domain/create-admission/index.js';
 
@@ -25,7 +25,7 @@
 			waiting.set(request.id, request);
 			return {kind: 'queued', position: waiting.size - 1};
 		},
-		noteFirstToken() {/* Learns nothing. */},
+		noteFirstToken() {/* Makes no predictions. */},
 		finish(id, _now, {outcome}) {
 			if (outcome === 'bounced') {
 				bounced.add(id);
@@ -50,7 +50,7 @@
 			};
 		},
 		setCapacity: () => [],
-		keepPools() {/* Knows no pools. */},
+		keepPools() {/* Has no state by pool. */},
 		meanHoldMs: () => undefined,
 		status: () => [],
 	};
--- a/bench/fleet/_lib/baseline-hooks.ts
+++ b/bench/fleet/_lib/baseline-hooks.ts
@@ -1,4 +1,4 @@
-/** Module hooks of a baseline entry: two modules of the program are exchanged for the bench's, and nothing of it is changed. */
+/** Module hooks that replace admission and placement of an unmodified entry by the modules of the baseline. */
 import {type ResolveHook} from 'node:module';
 
 const exchanged: ReadonlyArray<readonly [ending: string, file: string]> = [
@@ -9,7 +9,7 @@
 export const resolve: ResolveHook = async (specifier, context, nextResolve) => {
 	const resolved = await nextResolve(specifier, context);
 	const file = exchanged.find(([ending]) => resolved.url.endsWith(ending))?.[1];
-	// The baseline builds on the modules that it stands for.
+	// The modules of the baseline import the modules that they replace.
 	const isOwn = context.parentURL?.includes('/bench/') === true;
 	return file === undefined || isOwn ? resolved : {...resolved, url: new URL(file, import.meta.url).href};
 };
--- a/bench/fleet/_lib/baseline-placement.ts
+++ b/bench/fleet/_lib/baseline-placement.ts
@@ -1,4 +1,4 @@
-/** Round robin over all servers of a pool for each role, whatever their load; what a request has tried is left out. */
+/** Baseline placement: round robin over the servers of a pool by role, regardless of load, without the servers that the request has already tried. */
 import {err, ok} from 'neverthrow';
 import {createPlacement as createReal, type PlacementAccount, type PlacementDecider} from '../../../src/domain/create-placement/index.js';
 import {type ServerEntry} from '../../../src/ports/config.js';
@@ -7,7 +7,7 @@
 
 const retryAfterMs = 1000;
 const reservationTtlMs = 5000;
-/** Told as the prediction; nothing decides by it. */
+/** Constant in place of a prediction; no decision depends on it. */
 const predictedMs = 100;
 
 export function createPlacement(options: Parameters<typeof createReal>[0]): PlacementDecider {
@@ -23,7 +23,7 @@
 		pool, chosen, passedOver: [], counts: {}, notLookedAt: 0,
 	});
 	const toRefusal = (pool: string) => err({
-		reason: 'no-server' as const, message: `no other server of pool ${pool}`, retryAfterMs, account: toAccount(pool, []),
+		reason: 'no-server' as const, message: `all servers of pool ${pool} are excluded`, retryAfterMs, account: toAccount(pool, []),
 	});
 
 	return {
--- a/bench/fleet/_lib/baseline-register.ts
+++ b/bench/fleet/_lib/baseline-register.ts
@@ -1,4 +1,4 @@
-/** Loaded into an entry before anything else: puts the baseline in the place of its decisions. */
+/** Preloaded into an entry: registers the hooks that replace its admission and placement by the baseline. */
 import {register} from 'node:module';
 
 register('./baseline-hooks.js', import.meta.url);
--- a/bench/fleet/_lib/drive.ts
+++ b/bench/fleet/_lib/drive.ts
@@ -1,4 +1,4 @@
-/** Sends seeded arrivals open-loop through the entries and notes what each caller saw. */
+/** Sends seeded open-loop arrivals through the entries and records the result of each caller. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {Agent, request, type Dispatcher} from 'undici';
 import {isRecord} from '../../../src/_lib/is-record/index.js';
@@ -8,12 +8,12 @@
 } from './plan.js';
 import {type BenchDeployment} from './start-bench-fleet.js';
 
-/** Times are those of the fleet that is imitated. */
+/** Result of one call; times are unscaled, as in the simulated fleet. */
 export type CallerResult = {
 	arrival: Arrival;
 	isDesk: boolean;
 	fate: 'good' | 'late' | 'refused' | 'failed' | 'caller-gone';
-	/** Kind of problem that was told. */
+	/** Last segment of the problem type in the answer; `undefined` if there was no problem. */
 	problem: string | undefined;
 	hasRetryAfter: boolean;
 	firstTokenMs: number | undefined;
@@ -41,7 +41,7 @@
 	return arrivals;
 }
 
-/** Arrivals of one run. */
+/** Returns the arrivals of one run in order of time. */
 export function toRunArrivals(plan: RunPlan, windows: Windows, seed: number): Array<{arrival: Arrival; isDesk: boolean}> {
 	const arrivals = toArrivals({
 		...windows, fleet: plan.fleet.table, load: plan.load, seed, cancelPart, burst: plan.fault === 'burst' ? burst : 1, slowFactor: 1,
@@ -52,7 +52,7 @@
 	].sort((a, b) => a.arrival.at - b.arrival.at);
 }
 
-/** A prompt that no other request shares a block with, its mark first. */
+/** Returns a prompt that begins with its mark and shares no prefix block with any other request. */
 function toPrompt(mark: string, tokens: number): string {
 	return `${mark} `.repeat(Math.ceil(tokens * 4 / (mark.length + 1))).slice(0, tokens * 4);
 }
@@ -105,7 +105,7 @@
 	const result = {
 		arrival, isDesk, problem: undefined, hasRetryAfter: false, firstTokenMs: undefined, requestId: '',
 	};
-	// A balancer sends what meets a closed port to the next host.
+	// Like a load balancer, tries the next host if a connection is refused.
 	for (let tries = 0; tries < urls.length; tries++) {
 		let firstTokenMs: number | undefined;
 		try {
@@ -137,12 +137,12 @@
 }
 
 /**
- * Sends the arrivals at their times, whatever becomes of the earlier ones.
+ * Sends the arrivals at their times, regardless of the outcome of earlier ones.
  *
- * @param plan - The run.
- * @param deployment - Where they go.
- * @param options - Time windows, seed and a name that is in every prompt.
- * @returns What each caller saw, and the share of time that the driver was busy.
+ * @param plan - Plan of the run.
+ * @param deployment - Deployment that receives the requests.
+ * @param options - Time windows, seed and the name of the run, which begins every prompt.
+ * @returns Result of each caller, event-loop utilization of the driver, and the longest delay in sending an arrival.
  */
 export async function drive(plan: RunPlan, deployment: BenchDeployment, options: {windows: Windows; seed: number; runId: string}): Promise<{results: CallerResult[]; busy: number; lateMs: number}> {
 	const {windows, seed, runId} = options;
--- a/bench/fleet/_lib/plan.ts
+++ b/bench/fleet/_lib/plan.ts
@@ -1,8 +1,8 @@
-/** What is run: both users' fleets, loads, faults and numbers of hosts. All times are those of the fleet that is imitated. */
+/** Defines the runs: both users' fleets, loads, faults and numbers of hosts. Times are unscaled, as in the simulated fleet. */
 import {type Fleet, type WorkShape} from '../../admission/_lib/fleets.js';
 
 export type BenchFleet = {
-	/** The pool of engines, as the arrivals and the capacity on paper need it. */
+	/** Pool of engines, for the arrivals and for the theoretical upper bound. */
 	table: Fleet;
 	zones: readonly string[];
 	/** Servers by zone, in the order of `zones`. */
@@ -16,30 +16,30 @@
 	load: number;
 	hosts: number;
 	fault: 'none' | 'burst' | 'slow server' | 'lost zone';
-	/** Load reports without age, asked for twenty times a second. */
+	/** Whether agents poll load reports twenty times a second and engines report without delay. */
 	isInstant: boolean;
-	/** Entries place by round robin and admit everything, in place of their own decisions. */
+	/** Whether entries admit everything and place by round robin, as a baseline. */
 	isBaseline: boolean;
 };
 
-/** Divides every time of the engines, the targets and the agents' polls. */
+/** Divisor of all times of the engines, the targets and the agents' polls. */
 export const timeScale = 1;
 export const deskSlots = 4;
 export const deskWorkMs = 600;
 export const deskTarget: Pick<WorkShape, 'firstTokenMs' | 'completeMs'> = {firstTokenMs: 1300, completeMs: 3000};
 export const cancelPart = 0.05;
-/** Share of the pool that batch work is promised, for the capacity on paper. */
+/** Share of the pool that is guaranteed to batch requests, for the theoretical upper bound. */
 export const batchShare = 0.2;
-/** Quick arrivals in the burst, as a multiple. */
+/** Factor by which the burst raises the rate of quick arrivals. */
 export const burst = 4;
-/** Factor by which the slow server's tokens are slow. */
+/** Factor by which the slow server is slower than the others. */
 export const slowFactor = 4;
 
 const quick: WorkShape = {
 	promptTokens: 400, outputTokens: 48, firstTokenMs: 1300, completeMs: 5000,
 };
 
-/** Targets of batch work are shorter than the users', so that queues are as long as they get within a run. */
+/** The targets of batch requests are shorter than the users', so that queues reach their full length within a run. */
 const toShapes = (outputTokens: number): Fleet['shapes'] => ({
 	quick,
 	batch: {
@@ -82,8 +82,10 @@
 } as const;
 
 /**
- * @param isSmall - Whether only one load of one fleet is run.
- * @returns Runs; those of one deployment stand together.
+ * Creates the plans of all runs.
+ *
+ * @param isSmall - Whether to run only one load of one fleet.
+ * @returns Plans of the runs.
  */
 export function toPlans(isSmall: boolean): RunPlan[] {
 	if (isSmall) {
@@ -119,12 +121,12 @@
 	return [...toUsual(naslovnik), ...toOthers(naslovnik), ...toUsual(glossworks), ...toOthers(glossworks).filter(({load, hosts, isInstant}) => isInstant || (hosts === 9 && load === 1.5))];
 }
 
-/** A deployment serves several runs; a lost zone or a slow server needs its own. */
+/** Returns the key of the deployment that a run needs. Runs share a deployment, except those with a lost zone or a slow server. */
 export function toDeployment({fleet, hosts, fault, isInstant, isBaseline}: RunPlan): string {
 	return [fleet.table.name, hosts, isInstant, isBaseline, fault === 'none' || fault === 'burst' ? '' : fault].join('/');
 }
 
-/** What is special about a run, as the table has it. */
+/** Returns the text of the `fault` column for a run. */
 export function toSpecial({fault, isInstant, isBaseline}: RunPlan): string {
 	return isBaseline ? 'baseline: round robin, no admission' : (isInstant ? 'bound: instant reports' : fault);
 }
--- a/bench/fleet/_lib/servers-worker.ts
+++ b/bench/fleet/_lib/servers-worker.ts
@@ -1,4 +1,4 @@
-/** The stand-ins of one part of a fleet, in a thread of their own, with what their judges counted. */
+/** Worker thread that runs the stand-in servers of one zone and returns their counts. */
 import {parentPort, workerData} from 'node:worker_threads';
 import {startEngineStandIn, type EngineStandIn, type EngineStandInOptions} from '../../../test/stand-ins/engine/index.js';
 import {startPlainStandIn, type PlainStandIn} from '../../../test/stand-ins/plain/index.js';
@@ -7,15 +7,15 @@
 	| {kind: 'engine'; options: EngineStandInOptions}
 	| {kind: 'plain'; options: {id: string; workMs: number}};
 
-/** What the judges counted of one request of the bench, by the mark at its prompt's start. */
+/** Prefills that the stand-in engines counted, by the mark at the start of the prompt. */
 export type JudgedPrefills = {
 	started: Array<{mark: string; count: number}>;
 	wasted: Array<{mark: string; cause: string}>;
-	/** Time that the thread's event loop was busy, share. */
+	/** Event-loop utilization of the thread, 0 to 1. */
 	busy: number;
 };
 
-/** URLs of the servers by id, told once all listen. */
+/** URLs of the servers by id; sent once all servers listen. */
 export type ServersListening = Record<string, string>;
 
 export type ServersCall = {id: number; call: 'judge' | 'crash' | 'stop'; servers?: readonly string[]};
@@ -46,7 +46,7 @@
 			}
 		}
 
-		// A decode engine knows the request's id alone; its prompt stands with a prefill engine.
+		// A decode engine knows only the ID of the request; a prefill engine has the prompt.
 		wasted.push(...wastedRequests.map(({requestId, cause}) => ({mark: prompts[requestId] === undefined ? requestId : toMark(prompts[requestId]), cause})));
 		engine.resetJudge();
 	}
--- a/bench/fleet/_lib/start-bench-fleet.ts
+++ b/bench/fleet/_lib/start-bench-fleet.ts
@@ -1,4 +1,4 @@
-/** Starts one deployment: real agents and entries as processes, stand-in servers in threads, the platform here. */
+/** Starts one deployment: real agents and entries as processes, stand-in servers in threads, the platform stand-in in this thread. */
 import {once} from 'node:events';
 import {Worker} from 'node:worker_threads';
 import {type ServerEntry} from '../../../src/ports/config.js';
@@ -19,9 +19,9 @@
 
 export type BenchDeployment = {
 	hosts: readonly FleetHost[];
-	/** Counts of all judges since the last call. */
+	/** Returns the counts of all stand-in engines since the last call. */
 	judge: () => Promise<JudgedPrefills>;
-	/** Takes hosts and servers of the second zone away at once. */
+	/** Kills all hosts and servers of the second zone at the same time. */
 	loseZone: () => Promise<void>;
 	stop: () => Promise<void>;
 };
@@ -30,7 +30,7 @@
 const version = 'v1';
 const reportLagMs = 500;
 const pollIntervalMs = 1000;
-/** The shortest interval that the agent takes, real milliseconds. */
+/** Shortest poll interval that the agent accepts, in unscaled milliseconds. */
 const shortestPollMs = 50;
 
 type Entry = {entry: Omit<ServerEntry, 'url'>; spec: ServerSpec};
@@ -133,7 +133,7 @@
 	});
 }
 
-/** Gives programs the modules of the baseline; the network itself is that of any other run. */
+/** Network options that load the modules of the baseline into the programs and change nothing else. */
 const baseline: Parameters<typeof createHost>[0]['network'] = {
 	site: {names: [], localAddress: '127.0.0.1'},
 	network: {
@@ -171,10 +171,10 @@
 }
 
 /**
- * Starts a deployment and waits until every entry serves.
+ * Starts a deployment and waits until every entry serves requests.
  *
- * @param plan - Any of the runs that it is for.
- * @returns Its parts; `stop` ends everything.
+ * @param plan - Any of the runs that share the deployment.
+ * @returns Running deployment; `stop` ends all its processes and threads.
  */
 export async function startBenchFleet(plan: RunPlan): Promise<BenchDeployment> {
 	const {zones} = plan.fleet;
@@ -201,7 +201,7 @@
 		await waitUntil(async () => {
 			const states = await Promise.all(hosts.map(async host => isServing(host)));
 			return states.every(Boolean);
-		}, {deadlineMs: 30_000, what: 'an answer from each entry', everyMs: 50});
+		}, {deadlineMs: 30_000, what: 'a 200 from /v1/models of each entry', everyMs: 50});
 	} catch (error) {
 		await stop();
 		throw error;
--- a/bench/fleet/_lib/to-row.ts
+++ b/bench/fleet/_lib/to-row.ts
@@ -1,4 +1,4 @@
-/** Turns what callers saw and judges counted into one row of the table. */
+/** Aggregates the results of callers and the counts of stand-in engines into one row of the table. */
 import {type Scenario} from '../../admission/_lib/arrivals.js';
 import {prefillTokensPerMs} from '../../admission/_lib/fleets.js';
 import {measure, toPaperBound} from '../../admission/_lib/measure.js';
@@ -14,7 +14,7 @@
 	load: number;
 	hosts: number;
 	fault: string;
-	/** Shares, 0 to 1, of the requests whose caller stayed. */
+	/** Shares, 0 to 1, of the requests whose caller did not cancel; `paper...` is the theoretical upper bound. */
 	paperQuick: number;
 	paperBatch: number;
 	paperDesk: number;
@@ -22,13 +22,13 @@
 	batchGood: number;
 	deskGood: number;
 	batchOfLeft: number;
-	/** First token of quick questions, milliseconds. */
+	/** Time to the first token of quick requests, milliseconds. */
 	quickP50: number;
 	quickP95: number;
 	quickP99: number;
-	/** Whole batch answers over batch requests whose caller stayed, in time or not. */
+	/** Complete batch answers, in time or late, as a share of the batch requests whose caller did not cancel. */
 	batchComplete: number;
-	/** Longest time to a first token or a refusal of batch work, milliseconds. */
+	/** Longest time to a first token or a refusal of a batch request, milliseconds. */
 	batchOldestMs: number;
 	late: number;
 	failed: number;
@@ -39,23 +39,24 @@
 	refusals: Record<string, number>;
 	/** Refusals without `Retry-After`. */
 	withoutRetryAfter: number;
-	/** Time to a refusal, 99 in 100, of quick work and desk calls, as a share of the first-token target. */
+	/** 99th percentile of the time to a refusal of quick requests and desk calls, as a share of the first-token target. */
 	refusedAtP99: number;
-	/** Refusals told after four fifths of the first-token target. */
+	/** Refusals after more than four fifths of the first-token target. */
 	refusedLate: number;
-	/** Those of quick work by cause, and each of them. */
+	/** Late refusals of quick requests by cause, and one by one. */
 	lateCauses: Record<string, number>;
 	lateRefusals: readonly LateRefusal[];
-	/** Prompt tokens prefilled in vain over all prefilled, by cause. */
+	/** Prompt tokens whose prefill was not used, as a share of all prefilled prompt tokens, by cause. */
 	wasted: Record<string, number>;
 	wastedPart: number;
 	jain: number;
-	/** Busiest event loop of the bench's own threads, and the latest that an arrival was sent, to judge the run by. */
+	/** Highest event-loop utilization of the bench's own threads; a high value makes the run unreliable. */
 	benchBusy: number;
+	/** Longest delay with which the bench sent an arrival. */
 	sentLateMs: number;
 };
 
-/** What came of one run. */
+/** Outcome of one run. */
 export type RunResult = {
 	windows: Windows;
 	seed: number;
@@ -86,7 +87,7 @@
 	return counts;
 }
 
-/** The judge's cause, and apart from it work whose caller had left. */
+/** Returns the cause that the stand-in engine counted, or `caller-gone` if the caller had cancelled. */
 function toCause(cause: string, result: CallerResult | undefined): string {
 	return result?.fate === 'caller-gone' ? 'caller-gone' : cause;
 }
@@ -118,9 +119,11 @@
 }
 
 /**
- * @param plan - The run.
- * @param run - Its windows, and what came of it.
- * @returns The row.
+ * Creates the row of one run.
+ *
+ * @param plan - Plan of the run.
+ * @param run - Time windows and outcome of the run.
+ * @returns Row of the table.
  */
 export function toRow(plan: RunPlan, run: RunResult): Row {
 	const {windows, seed, runId, results, judged, lateRefusals} = run;
--- a/bench/fleet/_lib/to-svg.ts
+++ b/bench/fleet/_lib/to-svg.ts
@@ -1,4 +1,4 @@
-/** Draws the goodput of all runs as bars, beside the capacity on paper. */
+/** Draws the goodput of all runs as bars, each with a mark at the theoretical upper bound. */
 import {type Row} from './to-row.js';
 
 const barHeight = 9;
@@ -38,15 +38,17 @@
 }
 
 /**
+ * Draws the chart.
+ *
  * @param rows - Rows of the table.
- * @returns An SVG document.
+ * @returns SVG document.
  */
 export function toSvg(rows: readonly Row[]): string {
 	const height = top + (rows.length * rowHeight) + 10;
 	const keys = series.map(({name, color}, index) => `<rect x="${left + (index * 80)}" y="12" width="10" height="10" fill="${color}"/>${toText(left + 14 + (index * 80), 21, name)}`);
 	return [
 		`<svg xmlns="http://www.w3.org/2000/svg" width="${left + width + 80}" height="${height}" font-family="sans-serif" font-size="11">`,
-		`<rect width="100%" height="100%" fill="#fff"/>${toText(8, 21, 'Goodput; black: capacity on paper')}${keys.join('')}`,
+		`<rect width="100%" height="100%" fill="#fff"/>${toText(8, 21, 'Goodput; black: theoretical upper bound')}${keys.join('')}`,
 		...rows.map((row, index) => toBars(row, index)),
 		'</svg>\n',
 	].join('\n');
--- a/bench/fleet/_lib/trace-late.ts
+++ b/bench/fleet/_lib/trace-late.ts
@@ -1,23 +1,25 @@
-/** Asks the entries what became of calls that were refused late. */
+/** Reads from the entries why requests were refused late. */
 import {isRecord} from '../../../src/_lib/is-record/index.js';
 import {type FleetHost} from '../../../test/_lib/start-fleet/_lib/create-host.js';
 import {type CallerResult} from './drive.js';
 
 export type LateRefusal = {
 	name: string;
-	/** Time to the refusal as a share of the first-token target: as the caller saw it, and as the entry did. */
+	/** Time to the refusal as a share of the first-token target, as measured by the caller and by the entry. */
 	callerPart: number;
 	entryPart: number;
 	cause: LateCause;
-	/** Stages with their times, milliseconds since the entry had the request. */
+	/** Stages with their times in milliseconds since the entry received the request. */
 	stages: string;
 };
 
 /**
- * - `waited`: the admission refused it, after it waited there all the time.
- * - `bounced`: the admission refused it, after it had been admitted and found every server full.
- * - `placed`: it was admitted, and no pair promised the first token in time.
- * - `unknown`: no entry has an account of it.
+ * Reason for a late refusal.
+ *
+ * - `waited`: admission refused the request after it had only waited in the queue.
+ * - `bounced`: admission refused the request after it had been admitted once and found every server full.
+ * - `placed`: admission admitted the request, but placement predicted a late first token for every pair.
+ * - `unknown`: no entry has an account of the request.
  */
 export type LateCause = 'waited' | 'bounced' | 'placed' | 'unknown';
 
@@ -65,9 +67,11 @@
 }
 
 /**
- * @param results - What callers saw.
- * @param hosts - The entries that may know more.
- * @returns Each measured refusal of quick work that came late, with its cause.
+ * Traces late refusals of measured quick requests.
+ *
+ * @param results - Results of callers.
+ * @param hosts - Hosts whose entries may have an account of the request.
+ * @returns Late refusals with their causes.
  */
 export async function traceLate(results: readonly CallerResult[], hosts: readonly FleetHost[]): Promise<LateRefusal[]> {
 	const late = results.filter(({arrival, fate, endMs}) => arrival.isMeasured && arrival.class === 'quick' && fate === 'refused' && endMs > lateShare * arrival.shape.firstTokenMs);
--- a/bench/fleet/index.ts
+++ b/bench/fleet/index.ts
@@ -4,9 +4,9 @@
  * users' fleets, four loads, faults, and 1, 3 and 9 hosts. Prints a table and
  * writes `out/fleet-bench.json` and `out/fleet-bench.svg`.
  *
- * Environment: `BENCH_SMALL=1` for one short run, `BENCH_SEED` for the
- * arrivals, `BENCH_FLEET` for a part of the runs (a text that occurs in
- * "fleet load hosts fault", as the table has them).
+ * Environment variables: `BENCH_SMALL=1` selects one short run, `BENCH_SEED` sets the
+ * seed of the arrivals, and `BENCH_FLEET` selects the runs whose "fleet load hosts
+ * fault", as in the table, contains its value.
  */
 import {mkdir, writeFile} from 'node:fs/promises';
 import process from 'node:process';
@@ -22,7 +22,7 @@
 
 const usualWindows: Windows = {warmupMs: 8000, horizonMs: 18_000, endsAtMs: 19_000};
 const smallWindows: Windows = {warmupMs: 3000, horizonMs: 9000, endsAtMs: 10_000};
-/** Real time between two runs on one deployment, so that nothing of the first is left. */
+/** Time between two runs on one deployment, in which the requests of the first run end. */
 const pauseMs = 1000;
 const lanes = 2;
 
@@ -116,7 +116,7 @@
 	return rows;
 }
 
-/** Two deployments at a time: each leaves most of a machine idle, and the runs take as long as they take. */
+/** Runs two deployments at a time, since each leaves most of the machine idle. */
 async function runAll(plans: readonly RunPlan[], windows: Windows, seed: number): Promise<Row[]> {
 	const groups = new Map<string, Numbered[]>();
 	for (const [index, plan] of plans.entries()) {
@@ -136,12 +136,12 @@
 	return rows.toSorted((a, b) => a.index - b.index).map(({row}) => row);
 }
 
-/** Runs all of it, in about seven minutes. */
+/** Runs the bench, in about seven minutes. */
 export async function runFleetBench(): Promise<void> {
 	const isSmall = process.env.BENCH_SMALL === '1';
 	const seed = Number(process.env.BENCH_SEED ?? 1);
 	const windows = isSmall ? smallWindows : usualWindows;
-	console.log(`seed ${seed}; times of the imitated fleet, time scale ${timeScale}; measured ${(windows.horizonMs - windows.warmupMs) / 1000} s after ${windows.warmupMs / 1000} s\n`);
+	console.log(`seed ${seed}; times of the simulated fleet, time scale ${timeScale}; measured ${(windows.horizonMs - windows.warmupMs) / 1000} s after ${windows.warmupMs / 1000} s\n`);
 	const rows = await runAll(toPlans(isSmall).filter(plan => isWanted(plan)), windows, seed);
 	console.log(`\n| ${heads.join(' | ')} |\n|${'---|'.repeat(heads.length)}\n${rows.map(row => toLine(row)).join('\n')}`);
 	await mkdir('out', {recursive: true});
--- a/bench/relay/_lib/bare-main.ts
+++ b/bench/relay/_lib/bare-main.ts
@@ -1,7 +1,7 @@
 /**
- * The least that could stand between caller and engines, as a control: one more
- * process that makes the same calls and relays the tokens, and decides nothing.
- * What it adds is the price of the hop on this machine at this moment.
+ * Bare relay, the control of the bench: a process that makes the same calls as the
+ * entry and forwards the tokens, without any routing decisions. Its added latency is the
+ * cost of one more hop on this machine under the current load.
  */
 import {createServer, type ServerResponse} from 'node:http';
 import {type AddressInfo} from 'node:net';
--- a/bench/relay/_lib/bench-set-up.ts
+++ b/bench/relay/_lib/bench-set-up.ts
@@ -1,4 +1,4 @@
-/** Threads and processes of the bench, and their end. */
+/** Starts and stops the threads and processes of the bench. */
 import {fork, type ChildProcess} from 'node:child_process';
 import {once} from 'node:events';
 import {fileURLToPath} from 'node:url';
@@ -57,7 +57,7 @@
 	return message;
 }
 
-/** Starts the entry before the engines. */
+/** Starts an entry that routes to the engines. */
 export async function startBenchEntry(engines: readonly BenchEngine[]): Promise<BenchEntry> {
 	const answers = await Promise.all(engines.map(async ({client}) => client.load()));
 	const loads = answers.map(answer => answer._unsafeUnwrap());
@@ -81,7 +81,7 @@
 	};
 }
 
-/** Starts the control, which relays and decides nothing. */
+/** Starts the bare relay, the control that forwards without routing decisions. */
 export async function startBareRelay(start: BareStart): Promise<{url: string; stop: () => Promise<void>}> {
 	const child = fork(fileURLToPath(new URL('bare-main.js', import.meta.url)), {execArgv: ['--enable-source-maps'], stdio: ['ignore', 'ignore', 'inherit', 'ipc']});
 	child.send(start);
--- a/bench/relay/_lib/client-worker.ts
+++ b/bench/relay/_lib/client-worker.ts
@@ -1,4 +1,4 @@
-/** Callers in a thread of their own, which read streams to their end, one after the other, until told to stop. */
+/** Worker thread of callers. Each caller reads one stream after the other to its end until the main thread sends a message. */
 import {Buffer} from 'node:buffer';
 import {parentPort, workerData} from 'node:worker_threads';
 import {Agent, request} from 'undici';
--- a/bench/relay/_lib/engine-worker.ts
+++ b/bench/relay/_lib/engine-worker.ts
@@ -1,7 +1,7 @@
 /**
- * An engine that costs next to nothing, in a thread of its own: it answers each
- * call at once and sends one token a line, at a pace or as fast as it is read.
- * What is measured is then the router and not the engine.
+ * Worker thread of an engine with negligible cost, so that the bench measures the router
+ * and not the engine. The engine answers each call at once and sends one token a line,
+ * at a fixed interval or as fast as the client reads.
  */
 import {once} from 'node:events';
 import {createServer, type IncomingMessage, type ServerResponse} from 'node:http';
@@ -11,13 +11,13 @@
 export type EngineWorkerData = {
 	id: string;
 	role: 'prefill' | 'decode';
-	/** Time between the tokens of a stream; 0 sends as fast as they are read. */
+	/** Time between the tokens of a stream; 0 sends them as fast as the client reads. */
 	intervalMs: number;
 };
 
 type StreamRequest = {key: {requestId: string; attempt: number}; maxTokens: number};
 
-/** Lines written at once by a stream without a pace. */
+/** Lines per write of a stream without an interval. */
 const linesAtOnce = 64;
 const {id, role, intervalMs} = workerData as EngineWorkerData;
 
--- a/bench/relay/_lib/entry-main.ts
+++ b/bench/relay/_lib/entry-main.ts
@@ -1,4 +1,4 @@
-/** The entry in a process of its own, with a fixed view, that tells its use of the processor and of memory. */
+/** Process that runs an entry with a fixed view and reports its CPU time and memory on request. */
 import {performance} from 'node:perf_hooks';
 import process from 'node:process';
 import {createEngineHttp} from '../../../src/adapters/engine-http/index.js';
@@ -18,9 +18,9 @@
 
 export type EntryUsage = {
 	atMs: number;
-	/** User and system, of all threads. */
+	/** User and system time of all threads. */
 	cpuMs: number;
-	/** After a collection. */
+	/** Heap in use after a garbage collection. */
 	heapBytes: number;
 	/** Buffers outside the heap. */
 	externalBytes: number;
@@ -63,7 +63,7 @@
 		metrics: createMetrics(),
 		createEngine: server => createEngineHttp({server, connections: 10_000}),
 		connectView({onView}) {
-			// Again and again, as an agent does, so that the load reports stay fresh.
+			// Repeats the view, as an agent does, so that the load reports stay fresh.
 			onView(toView(start));
 			const timer = setInterval(() => {
 				onView(toView(start));
--- a/bench/relay/_lib/measure-latency.ts
+++ b/bench/relay/_lib/measure-latency.ts
@@ -1,4 +1,4 @@
-/** Time to the first token through the entry, against the same engines called directly. */
+/** Measures the time to the first token through the entry, through the bare relay, and with direct calls to the same engines. */
 import {type Buffer} from 'node:buffer';
 import {performance} from 'node:perf_hooks';
 import {build} from 'hdr-histogram-js';
@@ -9,12 +9,12 @@
 	streams: number;
 	samples: number;
 	directMs: {p50: number; p99: number};
-	/** Through the control, which relays and decides nothing. */
+	/** Through the bare relay, which forwards without routing decisions. */
 	bareMs: {p50: number; p99: number};
 	throughMs: {p50: number; p99: number};
-	/** Through the entry less direct. */
+	/** `throughMs` minus `directMs`. */
 	addedMs: {p50: number; p99: number};
-	/** Through the entry less through the control. */
+	/** `throughMs` minus `bareMs`. */
 	overBareMs: {p50: number; p99: number};
 };
 
@@ -22,7 +22,7 @@
 
 const microseconds = 1000;
 
-/** The calls that the entry makes, made by the caller itself. */
+/** Makes the calls of the entry directly and returns the time to the first token. */
 async function takeDirect({prefill, decode, maxTokens}: Target, id: string): Promise<number> {
 	const start = performance.now();
 	const key = {requestId: id, attempt: 1, owner: {host: 'bench', incarnation: 1}};
@@ -63,12 +63,12 @@
 }
 
 /**
- * Measures at a number of concurrent streams. Each caller takes the direct way
- * and the way through the entry in turn, so that both meet the same load.
+ * Measures latency at a number of concurrent streams. Each caller alternates between
+ * direct calls, the bare relay and the entry, so that all three meet the same load.
  *
  * @param target - Engines and entry.
- * @param options - Streams at once, samples of each way, and length of a stream.
- * @returns Quantiles of both, and their differences.
+ * @param options - Concurrent streams, samples of each kind, and tokens per stream.
+ * @returns Quantiles of each kind and their differences.
  */
 export async function measureLatency(target: Omit<Target, 'maxTokens'>, options: {streams: number; samples: number; maxTokens: number}): Promise<LatencyResult> {
 	const {streams, samples, maxTokens} = options;
@@ -86,7 +86,7 @@
 			const directMs = await takeDirect({...target, maxTokens}, `${caller}-${i}`);
 			const bareMs = await takeThrough(control.url, maxTokens, dispatcher);
 			const throughMs = await takeThrough(target.entry.url, maxTokens, dispatcher);
-			// The first calls of each caller open connections and warm the code up.
+			// The first calls of each caller open connections and warm up the code.
 			if (i >= 3) {
 				taken++;
 				direct.recordValue(Math.round(directMs * microseconds));
--- a/bench/relay/_lib/measure-load.ts
+++ b/bench/relay/_lib/measure-load.ts
@@ -1,4 +1,4 @@
-/** Tokens a second, processor time and memory of the entry under many streams. */
+/** Measures tokens a second, CPU time and memory of the entry under many streams. */
 import {once} from 'node:events';
 import {setTimeout as sleep} from 'node:timers/promises';
 import {Worker} from 'node:worker_threads';
@@ -8,12 +8,12 @@
 export type LoadResult = {
 	streams: number;
 	tokensPerSecond: number;
-	/** Processor time for 1,000 relayed tokens, all threads of the process, starts of streams included. */
+	/** CPU time per 1,000 relayed tokens, over all threads of the process and including the start of streams. */
 	cpuMsPerThousandTokens: number;
-	/** Share of one core. */
+	/** Mean number of CPU cores in use. */
 	cores: number;
 	broken: number;
-	/** Bytes of heap and buffers for each open stream. */
+	/** Bytes of heap and buffers per open stream. */
 	bytesPerStream: number;
 };
 
@@ -32,11 +32,11 @@
 }
 
 /**
- * Keeps streams open for a time and looks at the entry from outside.
+ * Keeps streams open for a time and measures the resource usage of the entry.
  *
- * @param entry - The entry.
- * @param options - Streams at once, length of a stream, seconds, and threads of callers.
- * @returns What it carried and what that cost.
+ * @param entry - Entry under test.
+ * @param options - Concurrent streams, tokens per stream, duration, and number of caller threads.
+ * @returns Throughput and resource usage.
  */
 export async function measureLoad(entry: BenchEntry, options: {streams: number; maxTokens: number; seconds: number; threads: number}): Promise<LoadResult> {
 	const {streams, maxTokens, seconds, threads} = options;
--- a/bench/relay/index.ts
+++ b/bench/relay/index.ts
@@ -1,7 +1,7 @@
 /**
- * What the relay adds: time to the first token, processor time a token, tokens a
- * second, memory a stream. Engines, callers and entry run in threads and
- * processes of their own, on this machine.
+ * Measures the cost of the relay: added time to the first token, CPU time per token,
+ * tokens a second, and memory per stream. Engines, callers and entry run in separate
+ * threads and processes on this machine.
  */
 import {
 	startBenchEntry, startEngine, type BenchEngine, type BenchEntry,
@@ -41,14 +41,14 @@
 	const {streams, tokensPerSecond, cpuMsPerThousandTokens, cores, broken, bytesPerStream} = result;
 	console.log([
 		`${name}, ${streams} streams: ${Math.round(tokensPerSecond)} tokens/s`,
-		`${toFixed(cpuMsPerThousandTokens)} ms of processor time for 1,000 tokens`,
+		`${toFixed(cpuMsPerThousandTokens)} ms of CPU time per 1,000 tokens`,
 		`${toFixed(cores)} cores`,
-		`${Math.round(bytesPerStream / 1024)} KiB a stream`,
+		`${Math.round(bytesPerStream / 1024)} KiB per stream`,
 		`${broken} broken`,
 	].join(', '));
 }
 
-/** Runs all measurements of the relay and prints them. */
+/** Runs all measurements of the relay, prints them and returns them. */
 export async function runRelayBench(): Promise<{latency: LatencyResult[]; loads: Record<string, LoadResult>}> {
 	const levels = [
 		{streams: 1, samples: 200, maxTokens: 5},
@@ -74,7 +74,7 @@
 			streams: 64, maxTokens: 4000, seconds: 8, threads: 2,
 		});
 	});
-	printLoad('as fast as it takes them', loads.saturated);
+	printLoad('as fast as the entry reads', loads.saturated);
 	loads.paced = await withEntry(20, 2, async ({entry}) => measureLoad(entry, {
 		streams: 400, maxTokens: 200, seconds: 8, threads: 2,
 	}));
--- a/bench/zone-spread/_lib/measure-spread.ts
+++ b/bench/zone-spread/_lib/measure-spread.ts
@@ -45,7 +45,7 @@
 
 const toSum = ({membership, loads, summaries}: Sent): number => membership + loads + summaries;
 
-/** Times after a change at which each host of the other zones shows it, shortest first. */
+/** Returns the times after a change at which the hosts of the other zones know it, shortest first; `Infinity` for hosts that don't know it within `changeMs`. */
 async function runChange({agents, full, network, run}: SpreadFleet, zone: string, isFull: boolean): Promise<number[]> {
 	const changedAt = network.now();
 	const waiting = new Set([...agents.values()].filter(agent => agent.zone !== zone));
